--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -145,6 +145,10 @@
 // cloudLink is a process's way to the cloud.
 type cloudLink struct{ p *process }
 
+func (l cloudLink) sent(kind string, message any) {
+	l.p.h.s.trace.sentJSON(l.p.h.name, kind, message)
+}
+
 func (l cloudLink) call(do func(c *cloud) func(), failed func(error)) {
 	s := l.p.h.s
 	s.cloud.calls++
@@ -164,6 +168,7 @@
 
 // Catalogue implements coordination.Cloud.
 func (l cloudLink) Catalogue(done func(protocol.Catalogue, error)) {
+	l.sent("machine types", nil)
 	l.call(func(c *cloud) func() {
 		return func() { done(protocol.Catalogue{Types: c.types}, nil) }
 	}, func(err error) { done(protocol.Catalogue{}, err) })
@@ -171,6 +176,7 @@
 
 // Rent implements coordination.Cloud.
 func (l cloudLink) Rent(r protocol.Rent, done func([]string, error)) {
+	l.sent("rent", r)
 	l.call(func(c *cloud) func() {
 		names, err := c.rent(r)
 		return func() { done(names, err) }
@@ -179,6 +185,7 @@
 
 // Delete implements coordination.Cloud.
 func (l cloudLink) Delete(names []string, done func(error)) {
+	l.sent("delete", names)
 	l.call(func(c *cloud) func() {
 		c.delete(names)
 		return func() { done(nil) }
@@ -187,6 +194,7 @@
 
 // List implements coordination.Cloud.
 func (l cloudLink) List(done func([]protocol.CloudMachine, error)) {
+	l.sent("list machines", nil)
 	l.call(func(c *cloud) func() {
 		list := c.list()
 		return func() { done(list, nil) }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -36,6 +36,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
+				checkDigest(t, res)
 				if !shows {
 					for _, b := range res.Broken {
 						t.Errorf("rule broken: %s", b)
@@ -163,6 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	checkDigest(t, res)
 	for _, s := range append(res.Broken, res.Failed...) {
 		t.Error(s)
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -16,6 +16,7 @@
 	Broken []string // rules, with when and how
 	Failed []string // expectations that were not met
 
+	Digest  string          // of everything that controllers sent
 	Records []protocol.Item // what lies in the state service at the end, by key
 }
 
@@ -42,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Result{Broken: s.check.broken, Failed: failed, Records: s.store.list()}, nil
+	return &Result{Broken: s.check.broken, Failed: failed, Digest: s.trace.digest(), Records: s.store.list()}, nil
 }
 
 // schedule reads the script: lines of a time, a verb and its arguments. It
--- a/internal/scenario/sim.go
+++ b/internal/scenario/sim.go
@@ -56,6 +56,7 @@
 	workers map[string]*worker
 	users   *users
 	check   *checker
+	trace   *trace  // of what controllers send
 	echo    float64 // share of direct commands of which a late copy arrives
 	copies  float64 // share of reports of which a late copy arrives
 
@@ -81,6 +82,7 @@
 	s.store = newStore(s)
 	s.cloud = &cloud{s: s, asks: map[string][]string{}, capacity: map[poolName]int{}}
 	s.check = newChecker(s)
+	s.trace = newTrace(s)
 	s.users = &users{s: s, jobs: map[string]*userJob{}}
 	return s
 }
@@ -194,6 +196,7 @@
 // Ask implements coordination.Peers.
 func (l peerLink) Ask(node string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	s := l.p.h.s
+	s.trace.asked(l.p.h.name, node, r)
 	fail := func() {
 		s.after(time.Second, l.p.guard(func() { done(protocol.PeerAnswer{}, protocol.ErrUnknown) }))
 	}
@@ -216,6 +219,7 @@
 			}
 			to.guard(func() {
 				to.node.OnPeer(r, func(a protocol.PeerAnswer) {
+					s.trace.replied(h.name, a)
 					s.after(s.delay(), l.p.guard(func() { done(a, nil) }))
 				})
 			})()
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -232,6 +232,8 @@
 // stateLink is a process's way to the state service.
 type stateLink struct{ p *process }
 
+func (l stateLink) sent(kind string, values ...any) { l.p.h.s.trace.sent(l.p.h.name, kind, values...) }
+
 // call makes a request there and back; refused is called when it is not done.
 func (l stateLink) call(do func(st *store) func(), refused func(error)) {
 	s := l.p.h.s
@@ -253,6 +255,7 @@
 
 // Get implements coordination.State.
 func (l stateLink) Get(key string, done func(protocol.Item, bool, error)) {
+	l.sent("get", key)
 	l.call(func(st *store) func() {
 		if strings.HasPrefix(key, bookkeeping.FinalKey("")) {
 			st.finals++
@@ -268,6 +271,7 @@
 
 // List implements coordination.State. Pages are small so that paging is used.
 func (l stateLink) List(prefix, after string, done func(protocol.Page, error)) {
+	l.sent("list", prefix, after)
 	l.call(func(st *store) func() {
 		p := protocol.Page{Revision: st.revision}
 		for _, k := range st.keys(prefix) {
@@ -286,6 +290,7 @@
 
 // Txn implements coordination.State.
 func (l stateLink) Txn(t protocol.Txn, done func(uint64, error)) {
+	l.p.h.s.trace.sentJSON(l.p.h.name, "transaction", t)
 	l.call(func(st *store) func() {
 		s := st.s
 		if s.rand.Float64() < st.lose {
@@ -311,6 +316,7 @@
 
 // NewLease implements coordination.State.
 func (l stateLink) NewLease(ttl time.Duration, done func(uint64, error)) {
+	l.sent("new lease", ttl)
 	l.call(func(st *store) func() {
 		st.nextID++
 		id := st.nextID
@@ -322,6 +328,7 @@
 
 // Renew implements coordination.State.
 func (l stateLink) Renew(id uint64, done func(error)) {
+	l.sent("renew", id)
 	l.call(func(st *store) func() {
 		x := st.leases[id]
 		if x == nil {
@@ -334,6 +341,7 @@
 
 // EndLease implements coordination.State.
 func (l stateLink) EndLease(id uint64, done func(error)) {
+	l.sent("end lease", id)
 	l.call(func(st *store) func() {
 		if x := st.leases[id]; x != nil {
 			x.end = 0
@@ -345,6 +353,7 @@
 
 // Follow implements coordination.State.
 func (l stateLink) Follow(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
+	l.sent("follow", prefix, after, wait)
 	l.call(func(st *store) func() {
 		if c := st.changes(prefix, after); len(c.Events) > 0 || wait == 0 {
 			return func() { done(c, nil) }
--- /dev/null
+++ b/internal/scenario/trace.go
@@ -0,0 +1,67 @@
+package scenario
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"hash"
+
+	"rockrun/internal/coordination"
+	"rockrun/internal/protocol"
+)
+
+// trace is a running digest of everything that controllers send: requests to the
+// key-value store and the cloud, commands, messages to other controllers and answers.
+// Log lines are no part of it, so rewording one does not change a digest, while any
+// other decision, or the same one at another time, does.
+type trace struct {
+	s    *sim
+	hash hash.Hash
+}
+
+func newTrace(s *sim) *trace { return &trace{s: s, hash: sha256.New()} }
+
+// digest identifies all that was sent so far.
+func (t *trace) digest() string { return hex.EncodeToString(t.hash.Sum(nil)[:12]) }
+
+// sent takes in a message of a controller as its values, without the names of fields.
+func (t *trace) sent(controller, kind string, values ...any) {
+	fmt.Fprintln(t.hash, t.s.now.Nanoseconds(), controller, kind, values)
+}
+
+// sentJSON takes in a message of a controller in its form on the wire.
+func (t *trace) sentJSON(controller, kind string, message any) {
+	data, err := json.Marshal(message)
+	if err != nil {
+		panic(fmt.Sprintf("scenario: encode %T: %v", message, err))
+	}
+	t.sent(controller, kind, string(data))
+}
+
+// answered takes in a controller's answer to an agent or a user.
+func (t *trace) answered(controller, kind string, a coordination.Answer) {
+	t.sentJSON(controller, kind, []any{a.Status, a.RetryAfter, a.Body})
+}
+
+// asked takes in a request to another controller. The heartbeats that it passes on are
+// named only: they are the agents' words, not the controller's.
+func (t *trace) asked(controller, to string, r protocol.PeerRequest) {
+	t.sent(controller, "cancelled", to, r.Cancelled)
+	h := r.Heartbeat
+	if h == nil {
+		return
+	}
+	var unrecorded []string
+	for i := range h.Orphans {
+		unrecorded = append(unrecorded, h.Orphans[i].Machine)
+	}
+	t.sent(controller, "heartbeat", to, h.Node, h.Incarnation, h.SentAt, h.Term, h.FreshFor, h.Leaving, h.Machines, unrecorded, h.Shares, h.Keeps, h.Heard)
+}
+
+// replied takes in an answer to another controller.
+func (t *trace) replied(controller string, a protocol.PeerAnswer) {
+	if a.Reply != nil {
+		t.sent(controller, "reply", *a.Reply)
+	}
+}
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -76,7 +76,10 @@
 	}
 	s.after(5*time.Second, func() { once(coordination.Answer{}) })
 	s.after(s.delay(), p.guard(func() {
-		call(p.node, func(a coordination.Answer) { s.after(s.delay(), func() { once(a) }) })
+		call(p.node, func(a coordination.Answer) {
+			s.trace.answered(p.h.name, "user", a)
+			s.after(s.delay(), func() { once(a) })
+		})
 	}))
 }
 
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -138,6 +138,7 @@
 		}
 		p.guard(func() {
 			p.node.OnReport(r, func(a coordination.Answer) {
+				w.s.trace.answered(p.h.name, "report", a)
 				w.s.after(w.s.delay(), func() {
 					if !w.cut && !w.deaf && w.s.reach(h, w) {
 						x.finish(a, true)
--- a/internal/scenario/worker_copies.go
+++ b/internal/scenario/worker_copies.go
@@ -20,7 +20,7 @@
 	h := s.nodes[s.rand.IntN(len(s.nodes))]
 	s.after(late, func() {
 		if p := h.p; p != nil && !h.noWorkers {
-			p.guard(func() { p.node.OnReport(r, func(coordination.Answer) {}) })()
+			p.guard(func() { p.node.OnReport(r, func(a coordination.Answer) { s.trace.answered(p.h.name, "report", a) }) })()
 		}
 	})
 }
@@ -38,7 +38,7 @@
 		for _, h := range s.nodes {
 			s.after(time.Duration(s.rand.Int64N(int64(time.Second))), func() {
 				if p := h.p; p != nil && !h.noWorkers {
-					p.guard(func() { p.node.OnReport(r, func(coordination.Answer) {}) })()
+					p.guard(func() { p.node.OnReport(r, func(a coordination.Answer) { s.trace.answered(p.h.name, "report", a) }) })()
 				}
 			})
 		}
--- a/internal/scenario/worker_link.go
+++ b/internal/scenario/worker_link.go
@@ -12,6 +12,7 @@
 // Command implements coordination.Workers.
 func (l workerLink) Command(addr string, o protocol.CommandRequest, done func(*protocol.Report, bool, error)) {
 	s := l.p.h.s
+	s.trace.sentJSON(l.p.h.name, "command "+addr, o)
 	fail := func() {
 		s.after(2*time.Second, l.p.guard(func() { done(nil, false, protocol.ErrUnknown) }))
 	}
