--- a/cmd/rockrun/controller.go
+++ b/cmd/rockrun/controller.go
@@ -19,7 +19,7 @@
 // controller is one controller's parts, put together.
 type controller struct {
 	loop    *transport.Loop
-	node    *coordination.Node
+	node    *coordination.Controller
 	server  *transport.Server
 	sockets transport.Sockets
 }
@@ -38,36 +38,36 @@
 
 func newController(s *config.Settings, o config.Options, log *slog.Logger) *controller {
 	loop := transport.NewLoop()
-	limit := s.Cluster.Limits.Sockets
+	limit := s.Cluster.ProcessLimits.Sockets
 	if limit == 0 {
 		limit = defaultSockets
 	}
-	sockets := transport.SplitSockets(limit, len(s.Siblings))
-	outside := transport.NewClient(sockets.State, sockets.State+sockets.Cloud, idleTimeout)
+	sockets := transport.SplitSockets(limit, len(s.Peers))
+	outside := transport.NewClient(sockets.KVStore, sockets.KVStore+sockets.Cloud, idleTimeout)
 	// Tasks follow one another on a machine every quarter of a minute or so, and a
 	// connection made anew costs three times the command itself. Above three
 	// quarters of their part of the sockets connections are closed at once.
-	toWorkers := transport.NewClient(2, sockets.Workers, idleTimeout)
+	toWorkers := transport.NewClient(2, sockets.Agents, idleTimeout)
 	limiter := transport.NewLimiter(4, 200)
 	metrics := transport.NewMetrics(limiter)
 	metrics.Connections("workers", toWorkers)
 	metrics.Connections("services", outside)
-	metrics.Limits(s.Cluster.Limits.Cores, s.Cluster.Limits.MemoryMB)
+	metrics.Limits(s.Cluster.ProcessLimits.Cores, s.Cluster.ProcessLimits.MemoryMB)
 	back := transport.NewBackend(loop, sockets, metrics,
-		&protocol.StateClient{HTTP: outside, Addr: s.External.State, Timeout: stateTimeout},
+		&protocol.KVClient{HTTP: outside, Addr: s.External.KVStore, Timeout: stateTimeout},
 		&protocol.CloudClient{HTTP: outside, Addr: s.External.Cloud, Timeout: cloudTimeout},
-		&protocol.WorkerClient{HTTP: toWorkers, Timeout: workerTimeout})
+		&protocol.AgentClient{HTTP: toWorkers, Timeout: workerTimeout})
 	addrs := map[string]string{}
-	for _, p := range s.Siblings {
-		addrs[p.Node] = p.Address
+	for _, p := range s.Peers {
+		addrs[p.Controller] = p.Address
 	}
 	node := coordination.New(coordination.Config{
 		Settings: s, Options: o, Clock: loop, Log: log,
-		State: transport.StateCalls{Backend: back}, Cloud: transport.CloudCalls{Backend: back},
-		Workers: transport.WorkerCalls{Backend: back}, Peers: transport.NewPeerCalls(loop, addrs),
+		Store: transport.KVStoreCalls{Backend: back}, Cloud: transport.CloudCalls{Backend: back},
+		Agents: transport.AgentCalls{Backend: back}, Peers: transport.NewPeerCalls(loop, addrs),
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
-	metrics.Node(node.Stats)
+	metrics.Controller(node.Stats)
 	server := transport.NewServer(loop, node, limiter, metrics, sockets.Public)
 	return &controller{loop: loop, node: node, server: server, sockets: sockets}
 }
--- a/cmd/rockrun/main.go
+++ b/cmd/rockrun/main.go
@@ -56,10 +56,10 @@
 		fmt.Printf("warning: %s: %s\n", w.Field, w.Why)
 	}
 	fmt.Printf("ok: node %s of %d, %d teams, block lease %s\n",
-		s.Node, len(s.Siblings)+1, len(s.Cluster.Teams), o.BlockLease(s.Cluster.Workers))
-	limits := s.Cluster.State.Limits()
+		s.Controller, len(s.Peers)+1, len(s.Cluster.Teams), o.ShardLease(s.Cluster.Agents))
+	limits := s.Cluster.KVStore.Limits()
 	fmt.Printf("limits in force: %g requests and %g writes a second, values of %d bytes, %d changes a transaction\n",
-		limits.RequestRate, limits.WriteRate, limits.ValueBytes, limits.Changes)
+		limits.RequestRate, limits.WriteRate, limits.ValueBytes, limits.Operations)
 	return nil
 }
 
@@ -71,7 +71,7 @@
 	}
 	log := logger()
 	runtime.GOMAXPROCS(1)
-	if mb := s.Cluster.Limits.MemoryMB; mb > 0 {
+	if mb := s.Cluster.ProcessLimits.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * 0.7 * (1 << 20)))
 	}
 	debug.SetGCPercent(200)
--- a/internal/compatibility/reader/main.go
+++ b/internal/compatibility/reader/main.go
@@ -1,138 +1,123 @@
-// Command reader prints what this version understands of records and of messages
+// Command reader prints what a version of rockrun understands of records and of messages
 // between controllers. The compatibility tests build it in the sources of two versions
-// and compare what they print, so it uses nothing that the older one lacks.
+// and compare what they print. This file is the same in both; records.go is the part
+// that names a version's own packages and fields, and the older version has its own.
 package main
 
 import (
 	"bufio"
+	"bytes"
 	"encoding/gob"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"os"
 	"slices"
 	"strings"
-
-	"rockrun/internal/bookkeeping"
-	"rockrun/internal/protocol"
 )
 
-// mostShards is more than the controllers of any recorded day.
-const mostShards = 16
+// maxShards is more than the controllers of any recorded day.
+const maxShards = 16
+
+// item is a key of the key-value store with its value, as the test writes it down.
+type item struct {
+	Key     string          `json:"k"`
+	Value   json.RawMessage `json:"data"`
+	Version uint64          `json:"stamp"`
+}
+
+// records are what a version makes of the items that it is given.
+type records interface {
+	// apply takes in a record that every controller follows.
+	apply(key string, value json.RawMessage, version uint64) error
+	// final describes the record of a job that has ended.
+	final(value json.RawMessage) string
+	// lines describe all that is known: those of the cluster in a fixed order, those of
+	// jobs and of machines in any.
+	lines() (cluster, jobs, machines []string)
+}
 
 func main() {
 	if len(os.Args) != 4 {
 		fmt.Fprintln(os.Stderr, "usage: reader records.jsonl requests.gob answers.gob")
 		os.Exit(2)
 	}
-	err := errors.Join(printRecords(os.Args[1]), printMessages[protocol.PeerRequest](os.Args[2]), printMessages[protocol.PeerAnswer](os.Args[3]))
+	err := errors.Join(
+		printRecords(os.Args[1]),
+		printMessages(os.Args[2], decodeRequest),
+		printMessages(os.Args[3], decodeAnswer),
+	)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// printRecords applies records, a JSON item a line, and prints what the cache holds.
+// printRecords applies records, a JSON item a line, and prints what is known then.
 func printRecords(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	teams := []bookkeeping.Team{{Name: "red", CPUs: 64, CPUsMax: 128}, {Name: "blue", CPUs: 32, CPUsMax: 64}}
-	cache := bookkeeping.NewCache(teams, mostShards)
-	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, 1<<20)
-	for lines.Scan() {
-		var it protocol.Item
-		if err := json.Unmarshal(lines.Bytes(), &it); err != nil {
+	known := newRecords()
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(nil, 1<<20)
+	for scanner.Scan() {
+		var it item
+		if err := json.Unmarshal(scanner.Bytes(), &it); err != nil {
 			return err
 		}
-		if id, final := strings.CutPrefix(it.Key, "f/"); final {
-			f, err := bookkeeping.DecodeFinal(it.Value)
-			fmt.Println("final", id, f.Stage, f.Done, err)
+		if id, ended := strings.CutPrefix(it.Key, "f/"); ended {
+			fmt.Println("final", id, known.final(it.Value))
 			continue
 		}
-		if err := cache.Apply(it.Key, it.Value, it.Version); err != nil {
+		if err := known.apply(it.Key, it.Value, it.Version); err != nil {
 			fmt.Println("not understood:", it.Key, err)
 		}
 	}
-	printCache(cache)
-	return lines.Err()
-}
-
-func printCache(c *bookkeeping.Cache) {
-	fmt.Println("homes", c.Homes, "leader", c.Leader, "term", c.Term, "target", c.Target)
-	for i := range c.Teams {
-		fmt.Println("team", c.Teams[i].Name, c.Teams[i].Shares)
-	}
-	for i := range c.Grants {
-		fmt.Println("grant", i, c.Grants[i])
-	}
-	for i := range c.Types {
-		fmt.Println("type", c.Types[i])
-	}
-	for _, node := range slices.Sorted(maps.Keys(c.Liveness)) {
-		fmt.Println("liveness", node, c.Liveness[node])
-	}
-	printSorted(func(add func(string)) {
-		c.Jobs.All(func(_ int, j *bookkeeping.Job) {
-			if knownByNameOnly(j) {
-				return
-			}
-			add(fmt.Sprintln("job", j.ID, j.Class, j.Team, j.Kind, j.Priority, j.Tasks, j.CPUs, j.GPUs, j.MemoryGB, j.Image, j.ImageGB, j.Types, j.Zone,
-				j.OneZone, j.Spread, j.Spot, j.EstimateS, j.CheckpointS, j.SaveS, j.DeadlineS, j.Version, j.AtMS, j.Home, j.Done, j.DoneN, j.Open(), j.Running()))
-		})
-	})
-	printSorted(func(add func(string)) {
-		c.Machines.All(func(_ int, m *bookkeeping.Machine) {
-			var intents []string
-			for ref, intent := range m.Intents {
-				intents = append(intents, fmt.Sprint(c.Jobs.Get(ref.Job).ID, "/", ref.Task, "#", intent.Try, "@", intent.Page))
-			}
-			slices.Sort(intents)
-			add(fmt.Sprintln("machine", m.Name, m.Block, m.Addr, m.Type, m.Zone, m.Spot, m.Shard, m.Token, m.Phase, m.Drain, m.Yield, m.AtMS, m.GoneMS, intents))
-		})
-	})
-}
-
-// knownByNameOnly reports whether a row has no record, no named task and no completed
-// one behind it. This version keeps such rows for jobs that others wait for, which the
-// older one doesn't know of; nothing is lost by leaving them out, as a job that one
-// version has and the other has not is still printed by the first.
-func knownByNameOnly(j *bookkeeping.Job) bool {
-	return j.Over() && len(j.Intended) == 0 && j.DoneN == 0
-}
-
-func printSorted(collect func(add func(string))) {
-	var lines []string
-	collect(func(line string) { lines = append(lines, line) })
-	slices.Sort(lines)
-	for _, line := range lines {
+	cluster, jobs, machines := known.lines()
+	slices.Sort(jobs)
+	slices.Sort(machines)
+	for _, line := range slices.Concat(cluster, jobs, machines) {
 		fmt.Print(line)
 	}
+	return scanner.Err()
 }
 
-// printMessages decodes messages as they come over one connection.
-func printMessages[T any](path string) error {
+// printMessages decodes messages as they come over one connection. decode returns one
+// as JSON under the names that it has on the link.
+func printMessages(path string, decode func(*gob.Decoder) ([]byte, error)) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
 	for decoder := gob.NewDecoder(file); ; {
-		var message T
-		if err := decoder.Decode(&message); errors.Is(err, io.EOF) {
+		text, err := decode(decoder)
+		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
-			return fmt.Errorf("%s: %w", path, err)
 		}
-		text, err := json.Marshal(message)
 		if err != nil {
-			return err
+			return fmt.Errorf("%s: %w", path, err)
 		}
 		fmt.Println("message", string(text))
 	}
 }
+
+// sortedJSON encodes a message with its fields in the order of their names, so that the
+// order in which a version declares them does not matter.
+func sortedJSON(message any) ([]byte, error) {
+	data, err := json.Marshal(message)
+	if err != nil {
+		return nil, err
+	}
+	var fields map[string]any
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.UseNumber()
+	if err := decoder.Decode(&fields); err != nil {
+		return nil, err
+	}
+	return json.Marshal(fields)
+}
--- /dev/null
+++ b/internal/compatibility/reader/records.go
@@ -0,0 +1,105 @@
+package main
+
+import (
+	"encoding/gob"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+// viewRecords are the records as the replicated view understands them.
+type viewRecords struct{ view *storage.View }
+
+func newRecords() records {
+	teams := []storage.Team{
+		{Name: "red", GuaranteedCPUs: 64, MaxCPUs: 128},
+		{Name: "blue", GuaranteedCPUs: 32, MaxCPUs: 64},
+	}
+	return viewRecords{storage.NewView(teams, maxShards)}
+}
+
+func (r viewRecords) apply(key string, value json.RawMessage, version uint64) error {
+	return r.view.Apply(key, value, version)
+}
+
+func (viewRecords) final(value json.RawMessage) string {
+	record, err := storage.DecodeFinal(value)
+	return fmt.Sprintln(record.Stage, record.CompletedTasks, err)
+}
+
+func (r viewRecords) lines() (cluster, jobs, machines []string) {
+	return r.cluster(), r.jobs(), r.machines()
+}
+
+func (r viewRecords) cluster() []string {
+	v := r.view
+	lines := []string{fmt.Sprintln("homes", v.JobShards, "leader", v.Leader, "term", v.Term, "target", v.ScalingTarget)}
+	for i := range v.Teams {
+		lines = append(lines, fmt.Sprintln("team", v.Teams[i].Name, v.Teams[i].QuotaSplit))
+	}
+	for i := range v.Grants {
+		lines = append(lines, fmt.Sprintln("grant", i, v.Grants[i]))
+	}
+	for i := range v.MachineTypes {
+		lines = append(lines, fmt.Sprintln("type", v.MachineTypes[i]))
+	}
+	for _, controller := range slices.Sorted(maps.Keys(v.Liveness)) {
+		lines = append(lines, fmt.Sprintln("liveness", controller, v.Liveness[controller]))
+	}
+	return lines
+}
+
+func (r viewRecords) jobs() (lines []string) {
+	r.view.Jobs.All(func(_ int, j *storage.Job) {
+		if knownByNameOnly(j) {
+			return
+		}
+		lines = append(lines, fmt.Sprintln("job", j.ID, j.Class, j.Team, j.Kind, j.Priority, j.Tasks, j.CPUs, j.GPUs, j.MemoryGB,
+			j.Image, j.ImageGB, j.Types, j.Zone, j.OneZone, j.Spread, j.Spot, j.EstimateSeconds, j.CheckpointSeconds, j.SaveSeconds,
+			j.DeadlineSeconds, j.Version, j.SubmittedAtMS, j.Shard, j.Completed, j.CompletedCount, j.OpenTasks(), j.RunningTasks()))
+	})
+	return lines
+}
+
+// knownByNameOnly reports whether a row has no record, no task that an intent names and
+// no completed one behind it. This version keeps such rows for jobs that others depend
+// on, which the older one does not know of; nothing is lost by leaving them out, as a
+// job that one version has and the other has not is still printed by the first.
+func knownByNameOnly(j *storage.Job) bool {
+	return j.Ended() && len(j.IntendedTasks) == 0 && j.CompletedCount == 0
+}
+
+func (r viewRecords) machines() (lines []string) {
+	r.view.Machines.All(func(_ int, m *storage.Machine) {
+		var intents []string
+		for task, intent := range m.Intents {
+			intents = append(intents, fmt.Sprint(r.view.Jobs.Get(task.Job).ID, "/", task.Task, "#", intent.Attempt, "@", intent.Page))
+		}
+		slices.Sort(intents)
+		lines = append(lines, fmt.Sprintln("machine", m.Name, m.Group, m.Address, m.Type, m.Zone, m.Spot, m.Shard, m.FencingToken,
+			m.Phase, m.DrainStamp, m.Evict, m.RentedAtMS, m.DeletedAtMS, intents))
+	})
+	return lines
+}
+
+// decodeRequest returns a message as the program understands it, which leaves out what
+// it would lose between the link and its own types.
+func decodeRequest(decoder *gob.Decoder) ([]byte, error) {
+	var wire protocol.PeerRequestWire
+	if err := decoder.Decode(&wire); err != nil {
+		return nil, err
+	}
+	return sortedJSON(wire.Request().Wire())
+}
+
+func decodeAnswer(decoder *gob.Decoder) ([]byte, error) {
+	var wire protocol.PeerAnswerWire
+	if err := decoder.Decode(&wire); err != nil {
+		return nil, err
+	}
+	return sortedJSON(wire.Answer().Wire())
+}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -69,20 +69,20 @@
 // The lower ones of today's limits and those to come are in force from the start;
 // what is not announced stays.
 func TestStateLimits(t *testing.T) {
-	today := State{RPS: 200, WriteRPS: 80, ValueKB: 8, TxnOps: 32}
+	today := KVStore{RequestsPerSecond: 200, WritesPerSecond: 80, ValueKiB: 8, TransactionOperations: 32}
 	value, txn, more := 2.0, 10, 500.0
 	for _, c := range []struct {
 		name string
-		next *Next
-		want StateLimits
+		next *AnnouncedLimits
+		want StoreLimits
 	}{
-		{"none", nil, StateLimits{200, 80, 8192, 32, 128}},
-		{"empty", &Next{}, StateLimits{200, 80, 8192, 32, 128}},
-		{"lower", &Next{ValueKB: &value, TxnOps: &txn}, StateLimits{200, 80, 2048, 10, 40}},
-		{"higher", &Next{RPS: &more, WriteRPS: &more}, StateLimits{200, 80, 8192, 32, 128}},
+		{"none", nil, StoreLimits{200, 80, 8192, 32, 128}},
+		{"empty", &AnnouncedLimits{}, StoreLimits{200, 80, 8192, 32, 128}},
+		{"lower", &AnnouncedLimits{ValueKiB: &value, TransactionOperations: &txn}, StoreLimits{200, 80, 2048, 10, 40}},
+		{"higher", &AnnouncedLimits{RequestsPerSecond: &more, WritesPerSecond: &more}, StoreLimits{200, 80, 8192, 32, 128}},
 	} {
 		state := today
-		state.Next = c.next
+		state.Announced = c.next
 		if got := state.Limits(); got != c.want {
 			t.Errorf("%s: %+v, not %+v", c.name, got, c.want)
 		}
@@ -91,7 +91,7 @@
 
 func TestOptions(t *testing.T) {
 	o, err := ParseOptions("o.hcl", []byte("cycle_s = 2\nfleet_max = 12\n"))
-	if err != nil || o.CycleS != 2 || o.FleetMax != 12 || o.RentWindowS != DefaultOptions().RentWindowS {
+	if err != nil || o.CycleSeconds != 2 || o.FleetMax != 12 || o.ScaleOutWindowSeconds != DefaultOptions().ScaleOutWindowSeconds {
 		t.Errorf("%+v, %v", o, err)
 	}
 	for _, c := range []struct{ text, names string }{
@@ -131,13 +131,13 @@
 // A cancellation unknown to a holder must reach the end of the worker's lease
 // within the time for cancelling, with the answer's way and drift on top.
 func TestBudgets(t *testing.T) {
-	for _, w := range []Workers{{LeaseS: 30, CancelS: 60}, {LeaseS: 44, CancelS: 74}, {LeaseS: 10, CancelS: 100}, {LeaseS: 4, CancelS: 8}} {
-		a := w.Authority()
-		if a <= 0 || a > w.Lease() || a+w.Lease()+w.Lease()/1000+min(4*time.Second, (w.Cancel()-w.Lease())/5) >= w.Cancel() {
+	for _, w := range []Agents{{LeaseSeconds: 30, CancelSeconds: 60}, {LeaseSeconds: 44, CancelSeconds: 74}, {LeaseSeconds: 10, CancelSeconds: 100}, {LeaseSeconds: 4, CancelSeconds: 8}} {
+		a := w.MaxStaleness()
+		if a <= 0 || a > w.Lease() || a+w.Lease()+w.Lease()/1000+min(4*time.Second, (w.CancelTimeout()-w.Lease())/5) >= w.CancelTimeout() {
 			t.Errorf("%+v: authority %s", w, a)
 		}
-		b := DefaultOptions().BlockLease(w)
-		if b <= 0 || b > (w.Cancel()-w.Lease())/2 || b >= a {
+		b := DefaultOptions().ShardLease(w)
+		if b <= 0 || b > (w.CancelTimeout()-w.Lease())/2 || b >= a {
 			t.Errorf("%+v: block lease %s", w, b)
 		}
 	}
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -12,27 +12,27 @@
 
 // Options are the operators' own settings. Times are in seconds.
 type Options struct {
-	CycleS        float64 // between two looks of the sizer at the fleet
-	RentWindowS   float64 // how long work is blocked before machines are rented
-	GiveWindowS   float64 // how long the cheapest kind of machine is idle enough before it drains; less for dearer ones
-	GiveBelow     float64 // booked share below which a machine may be given back
-	FleetMin      int     // machines never given back
-	FleetMax      int     // machines at most
-	FleetExpected int     // machines that operators expect at once, for warnings only; 0: not said
-	RentPatience  float64 // boot times of a new machine that arrays wait for the machines there are
-	ServiceSpare  int     // replicas of each kind of running service for which room is kept
-	CallsPerTurn  int     // cloud calls for rentals a cycle at most; 0: derived from what the cloud allows
-	BootPatience  float64 // multiples of a type's boot time after which a boot counts as failed
-	BlockLeaseS   float64 // a holder's lease on its machines; 0: derived from the workers' lease
-	Homes         int     // shards among which the work is split; 0: derived from the number of controllers
-	SilentS       float64 // silence after which a machine is given up while it is listed as running; 0: derived
+	CycleSeconds          float64 // between two looks of the sizer at the fleet
+	ScaleOutWindowSeconds float64 // how long work is blocked before machines are rented
+	ScaleInWindowSeconds  float64 // how long the cheapest kind of machine is idle enough before it drains; less for dearer ones
+	ScaleInBelow          float64 // booked share below which a machine may be given back
+	FleetMin              int     // machines never given back
+	FleetMax              int     // machines at most
+	FleetExpected         int     // machines that operators expect at once, for warnings only; 0: not said
+	ScaleOutPatience      float64 // boot times of a new machine that arrays wait for the machines there are
+	SpareReplicas         int     // replicas of each kind of running service for which room is kept
+	ScaleOutCallsPerCycle int     // cloud calls for rentals a cycle at most; 0: derived from what the cloud allows
+	BootPatience          float64 // multiples of a type's boot time after which a boot counts as failed
+	ShardLeaseSeconds     float64 // a holder's lease on its machines; 0: derived from the workers' lease
+	JobShards             int     // shards among which the work is split; 0: derived from the number of controllers
+	SilenceSeconds        float64 // silence after which a machine is given up while it is listed as running; 0: derived
 }
 
 // DefaultOptions are used where the operators' file says nothing.
 func DefaultOptions() Options {
 	return Options{
-		CycleS: 1, RentWindowS: 1, GiveWindowS: 25, GiveBelow: 0.3,
-		FleetMin: 0, FleetMax: 10000, CallsPerTurn: 0, BootPatience: 2.5, ServiceSpare: 4, RentPatience: 2,
+		CycleSeconds: 1, ScaleOutWindowSeconds: 1, ScaleInWindowSeconds: 25, ScaleInBelow: 0.3,
+		FleetMin: 0, FleetMax: 10000, ScaleOutCallsPerCycle: 0, BootPatience: 2.5, SpareReplicas: 4, ScaleOutPatience: 2,
 	}
 }
 
@@ -46,20 +46,20 @@
 
 func optionTable() []optionRange {
 	return []optionRange{
-		{"cycle_s", 0.2, 60, false, func(o *Options, v float64) { o.CycleS = v }},
-		{"rent_window_s", 0, 600, false, func(o *Options, v float64) { o.RentWindowS = v }},
-		{"give_window_s", 0, 3600, false, func(o *Options, v float64) { o.GiveWindowS = v }},
-		{"give_below", 0, 1, false, func(o *Options, v float64) { o.GiveBelow = v }},
+		{"cycle_s", 0.2, 60, false, func(o *Options, v float64) { o.CycleSeconds = v }},
+		{"rent_window_s", 0, 600, false, func(o *Options, v float64) { o.ScaleOutWindowSeconds = v }},
+		{"give_window_s", 0, 3600, false, func(o *Options, v float64) { o.ScaleInWindowSeconds = v }},
+		{"give_below", 0, 1, false, func(o *Options, v float64) { o.ScaleInBelow = v }},
 		{"fleet_min", 0, 100000, true, func(o *Options, v float64) { o.FleetMin = int(v) }},
 		{"fleet_max", 1, 100000, true, func(o *Options, v float64) { o.FleetMax = int(v) }},
 		{"fleet_expected", 0, 100000, true, func(o *Options, v float64) { o.FleetExpected = int(v) }},
-		{"calls_per_cycle", 0, 20, true, func(o *Options, v float64) { o.CallsPerTurn = int(v) }},
+		{"calls_per_cycle", 0, 20, true, func(o *Options, v float64) { o.ScaleOutCallsPerCycle = int(v) }},
 		{"boot_patience", 1.5, 20, false, func(o *Options, v float64) { o.BootPatience = v }},
-		{"rent_patience", 0, 20, false, func(o *Options, v float64) { o.RentPatience = v }},
-		{"service_spare", 0, 1000, true, func(o *Options, v float64) { o.ServiceSpare = int(v) }},
-		{"block_lease_s", 0, 600, false, func(o *Options, v float64) { o.BlockLeaseS = v }},
-		{"homes", 0, 1000, true, func(o *Options, v float64) { o.Homes = int(v) }},
-		{"silent_s", 0, 3600, false, func(o *Options, v float64) { o.SilentS = v }},
+		{"rent_patience", 0, 20, false, func(o *Options, v float64) { o.ScaleOutPatience = v }},
+		{"service_spare", 0, 1000, true, func(o *Options, v float64) { o.SpareReplicas = int(v) }},
+		{"block_lease_s", 0, 600, false, func(o *Options, v float64) { o.ShardLeaseSeconds = v }},
+		{"homes", 0, 1000, true, func(o *Options, v float64) { o.JobShards = int(v) }},
+		{"silent_s", 0, 3600, false, func(o *Options, v float64) { o.SilenceSeconds = v }},
 	}
 }
 
@@ -123,19 +123,19 @@
 
 // Calls is how many rental calls a cycle may make: two, or as many as six tenths
 // of what the cloud allows in a second.
-func (o Options) Calls(c Cloud) int {
-	if o.CallsPerTurn > 0 {
-		return o.CallsPerTurn
+func (o Options) ScaleOutCalls(c Cloud) int {
+	if o.ScaleOutCallsPerCycle > 0 {
+		return o.ScaleOutCallsPerCycle
 	}
-	return max(2, int(c.RPS*0.6))
+	return max(2, int(c.RequestsPerSecond*0.6))
 }
 
 // BlockLease is a holder's lease on its machines: a tenth of the workers'
 // lease, never more than half of what cancelling leaves beyond it.
-func (o Options) BlockLease(w Workers) time.Duration {
-	top := (w.Cancel() - w.Lease()) / 2
-	if o.BlockLeaseS > 0 {
-		return min(seconds(o.BlockLeaseS), top)
+func (o Options) ShardLease(w Agents) time.Duration {
+	top := (w.CancelTimeout() - w.Lease()) / 2
+	if o.ShardLeaseSeconds > 0 {
+		return min(seconds(o.ShardLeaseSeconds), top)
 	}
 	return min(max(w.Lease()/10, 2*time.Second), top)
 }
@@ -144,9 +144,9 @@
 // until its worker's lease has ended its tasks, or a dead machine would begin to
 // show in the cloud's list. Giving up a machine sooner ends services that a
 // short cut would have spared.
-func (o Options) Silence(w Workers) time.Duration {
-	if o.SilentS > 0 {
-		return seconds(o.SilentS)
+func (o Options) SilenceTimeout(w Agents) time.Duration {
+	if o.SilenceSeconds > 0 {
+		return seconds(o.SilenceSeconds)
 	}
 	return min(w.Lease(), 30*time.Second)
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -15,87 +15,87 @@
 // Settings are the platform's settings. Fields unknown to this version are
 // ignored.
 type Settings struct {
-	Node       string    `toml:"node_name"`
-	Zone       string    `toml:"area"`
-	PublicAddr string    `toml:"public_addr"`
-	PeerAddr   string    `toml:"peer_bind"`
-	Siblings   []Sibling `toml:"siblings"`
-	External   External  `toml:"external"`
-	Cluster    Cluster   `toml:"cluster"`
+	Controller string   `toml:"node_name"`
+	Zone       string   `toml:"area"`
+	PublicAddr string   `toml:"public_addr"`
+	PeerAddr   string   `toml:"peer_bind"`
+	Peers      []Peer   `toml:"siblings"`
+	External   External `toml:"external"`
+	Cluster    Cluster  `toml:"cluster"`
 }
 
 // Sibling is another controller.
-type Sibling struct {
-	Node    string `toml:"node_name"`
-	Zone    string `toml:"area"`
-	Address string `toml:"address"`
+type Peer struct {
+	Controller string `toml:"node_name"`
+	Zone       string `toml:"area"`
+	Address    string `toml:"address"`
 }
 
 // External names the services the controllers depend on.
 type External struct {
-	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+	Cloud   string `toml:"cloud"`
+	KVStore string `toml:"state"`
 }
 
 // Cluster is what all controllers share.
 type Cluster struct {
-	Size       int         `toml:"initial_size"`
-	Zones      []string    `toml:"zones"`
-	ClockOffMS float64     `toml:"clock_off_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
-	State      State       `toml:"state"`
-	Cloud      Cloud       `toml:"cloud"`
-	Limits     Limits      `toml:"limits"`
+	Size          int           `toml:"initial_size"`
+	Zones         []string      `toml:"zones"`
+	ClockOffMS    float64       `toml:"clock_off_ms"`
+	Teams         []Team        `toml:"teams"`
+	Objectives    []Objective   `toml:"objectives"`
+	Agents        Agents        `toml:"workers"`
+	KVStore       KVStore       `toml:"state"`
+	Cloud         Cloud         `toml:"cloud"`
+	ProcessLimits ProcessLimits `toml:"limits"`
 }
 
 // Team is a team's guarantee and limit; 0 means none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"`
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"`
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
 // Objective is one aim on starting or finishing work.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Times   float64 `toml:"times"`
-	Share   float64 `toml:"share"`
+	Kind           string  `toml:"kind"`
+	Class          string  `toml:"class"`
+	WithinSeconds  float64 `toml:"within_s"`
+	DeadlineFactor float64 `toml:"times"`
+	Share          float64 `toml:"share"`
 }
 
 // Workers are the workers' times.
-type Workers struct {
-	ReportS float64 `toml:"report_s"`
-	LeaseS  float64 `toml:"lease_s"`
-	CancelS float64 `toml:"cancel_s"`
+type Agents struct {
+	HeartbeatSeconds float64 `toml:"report_s"`
+	LeaseSeconds     float64 `toml:"lease_s"`
+	CancelSeconds    float64 `toml:"cancel_s"`
 }
 
 // Cloud is what the cloud allows.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	RequestsPerSecond float64 `toml:"rps"`
+	ListLagSeconds    float64 `toml:"list_lag_s"`
 }
 
 // Limits are the machine's.
-type Limits struct {
+type ProcessLimits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"mem_mb"`
 	Sockets  int     `toml:"fd_limit"`
 }
 
 // Lease is the workers' lease.
-func (w Workers) Lease() time.Duration { return seconds(w.LeaseS) }
+func (w Agents) Lease() time.Duration { return seconds(w.LeaseSeconds) }
 
 // Report is the time between a worker's reports.
-func (w Workers) Report() time.Duration { return seconds(w.ReportS) }
+func (w Agents) HeartbeatInterval() time.Duration { return seconds(w.HeartbeatSeconds) }
 
 // Cancel is the time in which all tasks of a cancelled job must be gone.
-func (w Workers) Cancel() time.Duration { return seconds(w.CancelS) }
+func (w Agents) CancelTimeout() time.Duration { return seconds(w.CancelSeconds) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
@@ -136,16 +136,16 @@
 	var found faults
 	s.checkNode(&found)
 	s.checkTeams(&found)
-	workers := s.Cluster.Workers
-	found.positive("cluster.workers.report_s", workers.ReportS)
-	found.positive("cluster.workers.lease_s", workers.LeaseS)
-	found.positive("cluster.workers.cancel_s", workers.CancelS)
-	if workers.CancelS > 0 && workers.CancelS <= workers.LeaseS {
+	workers := s.Cluster.Agents
+	found.positive("cluster.workers.report_s", workers.HeartbeatSeconds)
+	found.positive("cluster.workers.lease_s", workers.LeaseSeconds)
+	found.positive("cluster.workers.cancel_s", workers.CancelSeconds)
+	if workers.CancelSeconds > 0 && workers.CancelSeconds <= workers.LeaseSeconds {
 		found.add("cluster.workers.cancel_s", "must exceed lease_s")
 	}
-	s.Cluster.State.check(&found)
-	found.positive("cluster.cloud.rps", s.Cluster.Cloud.RPS)
-	if s.Cluster.Limits.MemoryMB < 0 || s.Cluster.Limits.Sockets < 0 {
+	s.Cluster.KVStore.check(&found)
+	found.positive("cluster.cloud.rps", s.Cluster.Cloud.RequestsPerSecond)
+	if s.Cluster.ProcessLimits.MemoryMB < 0 || s.Cluster.ProcessLimits.Sockets < 0 {
 		found.add("cluster.limits", "below 0")
 	}
 	return errors.Join(found...)
@@ -153,17 +153,17 @@
 
 // checkNode checks this controller's own addresses and the other controllers.
 func (s *Settings) checkNode(found *faults) {
-	if s.Node == "" {
+	if s.Controller == "" {
 		found.add("node_name", missing)
 	}
 	found.address("public_addr", s.PublicAddr)
 	found.address("peer_bind", s.PeerAddr)
 	found.address("external.cloud", s.External.Cloud)
-	found.address("external.state", s.External.State)
-	seen := map[string]bool{s.Node: true}
-	for i, p := range s.Siblings {
+	found.address("external.state", s.External.KVStore)
+	seen := map[string]bool{s.Controller: true}
+	for i, p := range s.Peers {
 		field := fmt.Sprintf("siblings[%d].", i)
-		found.unique(field+"node_name", p.Node, seen)
+		found.unique(field+"node_name", p.Controller, seen)
 		found.address(field+"address", p.Address)
 	}
 }
@@ -176,7 +176,7 @@
 	for i, t := range s.Cluster.Teams {
 		field := fmt.Sprintf("cluster.teams[%d].", i)
 		found.unique(field+"name", t.Name, seen)
-		if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
+		if t.GuaranteedCPUs < 0 || t.MaxCPUs < 0 || t.GuaranteedGPUs < 0 || t.MaxGPUs < 0 {
 			found.add(field+"cpus", "below 0")
 		}
 	}
@@ -184,12 +184,12 @@
 
 // Margin is what the time budgets of leases leave at most for answers on their
 // way (a worker drops answers after 4 s) and for slow processes.
-const Margin = 5 * time.Second
+const LeaseMargin = 5 * time.Second
 
 // Authority is how old a holder's knowledge of cancellations may be while it
 // still renews workers' leases: a cancellation it has not heard of must reach
 // the end of the worker's lease within the time for cancelling.
-func (w Workers) Authority() time.Duration {
-	spare := w.Cancel() - w.Lease()
-	return min(spare-min(Margin, spare/4)-w.Lease()/1000, w.Lease())
+func (w Agents) MaxStaleness() time.Duration {
+	spare := w.CancelTimeout() - w.Lease()
+	return min(spare-min(LeaseMargin, spare/4)-w.Lease()/1000, w.Lease())
 }
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -34,7 +34,7 @@
 
 // machineWarnings are of the machine that the controller runs on.
 func (s *Settings) machineWarnings(fleet int) (list []Warning) {
-	limits := s.Cluster.Limits
+	limits := s.Cluster.ProcessLimits
 	if limits.Cores > 0 && limits.Cores < leastCores {
 		list = append(list, Warning{"cluster.limits.cores", fmt.Sprintf("%g: no fleet was measured with less than %g", limits.Cores, leastCores)})
 	}
@@ -54,12 +54,12 @@
 
 // stateWarnings are of what the state service allows, now or later.
 func (s *Settings) stateWarnings(fleet int) (list []Warning) {
-	limits := s.Cluster.State.Limits()
+	limits := s.Cluster.KVStore.Limits()
 	if limits.ValueBytes > 0 && limits.ValueBytes < leastValueKB*1024 {
 		list = append(list, Warning{"cluster.state.value_kb", fmt.Sprintf("%d bytes: no fleet was measured with less than %d KiB", limits.ValueBytes, leastValueKB)})
 	}
-	if limits.Changes > 0 && limits.Changes < leastTxnOps {
-		list = append(list, Warning{"cluster.state.txn_ops", fmt.Sprintf("%d: no fleet was measured with less than %d", limits.Changes, leastTxnOps)})
+	if limits.Operations > 0 && limits.Operations < leastTxnOps {
+		list = append(list, Warning{"cluster.state.txn_ops", fmt.Sprintf("%d: no fleet was measured with less than %d", limits.Operations, leastTxnOps)})
 	}
 	if limits.WriteRate > 0 && float64(fleet) > mostMachinesPerWrite*limits.WriteRate {
 		list = append(list, Warning{"cluster.state.write_rps", fmt.Sprintf("%g: tasks of %d machines will wait for their records below %.0f", limits.WriteRate, fleet, float64(fleet)/mostMachinesPerWrite)})
--- a/internal/config/warnings_test.go
+++ b/internal/config/warnings_test.go
@@ -7,25 +7,25 @@
 	const cores, sockets, memory = "cluster.limits.cores", "cluster.limits.fd_limit", "cluster.limits.mem_mb"
 	const value, txn, writes = "cluster.state.value_kb", "cluster.state.txn_ops", "cluster.state.write_rps"
 	lowerValue, lowerTxn := 1.5, 3
-	state := State{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4}
+	state := KVStore{RequestsPerSecond: 200, WritesPerSecond: 15, ValueKiB: 2, TransactionOperations: 4}
 	for name, c := range map[string]struct {
-		limits Limits
-		state  State
+		limits ProcessLimits
+		state  KVStore
 		fleet  int
 		fields []string
 	}{
 		"none given":        {fields: nil},
-		"enough":            {limits: Limits{Cores: 0.06, MemoryMB: 81, Sockets: 1500}, state: state, fleet: 1400},
-		"few cores":         {limits: Limits{Cores: 0.02, MemoryMB: 81, Sockets: 1500}, fields: []string{cores}},
-		"few sockets":       {limits: Limits{Cores: 1, MemoryMB: 81, Sockets: 100}, fields: []string{sockets}},
-		"sockets by fleet":  {limits: Limits{Sockets: 1500}, fleet: 4000, fields: []string{sockets}},
-		"memory by sockets": {limits: Limits{Cores: 1, MemoryMB: 60, Sockets: 1500}, fields: []string{memory}},
-		"memory by fleet":   {limits: Limits{MemoryMB: 200, Sockets: 5000}, fleet: 4000, fields: []string{memory}},
-		"all of a machine":  {limits: Limits{Cores: 0.01, MemoryMB: 10, Sockets: 10}, fields: []string{cores, sockets, memory}},
-		"small later":       {state: State{RPS: 200, WriteRPS: 20, ValueKB: 4, TxnOps: 8, Next: &Next{ValueKB: &lowerValue, TxnOps: &lowerTxn}}, fields: []string{value, txn}},
+		"enough":            {limits: ProcessLimits{Cores: 0.06, MemoryMB: 81, Sockets: 1500}, state: state, fleet: 1400},
+		"few cores":         {limits: ProcessLimits{Cores: 0.02, MemoryMB: 81, Sockets: 1500}, fields: []string{cores}},
+		"few sockets":       {limits: ProcessLimits{Cores: 1, MemoryMB: 81, Sockets: 100}, fields: []string{sockets}},
+		"sockets by fleet":  {limits: ProcessLimits{Sockets: 1500}, fleet: 4000, fields: []string{sockets}},
+		"memory by sockets": {limits: ProcessLimits{Cores: 1, MemoryMB: 60, Sockets: 1500}, fields: []string{memory}},
+		"memory by fleet":   {limits: ProcessLimits{MemoryMB: 200, Sockets: 5000}, fleet: 4000, fields: []string{memory}},
+		"all of a machine":  {limits: ProcessLimits{Cores: 0.01, MemoryMB: 10, Sockets: 10}, fields: []string{cores, sockets, memory}},
+		"small later":       {state: KVStore{RequestsPerSecond: 200, WritesPerSecond: 20, ValueKiB: 4, TransactionOperations: 8, Announced: &AnnouncedLimits{ValueKiB: &lowerValue, TransactionOperations: &lowerTxn}}, fields: []string{value, txn}},
 		"writes by fleet":   {state: state, fleet: 4000, fields: []string{writes}},
 	} {
-		got := (&Settings{Cluster: Cluster{Limits: c.limits, State: c.state}}).Warnings(Options{FleetExpected: c.fleet})
+		got := (&Settings{Cluster: Cluster{ProcessLimits: c.limits, KVStore: c.state}}).Warnings(Options{FleetExpected: c.fleet})
 		if len(got) != len(c.fields) {
 			t.Errorf("%s: %v", name, got)
 			continue
--- a/internal/coordination/blocks.go
+++ b/internal/coordination/blocks.go
@@ -6,125 +6,127 @@
 	"slices"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // newBlock is a block that is not in the cache yet. It keeps its name until it
 // is, so that a write without an answer can't put a machine into two blocks.
-type newBlock struct {
-	id      string
-	rec     bookkeeping.BlockRecord
-	writing bool
-	at      time.Duration
+type pendingGroup struct {
+	id            string
+	record        storage.MachineGroupRecord
+	writeInFlight bool
+	retryAt       time.Duration
 }
 
 // change is what a machine's entry is to become.
-type change struct {
-	m      *bookkeeping.Machine
-	phase  string
-	why    string
-	stamp  uint64 // of a drain that goes on; one that begins gets its own when it is written
-	yield  bool   // of a drain: its tasks are stopped
-	addr   string
-	forget bool // the entry goes
-	empty  bool // rests on the holder's word that nothing is on the machine
+type machineChange struct {
+	machine         *storage.Machine
+	phase           string
+	reason          string
+	drainStamp      uint64 // of a drain that goes on; one that begins gets its own when it is written
+	evict           bool   // of a drain: its tasks are stopped
+	address         string
+	forget          bool // the entry goes
+	holderSaysEmpty bool // rests on the holder's word that nothing is on the machine
 }
 
 // moveKey names machines of a block that go to the same home.
-type moveKey struct {
-	block string
-	to    int
+type groupMove struct {
+	group   string
+	toShard int
 }
 
 // blockSize is how many machines with such names a new block takes.
-func (f *fleet) blockSize(name string) int { return blockLimit(f.l.n.limits.ValueBytes, name) }
+func (f *provisioner) groupSize(name string) int {
+	return machinesPerGroup(f.leadership.controller.storeLimits.ValueBytes, name)
+}
 
 // block makes a block of machines to be recorded.
-func (f *fleet) block(rec bookkeeping.BlockRecord) {
-	rec.Token = f.l.token()
-	f.fresh = append(f.fresh, &newBlock{id: blockID(rec.Token), rec: rec})
+func (f *provisioner) addPendingGroup(rec storage.MachineGroupRecord) {
+	rec.FencingToken = f.leadership.nextFencingToken()
+	f.pendingGroups = append(f.pendingGroups, &pendingGroup{id: groupID(rec.FencingToken), record: rec})
 	for _, e := range rec.Machines {
-		f.coming[e.Name] = true
+		f.pendingMachines[e.Name] = true
 	}
 }
 
 // records writes the blocks of machines that were rented or found.
-func (f *fleet) records() {
-	n := f.l.n
+func (f *provisioner) writePendingGroups() {
+	n := f.leadership.controller
 	now := n.now()
 	// Machines that nobody asked for go to the home of the work that ends.
-	var last orphan
-	rec := bookkeeping.BlockRecord{}
-	for _, name := range slices.Sorted(maps.Keys(f.orphans)) {
-		s := f.orphans[name]
-		if _, m := n.cache.Machines.Find(name); m != nil && m.Block != "" || f.coming[name] {
+	var last unrecordedMachine
+	rec := storage.MachineGroupRecord{}
+	for _, name := range slices.Sorted(maps.Keys(f.unrecordedMachines)) {
+		s := f.unrecordedMachines[name]
+		if _, m := n.view.Machines.Find(name); m != nil && m.Group != "" || f.pendingMachines[name] {
 			continue
 		}
-		if len(rec.Machines) > 0 && (s.typ != last.typ || s.zone != last.zone || s.spot != last.spot || len(rec.Machines) >= f.blockSize(name)) {
-			f.block(rec)
+		if len(rec.Machines) > 0 && (s.machineType != last.machineType || s.zone != last.zone || s.spot != last.spot || len(rec.Machines) >= f.groupSize(name)) {
+			f.addPendingGroup(rec)
 			rec.Machines = nil
 		}
-		rec.Type, rec.Zone, rec.Spot, rec.AtMS = s.typ, s.zone, s.spot, s.atMS
-		rec.Machines = append(rec.Machines, bookkeeping.BlockMachine{Name: name, Addr: s.addr})
+		rec.Type, rec.Zone, rec.Spot, rec.RentedAtMS = s.machineType, s.zone, s.spot, s.rentedAtMS
+		rec.Machines = append(rec.Machines, storage.MachineEntry{Name: name, Address: s.address})
 		last = s
 	}
 	if len(rec.Machines) > 0 {
-		f.block(rec)
+		f.addPendingGroup(rec)
 	}
-	clear(f.orphans)
-	f.fresh = slices.DeleteFunc(f.fresh, func(b *newBlock) bool {
-		if n.cache.Blocks[b.id] == nil {
+	clear(f.unrecordedMachines)
+	f.pendingGroups = slices.DeleteFunc(f.pendingGroups, func(b *pendingGroup) bool {
+		if n.view.MachineGroups[b.id] == nil {
 			return false
 		}
-		for _, e := range b.rec.Machines {
-			delete(f.coming, e.Name)
+		for _, e := range b.record.Machines {
+			delete(f.pendingMachines, e.Name)
 		}
 		return true
 	})
-	for _, b := range f.fresh {
-		if b.writing || now < b.at || !n.budget.take(now, 1) {
+	for _, b := range f.pendingGroups {
+		if b.writeInFlight || now < b.retryAt || !n.writeBudget.take(now, 1) {
 			continue
 		}
-		b.writing = true
-		key := bookkeeping.BlockKey(b.id)
-		n.txn(protocol.Txn{
-			If:   []protocol.Cond{f.l.cond(), {Key: key}},
-			Then: []protocol.Op{{Put: key, Value: bookkeeping.Encode(b.rec)}},
+		b.writeInFlight = true
+		key := storage.MachineGroupKey(b.id)
+		n.commit(protocol.Transaction{
+			Conditions: []protocol.Condition{f.leadership.leaderCondition(), {Key: key}},
+			Operations: []protocol.Operation{{Put: key, Value: storage.Encode(b.record)}},
 		}, func(_ uint64, err error) {
-			b.writing = false
-			b.at = n.now() + retryPause
+			b.writeInFlight = false
+			b.retryAt = n.now() + retryPause
 			if err == nil {
-				b.at = n.now() + time.Second // it comes with the changes
+				b.retryAt = n.now() + time.Second // it comes with the changes
 			}
 		})
 	}
 }
 
 // phase moves a machine on. A return is recorded first and never undone.
-func (f *fleet) phase(m *bookkeeping.Machine, phase, why string) {
-	f.change(change{m: m, phase: phase, why: why})
+func (f *provisioner) setPhase(m *storage.Machine, phase, why string) {
+	f.addChange(machineChange{machine: m, phase: phase, reason: why})
 }
 
-func (f *fleet) change(c change) {
-	if c.m.Block != "" && !slices.ContainsFunc(f.changes[c.m.Block], func(o change) bool { return o.m == c.m }) {
-		f.changes[c.m.Block] = append(f.changes[c.m.Block], c)
+func (f *provisioner) addChange(c machineChange) {
+	if c.machine.Group != "" && !slices.ContainsFunc(f.changes[c.machine.Group], func(o machineChange) bool { return o.machine == c.machine }) {
+		f.changes[c.machine.Group] = append(f.changes[c.machine.Group], c)
 	}
 }
 
 // pending reports whether a machine's entry is being changed already.
-func (f *fleet) pending(m *bookkeeping.Machine) bool {
-	return f.writing[m.Block] || f.l.n.revision < f.waitTo[m.Block] ||
-		slices.ContainsFunc(f.changes[m.Block], func(o change) bool { return o.m == m })
+func (f *provisioner) changePending(m *storage.Machine) bool {
+	return f.groupWritesInFlight[m.Group] || f.leadership.controller.revision < f.groupWrittenRevision[m.Group] ||
+		slices.ContainsFunc(f.changes[m.Group], func(o machineChange) bool { return o.machine == m })
 }
 
 // flush writes the changes worked out in this tick, several blocks to a
 // transaction. What can't be written now is worked out again in the next tick.
-func (f *fleet) flush(now time.Duration) {
-	n := f.l.n
+func (f *provisioner) flushChanges(now time.Duration) {
+	n := f.leadership.controller
 	var ids []string
 	for _, id := range slices.Sorted(maps.Keys(f.changes)) {
-		if !f.writing[id] && n.revision >= f.waitTo[id] && n.cache.Blocks[id] != nil {
+		if !f.groupWritesInFlight[id] && n.revision >= f.groupWrittenRevision[id] && n.view.MachineGroups[id] != nil {
 			ids = append(ids, id)
 		}
 	}
@@ -133,22 +135,22 @@
 	urgency := map[string]int{}
 	for _, id := range ids {
 		for _, c := range f.changes[id] {
-			urgency[id] = max(urgency[id], f.urgency(c))
+			urgency[id] = max(urgency[id], f.changeUrgency(c))
 		}
 	}
 	slices.SortStableFunc(ids, func(a, b string) int { return cmp.Compare(urgency[b], urgency[a]) })
-	batch := f.newBlockBatch()
+	batch := f.newGroupBatch()
 	for _, id := range ids {
-		w, ok := f.writeBlock(id, f.changed(n.cache.Blocks[id], f.changes[id]))
+		w, ok := f.writeGroup(id, f.applyChanges(n.view.MachineGroups[id], f.changes[id]))
 		if !ok {
 			continue
 		}
-		if !n.budget.take(now, len(w.ops)) {
+		if !n.writeBudget.take(now, len(w.operations)) {
 			break
 		}
-		if !batch.takes(w) {
+		if !batch.hasRoomFor(w) {
 			batch.send()
-			batch = f.newBlockBatch()
+			batch = f.newGroupBatch()
 		}
 		batch.add(id, w)
 	}
@@ -157,15 +159,15 @@
 
 // urgency is how much depends on a change being written soon: replicas that can't
 // start elsewhere or wait for the machine, then other tasks, then only money.
-func (f *fleet) urgency(c change) int {
-	_, claimed := f.claims[c.m.Name]
-	lost := c.phase == bookkeeping.PhaseReturning || c.phase == bookkeeping.PhaseGone
+func (f *provisioner) changeUrgency(c machineChange) int {
+	_, claimed := f.claims[c.machine.Name]
+	lost := c.phase == storage.PhaseDecommissioning || c.phase == storage.PhaseDeleted
 	switch {
-	case lost && f.l.serves(c.m), c.yield:
+	case lost && f.leadership.hostsReplicas(c.machine), c.evict:
 		return 3
 	case claimed:
 		return 2
-	case lost && len(c.m.Intents) > 0, c.phase == bookkeeping.PhaseActive:
+	case lost && len(c.machine.Intents) > 0, c.phase == storage.PhaseActive:
 		return 1
 	}
 	return 0
@@ -176,28 +178,28 @@
 // key does not exist and that its leader still leads: a block that was removed
 // under the same term could come back with machines that are elsewhere by now.
 // So an empty one is kept until a later term.
-func (l *leadership) blockOp(id string, rec bookkeeping.BlockRecord) protocol.Op {
-	if len(rec.Machines) == 0 && rec.Token>>termShift < l.term {
-		return protocol.Op{Delete: bookkeeping.BlockKey(id)}
+func (l *leadership) groupOperation(id string, rec storage.MachineGroupRecord) protocol.Operation {
+	if len(rec.Machines) == 0 && rec.FencingToken>>termShift < l.term {
+		return protocol.Operation{Delete: storage.MachineGroupKey(id)}
 	}
-	return protocol.Op{Put: bookkeeping.BlockKey(id), Value: bookkeeping.Encode(rec)}
+	return protocol.Operation{Put: storage.MachineGroupKey(id), Value: storage.Encode(rec)}
 }
 
-func (f *fleet) grantCond(shard int) protocol.Cond {
-	return protocol.Cond{Key: bookkeeping.GrantKey(shard), Version: f.l.n.cache.Grants[shard].Version}
+func (f *provisioner) grantCond(shard int) protocol.Condition {
+	return protocol.Condition{Key: storage.GrantKey(shard), Version: f.leadership.controller.view.Grants[shard].Version}
 }
 
 // txn carries out a transaction that writes blocks.
-func (f *fleet) txn(blocks []string, t protocol.Txn) {
-	n := f.l.n
+func (f *provisioner) commitGroups(blocks []string, t protocol.Transaction) {
+	n := f.leadership.controller
 	for _, id := range blocks {
-		f.writing[id] = true
+		f.groupWritesInFlight[id] = true
 	}
-	n.txn(t, func(revision uint64, err error) {
+	n.commit(t, func(revision uint64, err error) {
 		for _, id := range blocks {
-			delete(f.writing, id)
+			delete(f.groupWritesInFlight, id)
 			if err == nil {
-				f.waitTo[id] = revision
+				f.groupWrittenRevision[id] = revision
 			}
 		}
 		if err != nil {
@@ -207,25 +209,25 @@
 }
 
 // logChanges says what becomes of the machines of a block.
-func (f *fleet) logChanges(b *bookkeeping.Block, changes []change) {
+func (f *provisioner) logChanges(b *storage.MachineGroup, changes []machineChange) {
 	for _, e := range b.Machines {
-		i := slices.IndexFunc(changes, func(c change) bool { return c.m.Name == e.Name })
+		i := slices.IndexFunc(changes, func(c machineChange) bool { return c.machine.Name == e.Name })
 		if i < 0 {
 			continue
 		}
 		if c := &changes[i]; c.phase != "" {
-			f.l.n.Log.Info("machine", "name", e.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "phase", c.phase, "why", c.why, "term", f.l.term)
+			f.leadership.controller.Log.Info("machine", "name", e.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "phase", c.phase, "why", c.reason, "term", f.leadership.term)
 		}
 	}
 }
 
 // changed is a block with changes carried out.
-func (f *fleet) changed(b *bookkeeping.Block, changes []change) bookkeeping.BlockRecord {
-	n := f.l.n
-	rec := b.BlockRecord
+func (f *provisioner) applyChanges(b *storage.MachineGroup, changes []machineChange) storage.MachineGroupRecord {
+	n := f.leadership.controller
+	rec := b.MachineGroupRecord
 	rec.Machines = nil
 	for _, e := range b.Machines {
-		i := slices.IndexFunc(changes, func(c change) bool { return c.m.Name == e.Name })
+		i := slices.IndexFunc(changes, func(c machineChange) bool { return c.machine.Name == e.Name })
 		if i < 0 {
 			rec.Machines = append(rec.Machines, e)
 			continue
@@ -234,20 +236,20 @@
 		if c.forget {
 			continue
 		}
-		if c.addr != "" {
-			e.Addr = c.addr
+		if c.address != "" {
+			e.Address = c.address
 		}
 		if c.phase != "" {
-			e.Phase, e.Drain, e.Yield = c.phase, c.stamp, c.yield
-			if c.phase == bookkeeping.PhaseDrain && c.stamp == 0 {
-				e.Drain = f.l.token()
+			e.Phase, e.DrainStamp, e.Evict = c.phase, c.drainStamp, c.evict
+			if c.phase == storage.PhaseDraining && c.drainStamp == 0 {
+				e.DrainStamp = f.leadership.nextFencingToken()
 			}
-			if c.phase == bookkeeping.PhaseActive {
+			if c.phase == storage.PhaseActive {
 				e.Phase = ""
 			}
-			if c.phase == bookkeeping.PhaseGone {
-				e.GoneMS = n.Clock.Wall().UnixMilli()
-				e.Addr = ""
+			if c.phase == storage.PhaseDeleted {
+				e.DeletedAtMS = n.Clock.Wall().UnixMilli()
+				e.Address = ""
 			}
 		}
 		rec.Machines = append(rec.Machines, e)
@@ -258,40 +260,40 @@
 // handOver gives empty drained machines to other homes: they leave their block for
 // a new one under a token above any that they have seen. All of a block that go
 // to one home go in one transaction, with what else is to change in the block.
-func (f *fleet) handOver() {
-	n := f.l.n
-	for _, k := range slices.SortedFunc(maps.Keys(f.moves), func(a, b moveKey) int {
-		return cmp.Or(cmp.Compare(a.block, b.block), cmp.Compare(a.to, b.to))
+func (f *provisioner) moveMachines() {
+	n := f.leadership.controller
+	for _, k := range slices.SortedFunc(maps.Keys(f.moves), func(a, b groupMove) int {
+		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.toShard, b.toShard))
 	}) {
-		b := n.cache.Blocks[k.block]
-		if b == nil || f.writing[k.block] || n.revision < f.waitTo[k.block] || !n.budget.take(n.now(), 2) {
+		b := n.view.MachineGroups[k.group]
+		if b == nil || f.groupWritesInFlight[k.group] || n.revision < f.groupWrittenRevision[k.group] || !n.writeBudget.take(n.now(), 2) {
 			continue
 		}
-		to := bookkeeping.BlockRecord{Type: b.Type, Zone: b.Zone, Spot: b.Spot, Shard: k.to, Token: f.l.token(), AtMS: b.AtMS}
-		changes := f.changes[k.block]
+		to := storage.MachineGroupRecord{Type: b.Type, Zone: b.Zone, Spot: b.Spot, Shard: k.toShard, FencingToken: f.leadership.nextFencingToken(), RentedAtMS: b.RentedAtMS}
+		changes := f.changes[k.group]
 		moves := f.moves[k]
-		for _, m := range moves[:min(len(moves), f.blockSize(moves[0].Name))] { // the others with the next tick
-			to.Machines = append(to.Machines, bookkeeping.BlockMachine{Name: m.Name, Addr: m.Addr})
-			changes = append(changes, change{m: m, forget: true})
+		for _, m := range moves[:min(len(moves), f.groupSize(moves[0].Name))] { // the others with the next tick
+			to.Machines = append(to.Machines, storage.MachineEntry{Name: m.Name, Address: m.Address})
+			changes = append(changes, machineChange{machine: m, forget: true})
 		}
-		from, ok := f.writeBlock(k.block, f.changed(b, changes))
-		delete(f.changes, k.block)
+		from, ok := f.writeGroup(k.group, f.applyChanges(b, changes))
+		delete(f.changes, k.group)
 		if !ok {
 			continue
 		}
-		if len(from.ops) >= n.limits.Changes { // so large that it must be split before anything leaves it
-			if from, ok = f.writeBlock(k.block, b.BlockRecord); ok {
-				f.txn([]string{k.block}, protocol.Txn{If: append(from.conds, f.l.cond()), Then: from.ops})
+		if len(from.operations) >= n.storeLimits.Operations { // so large that it must be split before anything leaves it
+			if from, ok = f.writeGroup(k.group, b.MachineGroupRecord); ok {
+				f.commitGroups([]string{k.group}, protocol.Transaction{Conditions: append(from.conditions, f.leadership.leaderCondition()), Operations: from.operations})
 			}
 			continue
 		}
 		f.logChanges(b, changes)
-		key := bookkeeping.BlockKey(blockID(to.Token))
-		t := protocol.Txn{
-			If:   append([]protocol.Cond{f.l.cond(), {Key: key}, f.grantCond(b.Shard)}, from.conds...),
-			Then: append([]protocol.Op{{Put: key, Value: bookkeeping.Encode(to)}}, from.ops...),
+		key := storage.MachineGroupKey(groupID(to.FencingToken))
+		t := protocol.Transaction{
+			Conditions: append([]protocol.Condition{f.leadership.leaderCondition(), {Key: key}, f.grantCond(b.Shard)}, from.conditions...),
+			Operations: append([]protocol.Operation{{Put: key, Value: storage.Encode(to)}}, from.operations...),
 		}
-		n.Log.Info("machines move", "count", len(to.Machines), "from", b.Shard, "to", k.to, "term", f.l.term)
-		f.txn([]string{k.block}, t)
+		n.Log.Info("machines move", "count", len(to.Machines), "from", b.Shard, "to", k.toShard, "term", f.leadership.term)
+		f.commitGroups([]string{k.group}, t)
 	}
 }
--- a/internal/coordination/cancellations.go
+++ b/internal/coordination/cancellations.go
@@ -16,54 +16,54 @@
 // mostNotices bounds what is kept for a controller that can't be reached: when it
 // is back it has the records, or the bound has done its work. It is several for each
 // second of the longest cancel_s that a cluster was run with.
-const mostNotices = 4096
+const maxNotices = 4096
 
 // cancellationNotices are cancellations that a controller has not been told of yet.
 type cancellationNotices struct {
-	ids []string
-	at  time.Duration // not told again before
+	ids     []string
+	retryAt time.Duration // not told again before
 }
 
 // cancellationConfirmed sees to it that the others hear of a cancellation.
-func (n *Node) cancellationConfirmed(id string) {
+func (n *Controller) cancellationConfirmed(id string) {
 	n.applyCancellations([]string{id})
-	for _, s := range n.Settings.Siblings {
-		w := n.notices[s.Node]
+	for _, s := range n.Settings.Peers {
+		w := n.notices[s.Controller]
 		if w == nil {
 			w = &cancellationNotices{}
-			n.notices[s.Node] = w
+			n.notices[s.Controller] = w
 		}
 		if !slices.Contains(w.ids, id) {
 			w.ids = append(w.ids, id)
 		}
-		w.ids = w.ids[max(0, len(w.ids)-mostNotices):]
+		w.ids = w.ids[max(0, len(w.ids)-maxNotices):]
 	}
 }
 
 // sendCancellations tells the other controllers of the cancellations confirmed here.
-func (n *Node) sendCancellations() {
+func (n *Controller) sendCancellations() {
 	now := n.now()
-	for _, s := range n.Settings.Siblings {
-		w := n.notices[s.Node]
-		if w == nil || len(w.ids) == 0 || now < w.at {
+	for _, s := range n.Settings.Peers {
+		w := n.notices[s.Controller]
+		if w == nil || len(w.ids) == 0 || now < w.retryAt {
 			continue
 		}
 		sent := w.ids
 		w.ids = nil
-		n.Peers.Ask(s.Node, protocol.PeerRequest{Cancelled: sent}, func(_ protocol.PeerAnswer, err error) {
-			if err != nil && n.notices[s.Node] == w {
+		n.Peers.Ask(s.Controller, protocol.PeerRequest{Cancelled: sent}, func(_ protocol.PeerAnswer, err error) {
+			if err != nil && n.notices[s.Controller] == w {
 				w.ids = append(sent, w.ids...)
-				w.ids = w.ids[max(0, len(w.ids)-mostNotices):]
-				w.at = n.now() + time.Second
+				w.ids = w.ids[max(0, len(w.ids)-maxNotices):]
+				w.retryAt = n.now() + time.Second
 			}
 		})
 	}
 }
 
 // applyCancellations stops what is here of jobs whose cancellation is durable.
-func (n *Node) applyCancellations(ids []string) {
+func (n *Controller) applyCancellations(ids []string) {
 	for _, id := range ids {
-		n.noteCancelledWith(n.cache.MarkCancelled(id))
+		n.noteCancelledDependents(n.view.MarkCancelled(id))
 	}
-	n.hold.stopUnwanted()
+	n.reconciler.stopInactive()
 }
--- a/internal/coordination/cancellations_test.go
+++ b/internal/coordination/cancellations_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // halted reports whether commands stop run-1/0 at once.
-func halted(cmds []protocol.Command) bool {
+func stopsAtOnce(cmds []protocol.Command) bool {
 	return slices.ContainsFunc(cmds, func(c protocol.Command) bool {
-		return c.Verb == protocol.VerbStop && c.Task == "run-1/0" && c.GraceS != nil && *c.GraceS == 0
+		return c.Verb == protocol.VerbStop && c.Task == "run-1/0" && c.GraceSeconds != nil && *c.GraceSeconds == 0
 	})
 }
 
@@ -22,18 +22,18 @@
 // fenced yet. What it knows to be cancelled must stop by that answer: the next may
 // never come, and the lease would carry the task past the time for cancelling.
 func TestRenewalStopsWithdrawn(t *testing.T) {
-	b := newBench(t, inherited)
-	b.rev++
-	b.n.cache.Remove(bookkeeping.JobKey("run-1"), b.rev)
-	b.n.changed(true)
+	b := newTestController(t, inherited)
+	b.revision++
+	b.controller.view.Remove(storage.JobKey("run-1"), b.revision)
+	b.controller.recordsChanged(true)
 	a := b.report(1, grantToken-1, running)
-	if a.Status != 200 || b.holding().fenced {
-		t.Fatalf("status %d, fenced %t: this is not the answer in question", a.Status, b.holding().fenced)
+	if a.Status != 200 || b.agentUnderTest().fenceConfirmed {
+		t.Fatalf("status %d, fenced %t: this is not the answer in question", a.Status, b.agentUnderTest().fenceConfirmed)
 	}
-	if !halted(a.Body.(protocol.ReportAnswer).Commands) {
+	if !stopsAtOnce(a.Body.(protocol.AgentHeartbeatAnswer).Commands) {
 		t.Errorf("the lease is renewed without a stop: %v", a.Body)
 	}
-	if b.on() != 1 {
+	if b.liveAttempts() != 1 {
 		t.Error("the task counts as gone before that is proven")
 	}
 }
@@ -41,22 +41,22 @@
 // A controller whose knowledge is too old to renew leases still stops what it is
 // told was cancelled, starts nothing of it, and answers no report.
 func TestToldOfWithdrawal(t *testing.T) {
-	b := newBench(t, inherited)
+	b := newTestController(t, inherited)
 	b.report(1, grantToken, running)
-	b.now += b.n.authority + time.Second
-	b.holding().inFlight = false // its earlier commands have been answered
-	b.sent = nil
-	b.n.OnPeer(protocol.PeerRequest{Cancelled: []string{"run-1", "run-77"}}, func(protocol.PeerAnswer) {})
-	if len(b.sent) != 1 || !halted(b.sent[0].Commands) {
-		t.Fatalf("commands: %v", b.sent)
+	b.now += b.controller.maxStaleness + time.Second
+	b.agentUnderTest().commandsInFlight = false // its earlier commands have been answered
+	b.commandRequests = nil
+	b.controller.OnPeer(protocol.PeerRequest{Cancelled: []string{"run-1", "run-77"}}, func(protocol.PeerAnswer) {})
+	if len(b.commandRequests) != 1 || !stopsAtOnce(b.commandRequests[0].Commands) {
+		t.Fatalf("commands: %v", b.commandRequests)
 	}
 	if a := b.report(2, grantToken, running); a.Status == 200 {
 		t.Error("it renewed a lease that it may not renew")
 	}
-	b.fresh()
+	b.refreshKnowledge()
 	b.report(3, grantToken)
-	b.n.hold.pass()
-	if n := b.on(); n != 0 {
+	b.controller.reconciler.pass()
+	if n := b.liveAttempts(); n != 0 {
 		t.Errorf("%d tasks of a withdrawn job are planned", n)
 	}
 }
@@ -64,18 +64,18 @@
 // Who confirms a cancellation tells every other controller, again where no answer
 // comes, and keeps no more for one that is away than a bounded number.
 func TestConfirmedWithdrawalIsSpread(t *testing.T) {
-	b := newBench(t)
-	b.n.Settings.Siblings = append(b.n.Settings.Siblings, settingsSibling("b"), settingsSibling("c"))
+	b := newTestController(t)
+	b.controller.Settings.Peers = append(b.controller.Settings.Peers, settingsSibling("b"), settingsSibling("c"))
 	asked := map[string][]string{}
-	fail := error(protocol.ErrUnknown)
-	b.n.Peers = peersFunc(func(node string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
+	fail := error(protocol.ErrOutcomeUnknown)
+	b.controller.Peers = peersFunc(func(node string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 		asked[node] = r.Cancelled
 		done(protocol.PeerAnswer{}, fail)
 	})
-	b.n.cancellationConfirmed("run-1")
+	b.controller.cancellationConfirmed("run-1")
 	for range 2 {
 		clear(asked)
-		b.n.sendCancellations()
+		b.controller.sendCancellations()
 		if len(asked["b"]) != 1 || len(asked["c"]) != 1 {
 			t.Fatalf("told: %v", asked)
 		}
@@ -83,14 +83,14 @@
 		fail = nil
 	}
 	clear(asked)
-	b.n.sendCancellations()
+	b.controller.sendCancellations()
 	if len(asked) != 0 {
 		t.Errorf("told again: %v", asked)
 	}
-	for i := range 2 * mostNotices {
-		b.n.cancellationConfirmed(protocol.TaskName("run", i))
+	for i := range 2 * maxNotices {
+		b.controller.cancellationConfirmed(protocol.TaskName("run", i))
 	}
-	if n := len(b.n.notices["b"].ids); n != mostNotices {
+	if n := len(b.controller.notices["b"].ids); n != maxNotices {
 		t.Errorf("%d are kept", n)
 	}
 }
@@ -98,35 +98,35 @@
 // What a controller said of the shares before it was granted a home says nothing
 // of what is on the machines there: nobody's share may be raised on that word.
 func TestSharesNeedTheHoldersWord(t *testing.T) {
-	b := newBench(t, inherited, bookkeeping.IntentEntry(1, "m-1", 10))
-	tokens := b.n.hold.keepsShares()
+	b := newTestController(t, inherited, storage.IntentEntry(1, "m-1", 10))
+	tokens := b.controller.reconciler.grantsWithinQuota()
 	if !slices.Equal(tokens, []uint64{grantToken}) {
 		t.Fatalf("8 of 8 CPUs: %v", tokens)
 	}
-	b.n.cache.Teams[0].CPUsMax = 4
-	if tokens = b.n.hold.keepsShares(); len(tokens) != 0 {
+	b.controller.view.Teams[0].MaxCPUs = 4
+	if tokens = b.controller.reconciler.grantsWithinQuota(); len(tokens) != 0 {
 		t.Errorf("8 of 4 CPUs: %v", tokens)
 	}
-	b.n.cache.Teams[0].CPUsMax = 8
-	l := &leadership{n: b.n, term: 5, peers: map[string]*peerInfo{}}
-	b.n.cache.Homes = 2
-	b.n.cache.Grants[0].Node = "a"
-	b.n.cache.Grants = append(b.n.cache.Grants, bookkeeping.Grant{GrantRecord: bookkeeping.GrantRecord{Node: "b", Incarnation: 3, Token: grantToken + 1<<24}, Version: 3})
-	b.n.cache.Teams[0].Shares = []int{wholeShare / 4, wholeShare / 4}
-	b.apply(bookkeeping.JobKey("run-5"), bookkeeping.JobRecord{Spec: protocol.Spec{
+	b.controller.view.Teams[0].MaxCPUs = 8
+	l := &leadership{controller: b.controller, term: 5, peers: map[string]*peerState{}}
+	b.controller.view.JobShards = 2
+	b.controller.view.Grants[0].Controller = "a"
+	b.controller.view.Grants = append(b.controller.view.Grants, storage.Grant{GrantRecord: storage.GrantRecord{Controller: "b", Incarnation: 3, FencingToken: grantToken + 1<<24}, Version: 3})
+	b.controller.view.Teams[0].QuotaSplit = []int{wholeQuota / 4, wholeQuota / 4}
+	b.apply(storage.JobKey("run-5"), storage.JobRecord{Spec: protocol.JobSpec{
 		ID: "run-5", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2, CPUs: 4, MemoryGB: 1,
 	}})
-	l.peers["a"] = &peerInfo{incarnation: b.n.incarnation, keeps: []uint64{grantToken}}
-	l.peers["b"] = &peerInfo{incarnation: 3} // it pinged before it was granted the home
-	b.n.lead = l
-	b.txns = nil
-	l.sharesTick()
-	if len(b.txns) != 0 {
+	l.peers["a"] = &peerState{incarnation: b.controller.incarnation, grantsWithinQuota: []uint64{grantToken}}
+	l.peers["b"] = &peerState{incarnation: 3} // it pinged before it was granted the home
+	b.controller.leadership = l
+	b.transactions = nil
+	l.updateQuotaSplit()
+	if len(b.transactions) != 0 {
 		t.Fatal("a share was raised on a word given before the grant")
 	}
-	l.peers["b"].keeps = []uint64{grantToken + 1<<24}
-	l.sharesTick()
-	if len(b.txns) != 1 {
+	l.peers["b"].grantsWithinQuota = []uint64{grantToken + 1<<24}
+	l.updateQuotaSplit()
+	if len(b.transactions) != 1 {
 		t.Error("no share is ever raised")
 	}
 }
@@ -134,19 +134,19 @@
 // A machine whose reports reach nobody is not given tasks, although commands
 // reach it: its lease runs out under them.
 func TestMuteMachineIsNotUsed(t *testing.T) {
-	b := newBench(t)
+	b := newTestController(t)
 	b.report(1, grantToken)
-	x := b.holding()
-	if !b.n.hold.usable(x, b.now) {
+	x := b.agentUnderTest()
+	if !b.controller.reconciler.schedulable(x, b.now) {
 		t.Fatal("it can't be used at all")
 	}
 	b.now += 8 * time.Second
-	b.fresh()
-	b.n.hold.report(x, &protocol.Report{Machine: "m-1", Address: "w", Session: 1, Seq: 9, Token: grantToken}, false)
-	if b.n.hold.usable(x, b.now) {
+	b.refreshKnowledge()
+	b.controller.reconciler.onHeartbeat(x, &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", Epoch: 1, Sequence: 9, FencingToken: grantToken}, false)
+	if b.controller.reconciler.schedulable(x, b.now) {
 		t.Error("it is used on the strength of an answer to a command")
 	}
-	if s := b.n.hold.notes()[0].Silent; s != 8*time.Second {
+	if s := b.controller.reconciler.machineStatuses()[0].Silent; s != 8*time.Second {
 		t.Errorf("silent for %s", s)
 	}
 }
@@ -154,11 +154,11 @@
 // The time of day may step back between the end of a process and its start: the
 // new incarnation is still above the former one.
 func TestIncarnationAboveFormer(t *testing.T) {
-	b := newBench(t)
-	former := b.n.incarnation + 5
-	b.apply(bookkeeping.GrantKey(0), bookkeeping.GrantRecord{Node: "a", Incarnation: former, Token: grantToken})
-	b.n.raiseIncarnation()
-	if b.n.incarnation <= former || b.n.holds(0) {
-		t.Errorf("incarnation %d after %d", b.n.incarnation, former)
+	b := newTestController(t)
+	former := b.controller.incarnation + 5
+	b.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: former, FencingToken: grantToken})
+	b.controller.raiseIncarnation()
+	if b.controller.incarnation <= former || b.controller.holdsShard(0) {
+		t.Errorf("incarnation %d after %d", b.controller.incarnation, former)
 	}
 }
--- a/internal/coordination/dependents.go
+++ b/internal/coordination/dependents.go
@@ -3,79 +3,79 @@
 import (
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // dependentWrite is the state of writing the final record of a job that is cancelled
 // with another.
-type dependentWrite struct {
-	writing bool
-	wroteAt uint64 // revision that must be in the cache before it is written again
-	retryAt time.Duration
+type cancelledDependentWrite struct {
+	inFlight        bool
+	writtenRevision uint64 // revision that must be in the cache before it is written again
+	retryAt         time.Duration
 }
 
 // writeDependentCancelled writes the final records of jobs that are cancelled with one
 // they need, a few to a transaction. Answers follow from the needs in the meantime,
 // so nobody waits for these writes, and they never keep new tasks from theirs.
-func (h *holder) writeDependentCancelled() {
-	n := h.n
+func (h *reconciler) writeDependentCancelled() {
+	n := h.controller
 	now := n.now()
-	var batch []*bookkeeping.Job
+	var batch []*storage.Job
 	send := func() {
 		if len(batch) > 0 {
 			h.sendDependentCancelled(batch)
 		}
 		batch = nil
 	}
-	for _, j := range n.cache.DependentCancelled() {
-		w := h.dependentWrites[j]
-		if !h.n.holds(j.Home) || !n.entitled(j.Home) || w != nil && (w.writing || n.revision < w.wroteAt || now < w.retryAt) {
+	for _, j := range n.view.CancelledDependents() {
+		w := h.cancelledDependentWrites[j]
+		if !h.controller.holdsShard(j.Shard) || !n.mayActFor(j.Shard) || w != nil && (w.inFlight || n.revision < w.writtenRevision || now < w.retryAt) {
 			continue
 		}
-		if !n.budget.take(now, 2) {
+		if !n.writeBudget.take(now, 2) {
 			break
 		}
 		batch = append(batch, j)
-		if len(batch) >= n.limits.Changes/2 {
+		if len(batch) >= n.storeLimits.Operations/2 {
 			send()
 		}
 	}
 	send()
-	for j := range h.dependentWrites {
-		if j.Over() {
-			delete(h.dependentWrites, j)
+	for j := range h.cancelledDependentWrites {
+		if j.Ended() {
+			delete(h.cancelledDependentWrites, j)
 		}
 	}
 }
 
-func (h *holder) sendDependentCancelled(batch []*bookkeeping.Job) {
-	n := h.n
-	f := bookkeeping.FinalRecord{Stage: protocol.StageWithdrawn, AtMS: n.Clock.Wall().UnixMilli()}
-	var t protocol.Txn
+func (h *reconciler) sendDependentCancelled(batch []*storage.Job) {
+	n := h.controller
+	f := storage.FinalRecord{Stage: protocol.StageCancelled, EndedAtMS: n.Clock.Wall().UnixMilli()}
+	var t protocol.Transaction
 	for _, j := range batch {
-		t.If = append(t.If, protocol.Cond{Key: bookkeeping.JobKey(j.ID), Version: j.Version})
-		t.Then = append(t.Then, endOps(j.ID, f)...)
-		w := h.dependentWrites[j]
+		t.Conditions = append(t.Conditions, protocol.Condition{Key: storage.JobKey(j.ID), Version: j.Version})
+		t.Operations = append(t.Operations, endJobOperations(j.ID, f)...)
+		w := h.cancelledDependentWrites[j]
 		if w == nil {
-			w = &dependentWrite{}
-			h.dependentWrites[j] = w
+			w = &cancelledDependentWrite{}
+			h.cancelledDependentWrites[j] = w
 		}
-		w.writing = true
+		w.inFlight = true
 	}
-	n.txn(t, func(revision uint64, err error) {
-		if n.hold != h {
+	n.commit(t, func(revision uint64, err error) {
+		if n.reconciler != h {
 			return
 		}
 		for _, j := range batch {
-			w := h.dependentWrites[j]
+			w := h.cancelledDependentWrites[j]
 			if w == nil {
 				continue
 			}
-			w.writing = false
+			w.inFlight = false
 			if err == nil {
-				w.wroteAt = revision
-				n.remember(j.ID, f)
+				w.writtenRevision = revision
+				n.rememberFinal(j.ID, f)
 			} else {
 				w.retryAt = n.now() + n.jitter(retryPause)
 			}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -4,29 +4,29 @@
 	"testing"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // fleetMachines is the size of fleet that every fixed limit must allow.
-const fleetMachines = 4000
+const largeFleet = 4000
 
 // TestTakeoverOfFourThousand: a controller that takes over every machine says one thing
 // to each and writes nothing: the records are those of the holder before.
 func TestTakeoverOfFourThousand(t *testing.T) {
-	b := unheardBench(t, fleetMachines)
+	b := newUnreportedFleetController(t, largeFleet)
 	for range 3 {
-		b.fresh()
-		b.n.hold.tick()
-		b.n.hold.pass()
+		b.refreshKnowledge()
+		b.controller.reconciler.tick()
+		b.controller.reconciler.pass()
 	}
-	if held := len(b.n.hold.machines); held < fleetMachines {
+	if held := len(b.controller.reconciler.agents); held < largeFleet {
 		t.Fatalf("%d machines are held", held)
 	}
-	if n := len(b.sent); n < fleetMachines || n > fleetMachines+1 {
+	if n := len(b.commandRequests); n < largeFleet || n > largeFleet+1 {
 		t.Errorf("%d commands before any machine has answered", n)
 	}
-	if n := len(b.txns); n > 0 {
+	if n := len(b.transactions); n > 0 {
 		t.Errorf("%d transactions", n)
 	}
 }
@@ -34,36 +34,36 @@
 // TestReportsOfFourThousand: every machine reports to a new holder. A report without
 // news costs no more than on a small fleet, and what runs needs no write.
 func TestReportsOfFourThousand(t *testing.T) {
-	b := benchOf(t, fleetMachines)
-	if n := len(b.txns); n > 0 {
+	b := newFleetControllerOf(t, largeFleet)
+	if n := len(b.transactions); n > 0 {
 		t.Errorf("%d transactions", n)
 	}
-	b.boundReportAllocations(grownReport(7, 2))
+	b.boundReportAllocations(fleetHeartbeat(7, 2))
 }
 
 // TestReturnOfHundreds: hundreds of machines leave at once. Their blocks share writes,
 // and a transaction stays within what the state service allows.
 func TestReturnOfHundreds(t *testing.T) {
 	const leaving = 400
-	b := benchOf(t, fleetMachines)
-	f := b.leading()
+	b := newFleetControllerOf(t, largeFleet)
+	f := b.becomeLeader()
 	clear(f.changes)
-	b.txns = nil
+	b.transactions = nil
 	for i := range leaving {
-		_, m := b.n.cache.Machines.Find(grownMachine(i))
-		f.phase(m, bookkeeping.PhaseDrain, "idle")
+		_, m := b.controller.view.Machines.Find(fleetMachineName(i))
+		f.setPhase(m, storage.PhaseDraining, "idle")
 	}
 	changes := 0
 	for range leaving {
-		b.now += b.n.budget.until(mostBlockChanges)
-		f.flush(b.now)
+		b.now += b.controller.writeBudget.timeUntil(maxGroupOperations)
+		f.flushChanges(b.now)
 	}
-	for _, txn := range b.txns {
+	for _, txn := range b.transactions {
 		b.withinLimits(txn)
-		changes += len(txn.Then)
+		changes += len(txn.Operations)
 	}
-	if blocks := leaving / grownBlock; changes != blocks || len(b.txns) > (blocks+mostBlockChanges-1)/mostBlockChanges {
-		t.Errorf("%d changes in %d transactions for %d blocks", changes, len(b.txns), blocks)
+	if blocks := leaving / fleetGroupSize; changes != blocks || len(b.transactions) > (blocks+maxGroupOperations-1)/maxGroupOperations {
+		t.Errorf("%d changes in %d transactions for %d blocks", changes, len(b.transactions), blocks)
 	}
 }
 
@@ -71,15 +71,15 @@
 // fleet.
 func TestSizerOfFourThousand(t *testing.T) {
 	perMachine := func(machines int) float64 {
-		b := benchOf(t, machines)
+		b := newFleetControllerOf(t, machines)
 		b.waitingJob()
-		f := b.leading()
-		return testing.AllocsPerRun(5, func() { f.size(b.now) }) / float64(machines)
+		f := b.becomeLeader()
+		return testing.AllocsPerRun(5, func() { f.runCycle(b.now) }) / float64(machines)
 	}
-	small, large := perMachine(grownMachines), perMachine(fleetMachines)
+	small, large := perMachine(mediumFleet), perMachine(largeFleet)
 	t.Logf("%.2f and %.2f allocations for each machine", small, large)
 	if large > 1.1*small || large > 4 {
-		t.Errorf("%v allocations for each of %d machines, %v for each of %d", small, grownMachines, large, fleetMachines)
+		t.Errorf("%v allocations for each of %d machines, %v for each of %d", small, mediumFleet, large, largeFleet)
 	}
 }
 
@@ -87,27 +87,27 @@
 // machines need a few tens of writes, not one each.
 func TestWritesForManyTasks(t *testing.T) {
 	const starting = 2000
-	b := benchOf(t, fleetMachines)
+	b := newFleetControllerOf(t, largeFleet)
 	for i := range starting {
-		x := b.n.hold.machines[grownMachine(i)]
-		b.n.hold.end(x.attempts[refs(x.attempts)[0]], "stopped")
+		x := b.controller.reconciler.agents[fleetMachineName(i)]
+		b.controller.reconciler.end(x.attempts[sortedTasks(x.attempts)[0]], "stopped")
 	}
-	b.apply(bookkeeping.JobKey("run-900000"), bookkeeping.JobRecord{Spec: protocol.Spec{
-		ID: "run-900000", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: starting, CPUs: 4, MemoryGB: 29, Spot: true, EstimateS: 15,
+	b.apply(storage.JobKey("run-900000"), storage.JobRecord{Spec: protocol.JobSpec{
+		ID: "run-900000", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: starting, CPUs: 4, MemoryGB: 29, Spot: true, EstimateSeconds: 15,
 	}})
-	b.n.changed(true)
-	b.txns = nil
-	b.n.hold.place()
-	w := b.n.hold.writers[0]
+	b.controller.recordsChanged(true)
+	b.transactions = nil
+	b.controller.reconciler.place()
+	w := b.controller.reconciler.writers[0]
 	w.assign()
 	placed := 0
-	for ref := range b.n.hold.placed {
-		if b.n.cache.Jobs.Get(ref.Job).ID == "run-900000" {
+	for ref := range b.controller.reconciler.attemptsByTask {
+		if b.controller.view.Jobs.Get(ref.Job).ID == "run-900000" {
 			placed++
 		}
 	}
 	pages := 0
-	for _, p := range w.pages {
+	for _, p := range w.intentPages {
 		for a := range p.attempts {
 			if !a.durable() {
 				pages++
@@ -129,8 +129,8 @@
 		callsPerSecond float64
 		want           time.Duration
 	}{
-		{0, 4, listEvery}, {1450, 4, listEvery}, {2050, 10, listEvery},
-		{fleetMachines, 4, 4500 * time.Millisecond}, {fleetMachines, 1, 18 * time.Second},
+		{0, 4, minListInterval}, {1450, 4, minListInterval}, {2050, 10, minListInterval},
+		{largeFleet, 4, 4500 * time.Millisecond}, {largeFleet, 1, 18 * time.Second},
 	} {
 		if got := listPause(c.machines, c.callsPerSecond); got != c.want {
 			t.Errorf("%d machines, %g calls a second: %s, not %s", c.machines, c.callsPerSecond, got, c.want)
--- a/internal/coordination/give_up.go
+++ b/internal/coordination/give_up.go
@@ -3,35 +3,35 @@
 import (
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // giveUp returns a machine that has stopped, is silent, unresponsive or has never
 // come up.
-func (f *fleet) giveUp(m *bookkeeping.Machine, note protocol.MachineNote, known bool, counts *machineCounts) bool {
-	if why := f.giveUpReason(m, note, known, counts); why != "" {
-		f.phase(m, bookkeeping.PhaseReturning, why)
+func (f *provisioner) decommissionLost(m *storage.Machine, note protocol.MachineStatus, known bool, counts *machineCounts) bool {
+	if why := f.lossReason(m, note, known, counts); why != "" {
+		f.setPhase(m, storage.PhaseDecommissioning, why)
 		return true
 	}
-	return known && f.waitsForZone(m, note)
+	return known && f.awaitsZone(m, note)
 }
 
 // neverUpAfter is the age at which a machine that was never seen is given up,
 // whether work waits or not.
-const neverUpAfter = 10 * time.Minute
+const bootTimeout = 10 * time.Minute
 
-func (f *fleet) giveUpReason(m *bookkeeping.Machine, note protocol.MachineNote, known bool, counts *machineCounts) string {
-	n := f.l.n
-	workers := n.Settings.Cluster.Workers
-	silent := known && note.Silent > n.Options.Silence(workers)
+func (f *provisioner) lossReason(m *storage.Machine, note protocol.MachineStatus, known bool, counts *machineCounts) string {
+	n := f.leadership.controller
+	workers := n.Settings.Cluster.Agents
+	silent := known && note.Silent > n.Options.SilenceTimeout(workers)
 	switch {
-	case f.unlisted[m.Name] && known && note.Silent > workers.Report():
+	case f.unlisted[m.Name] && known && note.Silent > workers.HeartbeatInterval():
 		// Taken without a notice. The deletion costs nothing and settles it.
 		return "no longer listed"
 	case f.failed[m.Name]:
 		return "failed"
-	case known && f.waitsForZone(m, note):
+	case known && f.awaitsZone(m, note):
 		return ""
 	case silent && note.Seen:
 		// Lost or hanging: the deletion's answer settles its tasks.
@@ -44,11 +44,11 @@
 	case known && note.Unresponsive && counts.unresponsive[m.Shard] <= max(2, counts.held[m.Shard]/2):
 		// Were most of them unresponsive, it would be their holder that can't be heard.
 		return "hears nothing"
-	case known && !note.Seen && len(m.Intents) == 0 && note.Tasks == 0 && f.blockedSince != 0 && f.l.overdue(m) && note.Silent > 3*workers.Report():
+	case known && !note.Seen && len(m.Intents) == 0 && note.Tasks == 0 && f.blockedSince != 0 && f.leadership.bootOverdue(m) && note.Silent > 3*workers.HeartbeatInterval():
 		// A holder that has just been granted the machine has not seen it
 		// yet either, so its own silence counts, not only the age.
 		return "never came up"
-	case silent && !note.Seen && f.l.age(m) > neverUpAfter:
+	case silent && !note.Seen && f.leadership.machineAge(m) > bootTimeout:
 		return "never came up"
 	}
 	return ""
@@ -59,23 +59,23 @@
 // back, sooner than any rented there instead. Replicas there run until their lease
 // is nearly out, and room elsewhere is made for them meanwhile; then they must be
 // free to start there at once.
-func (f *fleet) waitsForZone(m *bookkeeping.Machine, note protocol.MachineNote) bool {
-	lease := f.l.n.Settings.Cluster.Workers.Lease()
-	return f.cutOff[m.ZoneIdx] && (note.Seen || note.Tasks > 0) && note.Silent < 4*lease &&
-		(!f.l.serves(m) || note.Silent < lease-workerPatience/2)
+func (f *provisioner) awaitsZone(m *storage.Machine, note protocol.MachineStatus) bool {
+	lease := f.leadership.controller.Settings.Cluster.Agents.Lease()
+	return f.partitionedZones[m.ZoneIndex] && (note.Seen || note.Tasks > 0) && note.Silent < 4*lease &&
+		(!f.leadership.hostsReplicas(m) || note.Silent < lease-agentAnswerTimeout/2)
 }
 
 // quietLimit is how long a machine that is well and can be heard says nothing at most,
 // and a little more. One that does may have had a report lost; most of a zone's
 // have not.
-func (l *leadership) quietLimit() time.Duration {
-	return l.n.Settings.Cluster.Workers.Report()*5/4 + 2*time.Second
+func (l *leadership) heartbeatTolerance() time.Duration {
+	return l.controller.Settings.Cluster.Agents.HeartbeatInterval()*5/4 + 2*time.Second
 }
 
 // serves reports whether replicas may be on a machine.
-func (l *leadership) serves(m *bookkeeping.Machine) bool {
+func (l *leadership) hostsReplicas(m *storage.Machine) bool {
 	for ref := range m.Intents {
-		if j := l.n.cache.Jobs.Get(ref.Job); j.Standing() && !j.Over() {
+		if j := l.controller.view.Jobs.Get(ref.Job); j.IsService() && !j.Ended() {
 			return true
 		}
 	}
--- a/internal/coordination/grant.go
+++ b/internal/coordination/grant.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // A shard is a set of machines; some shards are homes, to which jobs belong. The
@@ -14,14 +14,14 @@
 // block lease that heartbeats renew says how long a holder may use it unheard.
 
 // grantTick grants every shard that has no live holder.
-func (l *leadership) grantTick() {
-	n := l.n
+func (l *leadership) assignShards() {
+	n := l.controller
 	l.applyLiveness()
-	l.homesTick()
-	l.sharesTick()
-	held := l.homesHeld()
-	for s := range n.shards {
-		if l.granting[s] || n.now() < l.grantAt[s] {
+	l.settleJobShards()
+	l.updateQuotaSplit()
+	held := l.jobShardsPerController()
+	for s := range n.shardCount {
+		if l.grantInFlight[s] || n.now() < l.nextGrantAt[s] {
 			continue
 		}
 		to := l.nextHolder(s, held)
@@ -29,61 +29,61 @@
 			continue
 		}
 		l.grant(s, to)
-		if l.isHome(s) {
+		if l.isJobShard(s) {
 			held[to]++
 		}
 	}
 }
 
 // homesHeld counts the homes granted to each controller.
-func (l *leadership) homesHeld() map[string]int {
+func (l *leadership) jobShardsPerController() map[string]int {
 	held := map[string]int{}
-	for s := range l.n.shards {
-		if l.isHome(s) {
-			held[l.n.cache.Grants[s].Node]++
+	for s := range l.controller.shardCount {
+		if l.isJobShard(s) {
+			held[l.controller.view.Grants[s].Controller]++
 		}
 	}
 	return held
 }
 
 // allAlive reports whether every controller has been heard lately.
-func (l *leadership) allAlive() bool {
-	now := l.n.now()
-	return !slices.ContainsFunc(l.n.nodes, func(node string) bool {
+func (l *leadership) allControllersAlive() bool {
+	now := l.controller.now()
+	return !slices.ContainsFunc(l.controller.controllers, func(node string) bool {
 		p := l.peers[node]
-		return p == nil || p.left || now-p.heard >= aliveFor
+		return p == nil || p.leaving || now-p.heardAt >= peerTimeout
 	})
 }
 
 // atStartFor is how long a first leader waits for all controllers to be heard
 // before it grants shards to those that are.
-const atStartFor = 2 * time.Second
+const startupGrace = 2 * time.Second
 
 // nextHolder is the controller that a shard is to be granted to now, or none where
 // its grant stands.
 func (l *leadership) nextHolder(s int, held map[string]int) string {
-	n := l.n
+	n := l.controller
 	now := n.now()
-	g := &n.cache.Grants[s]
-	p := l.peers[g.Node]
+	g := &n.view.Grants[s]
+	p := l.peers[g.Controller]
 	switch {
 	case g.Version == 0:
-		if !l.allAlive() && now-l.since <= atStartFor {
+		if !l.allControllersAlive() && now-l.since <= startupGrace {
 			return ""
 		}
 		return l.bestController(s, held)
-	case p != nil && p.left && p.incarnation == g.Incarnation:
+	case p != nil && p.leaving && p.incarnation == g.Incarnation:
 		return l.bestController(s, held)
-	case p != nil && now-p.heard < aliveFor && p.incarnation > g.Incarnation:
+	case p != nil && now-p.heardAt < peerTimeout && p.incarnation > g.Incarnation:
 		// The holder has restarted and declared its former self over.
-		return g.Node
-	case p != nil && p.incarnation == g.Incarnation && now-p.heard < n.blockLease && !l.cutOffFromState(p):
+		return g.Controller
+	case p != nil && p.incarnation == g.Incarnation && now-p.heardAt < n.shardLease && !l.partitionedFromStore(p):
 		// Alive: re-confirmed by every heartbeat.
-		return l.betterHolder(s, p, held)
-	case now-l.since > n.blockLease && (p == nil || now-p.heard > n.blockLease || now-p.confirmed > n.blockLease):
+		return l.preferredHolder(s, p, held)
+	case now-l.since > n.shardLease && (p == nil || now-p.heardAt > n.shardLease || now-p.confirmedAt > n.shardLease):
 		// Neither this leader nor, by the wait, an earlier one has confirmed it for
 		// a whole block lease.
-		if to := l.bestController(s, held); to != g.Node {
+		if to := l.bestController(s, held); to != g.Controller {
 			return to
 		}
 	}
@@ -92,18 +92,18 @@
 
 // betterHolder is the controller that a shard moves to although its holder p is
 // alive, or none: machines must reach the holder, and homes are spread.
-func (l *leadership) betterHolder(s int, p *peerInfo, held map[string]int) string {
-	n := l.n
-	holder := n.cache.Grants[s].Node
+func (l *leadership) preferredHolder(s int, p *peerState, held map[string]int) string {
+	n := l.controller
+	holder := n.view.Grants[s].Controller
 	switch {
-	case l.holderUnreached(s, p):
+	case l.holderUnreachable(s, p):
 		n.Log.Warn("holder hears nothing of its machines, others do", "shard", s, "holder", holder, "term", l.term)
-		l.relieved[holder], l.movedAt = n.now(), n.now()
-		return l.chooseController(s, held, func(node string) bool { return l.hearsMachines(l.peers[node], s) })
-	case l.shouldMoveHome(s, held):
+		l.relievedAt[holder], l.lastMoveAt = n.now(), n.now()
+		return l.chooseController(s, held, func(node string) bool { return l.hearsAgents(l.peers[node], s) })
+	case l.shouldRebalance(s, held):
 		n.Log.Info("home moves to a controller that has none", "shard", s, "holder", holder, "term", l.term)
-		l.movedAt = n.now()
-		return l.chooseController(s, held, func(node string) bool { return l.mayTakeHome(node, held) })
+		l.lastMoveAt = n.now()
+		return l.chooseController(s, held, func(node string) bool { return l.mayTakeJobShard(node, held) })
 	}
 	return ""
 }
@@ -111,9 +111,9 @@
 // cutOffFromState reports whether a controller can be heard but has not heard from the
 // state service for long, while the leader has: refused alone, it can neither
 // start anything nor learn of it, and others must take over what it holds.
-func (l *leadership) cutOffFromState(p *peerInfo) bool {
-	n := l.n
-	return p.stale > n.blockLease && n.now()-l.freshSince > n.blockLease+2*heartbeatEvery
+func (l *leadership) partitionedFromStore(p *peerState) bool {
+	n := l.controller
+	return p.staleness > n.shardLease && n.now()-l.freshSince > n.shardLease+2*peerHeartbeatInterval
 }
 
 // holderUnreached reports whether the holder of a home has heard nothing of its machines
@@ -121,22 +121,22 @@
 // them: they try the others one after the other and are sent back, until their
 // leases run out. A controller that only workers can't reach looks so, and one
 // whose machines are all gone does not.
-func (l *leadership) holderUnreached(shard int, p *peerInfo) bool {
-	n := l.n
+func (l *leadership) holderUnreachable(shard int, p *peerState) bool {
+	n := l.controller
 	now := n.now()
-	if !l.isHome(shard) || shard >= len(p.hears) || now-p.pinged > heartbeatEvery*3 {
+	if !l.isJobShard(shard) || shard >= len(p.shardHeardAt) || now-p.heartbeatAt > peerHeartbeatInterval*3 {
 		return false
 	}
-	silent := now - max(p.hears[shard], l.grantAt[shard], l.since)
-	if silent < workerPatience {
+	silent := now - max(p.shardHeardAt[shard], l.nextGrantAt[shard], l.since)
+	if silent < agentAnswerTimeout {
 		return false
 	}
 	seen := 0
-	for name, note := range p.notes {
+	for name, note := range p.machines {
 		// A holder that could never be reached has seen none of the machines that
 		// were up before it was granted them.
-		_, seenBefore := l.lastSeen[name]
-		if _, m := n.cache.Machines.Find(name); m != nil && m.Shard == shard && (note.Seen || note.Tasks > 0 || seenBefore) {
+		_, seenBefore := l.lastConfirmedStatus[name]
+		if _, m := n.view.Machines.Find(name); m != nil && m.Shard == shard && (note.Seen || note.Tasks > 0 || seenBefore) {
 			seen++
 		}
 	}
@@ -144,80 +144,80 @@
 		return false
 	}
 	// Ten reports were due in that time, however few machines there are.
-	patience := max(workerPatience, 10*n.Settings.Cluster.Workers.Report()/time.Duration(seen))
+	patience := max(agentAnswerTimeout, 10*n.Settings.Cluster.Agents.HeartbeatInterval()/time.Duration(seen))
 	if silent < patience {
 		return false
 	}
-	return slices.ContainsFunc(n.nodes, func(node string) bool { return l.hearsMachines(l.peers[node], shard) })
+	return slices.ContainsFunc(n.controllers, func(node string) bool { return l.hearsAgents(l.peers[node], shard) })
 }
 
 // hearsMachines reports whether machines of a shard have lately reported to a controller.
-func (l *leadership) hearsMachines(p *peerInfo, shard int) bool {
-	now := l.n.now()
-	return p != nil && now-p.pinged < aliveFor && shard < len(p.hears) && p.hears[shard] > 0 && now-p.hears[shard] < aliveFor
+func (l *leadership) hearsAgents(p *peerState, shard int) bool {
+	now := l.controller.now()
+	return p != nil && now-p.heartbeatAt < peerTimeout && shard < len(p.shardHeardAt) && p.shardHeardAt[shard] > 0 && now-p.shardHeardAt[shard] < peerTimeout
 }
 
 // shouldMoveHome reports whether a home had better move: its controller has another
 // one too, while one that has long been well has none. After many controllers
 // have ended, all homes are with those that were left.
-func (l *leadership) shouldMoveHome(shard int, held map[string]int) bool {
-	n := l.n
+func (l *leadership) shouldRebalance(shard int, held map[string]int) bool {
+	n := l.controller
 	now := n.now()
-	if !l.isHome(shard) || held[n.cache.Grants[shard].Node] < 2 || now-l.movedAt < spreadAfter || now-l.since < spreadAfter {
+	if !l.isJobShard(shard) || held[n.view.Grants[shard].Controller] < 2 || now-l.lastMoveAt < rebalanceAfter || now-l.since < rebalanceAfter {
 		return false
 	}
-	return slices.ContainsFunc(n.nodes, func(node string) bool { return l.mayTakeHome(node, held) })
+	return slices.ContainsFunc(n.controllers, func(node string) bool { return l.mayTakeJobShard(node, held) })
 }
 
 // mayTakeHome reports whether a home may move to a controller that has none: one that
 // has been well for long.
-func (l *leadership) mayTakeHome(node string, held map[string]int) bool {
-	now := l.n.now()
+func (l *leadership) mayTakeJobShard(node string, held map[string]int) bool {
+	now := l.controller.now()
 	p := l.peers[node]
-	return p != nil && held[node] == 0 && p.fresh && !p.left && !l.cutOffFromState(p) && now-p.heard < aliveFor && now-p.since > spreadAfter &&
-		!l.unreached(node)
+	return p != nil && held[node] == 0 && p.fresh && !p.leaving && !l.partitionedFromStore(p) && now-p.heardAt < peerTimeout && now-p.wellSince > rebalanceAfter &&
+		!l.recentlyRelieved(node)
 }
 
 // unreached reports whether a controller was relieved of a home since none of its
 // machines reached it, and nothing shows yet that machines do again. Without a home
 // it may hear none for long, so after a while it is tried again.
-func (l *leadership) unreached(node string) bool {
-	at, relieved := l.relieved[node]
-	if !relieved || l.n.now()-at > relievedFor {
+func (l *leadership) recentlyRelieved(node string) bool {
+	at, relieved := l.relievedAt[node]
+	if !relieved || l.controller.now()-at > relievedPeriod {
 		return false
 	}
 	p := l.peers[node]
-	return p == nil || !slices.ContainsFunc(p.hears, func(heard time.Duration) bool { return heard > at })
+	return p == nil || !slices.ContainsFunc(p.shardHeardAt, func(heard time.Duration) bool { return heard > at })
 }
 
 // relievedFor is how long a relieved controller gets no home unless machines reach
 // it: well beyond the cuts after which all is well again by itself.
-const relievedFor = 2 * time.Minute
+const relievedPeriod = 2 * time.Minute
 
 // spreadAfter is how long a controller must have been well before a home moves
 // to it, and the least time between two such moves: each costs a handing over.
-const spreadAfter = 15 * time.Second
+const rebalanceAfter = 15 * time.Second
 
 // isHome reports whether a shard is a home.
-func (l *leadership) isHome(shard int) bool { return shard < l.n.cache.Homes }
+func (l *leadership) isJobShard(shard int) bool { return shard < l.controller.view.JobShards }
 
 // chooseController chooses a controller for a shard among those that will do: one that is
 // alive, with the fewest shards that are homes, rather not the leader, which has
 // the fleet to see to.
 func (l *leadership) chooseController(shard int, held map[string]int, will func(node string) bool) string {
-	n := l.n
+	n := l.controller
 	now := n.now()
 	best, cost := "", 0
-	for i, node := range n.nodes {
+	for i, node := range n.controllers {
 		p := l.peers[node]
-		if p == nil || p.left || now-p.heard >= aliveFor || l.cutOffFromState(p) || !will(node) {
+		if p == nil || p.leaving || now-p.heardAt >= peerTimeout || l.partitionedFromStore(p) || !will(node) {
 			continue
 		}
-		c := held[node]*100 + (i+len(n.nodes)-shard)%len(n.nodes)
-		if node == n.Settings.Node {
+		c := held[node]*100 + (i+len(n.controllers)-shard)%len(n.controllers)
+		if node == n.Settings.Controller {
 			c += 10
 		}
-		if !p.fresh || l.unreached(node) {
+		if !p.fresh || l.recentlyRelieved(node) {
 			c += 1000
 		}
 		if best == "" || c < cost {
@@ -233,18 +233,18 @@
 }
 
 func (l *leadership) grant(shard int, node string) {
-	n := l.n
-	g := &n.cache.Grants[shard]
-	rec := bookkeeping.GrantRecord{Node: node, Incarnation: l.peers[node].incarnation, Token: l.token()}
-	n.Log.Info("grant", "shard", shard, "to", node, "token", rec.Token, "term", l.term)
-	l.granting[shard] = true
-	n.budget.force(n.now(), 1)
-	n.txn(protocol.Txn{
-		If:   []protocol.Cond{l.cond(), {Key: bookkeeping.GrantKey(shard), Version: g.Version}},
-		Then: []protocol.Op{{Put: bookkeeping.GrantKey(shard), Value: bookkeeping.Encode(rec)}},
+	n := l.controller
+	g := &n.view.Grants[shard]
+	rec := storage.GrantRecord{Controller: node, Incarnation: l.peers[node].incarnation, FencingToken: l.nextFencingToken()}
+	n.Log.Info("grant", "shard", shard, "to", node, "token", rec.FencingToken, "term", l.term)
+	l.grantInFlight[shard] = true
+	n.writeBudget.force(n.now(), 1)
+	n.commit(protocol.Transaction{
+		Conditions: []protocol.Condition{l.leaderCondition(), {Key: storage.GrantKey(shard), Version: g.Version}},
+		Operations: []protocol.Operation{{Put: storage.GrantKey(shard), Value: storage.Encode(rec)}},
 	}, func(_ uint64, err error) {
-		l.granting[shard] = false
-		l.grantAt[shard] = n.now() + retryPause
+		l.grantInFlight[shard] = false
+		l.nextGrantAt[shard] = n.now() + retryPause
 		if err != nil {
 			n.Log.Debug("grant not made", "shard", shard, "err", err)
 		}
@@ -255,22 +255,22 @@
 // among homes can't be packed together, and one controller's sums are simplest,
 // so three controllers have one home. With more there are two: one for the work
 // that ends and one for services, which need many images in one sight.
-func (l *leadership) homesTick() {
-	n := l.n
-	if n.cache.Homes > 0 || l.homing || n.now() < l.homeAt {
+func (l *leadership) settleJobShards() {
+	n := l.controller
+	if n.view.JobShards > 0 || l.jobShardsInFlight || n.now() < l.nextJobShardsAt {
 		return
 	}
-	homes := n.Options.Homes
+	homes := n.Options.JobShards
 	if homes == 0 {
-		homes = min(len(n.nodes)-2, 2)
+		homes = min(len(n.controllers)-2, 2)
 	}
-	rec := bookkeeping.HomesRecord{Homes: max(1, min(homes, n.shards))}
-	l.homing = true
-	n.txn(protocol.Txn{
-		If:   []protocol.Cond{l.cond(), {Key: bookkeeping.KeyHomes, Version: n.cache.HomesVer}},
-		Then: []protocol.Op{{Put: bookkeeping.KeyHomes, Value: bookkeeping.Encode(rec)}},
+	rec := storage.JobShardsRecord{JobShards: max(1, min(homes, n.shardCount))}
+	l.jobShardsInFlight = true
+	n.commit(protocol.Transaction{
+		Conditions: []protocol.Condition{l.leaderCondition(), {Key: storage.KeyJobShards, Version: n.view.JobShardsVersion}},
+		Operations: []protocol.Operation{{Put: storage.KeyJobShards, Value: storage.Encode(rec)}},
 	}, func(uint64, error) {
-		l.homing = false
-		l.homeAt = n.now() + retryPause
+		l.jobShardsInFlight = false
+		l.nextJobShardsAt = n.now() + retryPause
 	})
 }
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -8,77 +8,77 @@
 	"testing"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // The size of a grown deployment: machines held, blocks they were rented in, and
 // tasks of arrays on them.
 const (
-	grownMachines = 1200
-	grownBlock    = 40
-	grownPerJob   = 60
-	grownPerPage  = 30
+	mediumFleet       = 1200
+	fleetGroupSize    = 40
+	fleetTasksPerJob  = 60
+	fleetTasksPerPage = 30
 )
 
-func grownMachine(i int) string { return fmt.Sprintf("m-%06d", i) }
+func fleetMachineName(i int) string { return fmt.Sprintf("m-%06d", i) }
 
 // grownRecords hands the records of a fleet on which every machine runs one task
 // to put, and returns how many tasks there are.
-func grownRecords(machines int, put func(key string, record any)) int {
-	put(bookkeeping.KeyTypes, protocol.Catalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z"}}}})
-	put(bookkeeping.KeyHomes, bookkeeping.HomesRecord{Homes: 1})
-	for i := 0; i < machines; i += grownBlock {
-		rec := bookkeeping.BlockRecord{Type: "small", Zone: "z", Spot: true}
-		for j := i; j < min(i+grownBlock, machines); j++ {
-			rec.Machines = append(rec.Machines, bookkeeping.BlockMachine{Name: grownMachine(j), Addr: fmt.Sprintf("10.1.%d.%d:9000", j/250, j%250)})
+func fleetRecords(machines int, put func(key string, record any)) int {
+	put(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 32, HourlyPrice: 1, HourlySpotPrice: 0.3, BootSeconds: 30, Zones: []string{"z"}}}})
+	put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
+	for i := 0; i < machines; i += fleetGroupSize {
+		rec := storage.MachineGroupRecord{Type: "small", Zone: "z", Spot: true}
+		for j := i; j < min(i+fleetGroupSize, machines); j++ {
+			rec.Machines = append(rec.Machines, storage.MachineEntry{Name: fleetMachineName(j), Address: fmt.Sprintf("10.1.%d.%d:9000", j/250, j%250)})
 		}
-		put(bookkeeping.BlockKey(fmt.Sprint(i)), rec)
+		put(storage.MachineGroupKey(fmt.Sprint(i)), rec)
 	}
-	job := func(task int) string { return fmt.Sprintf("run-%06d", task/grownPerJob) }
-	for i := 0; i < machines; i += grownPerJob {
-		put(bookkeeping.JobKey(job(i)), bookkeeping.JobRecord{Spec: protocol.Spec{
-			ID: job(i), Class: "report", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: grownPerJob,
-			CPUs: 4, MemoryGB: 29, Spot: true, EstimateS: 15, DeadlineS: 90, Image: "img-03", ImageGB: 0.8,
+	job := func(task int) string { return fmt.Sprintf("run-%06d", task/fleetTasksPerJob) }
+	for i := 0; i < machines; i += fleetTasksPerJob {
+		put(storage.JobKey(job(i)), storage.JobRecord{Spec: protocol.JobSpec{
+			ID: job(i), Class: "report", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: fleetTasksPerJob,
+			CPUs: 4, MemoryGB: 29, Spot: true, EstimateSeconds: 15, DeadlineSeconds: 90, Image: "img-03", ImageGB: 0.8,
 		}})
 	}
-	for i := 0; i < machines; i += grownPerPage {
-		page := bookkeeping.IntentPage{}
-		for j := i; j < min(i+grownPerPage, machines); j++ {
-			page[job(j)] = append(page[job(j)], bookkeeping.IntentEntry(j%grownPerJob, grownMachine(j), grownTry))
+	for i := 0; i < machines; i += fleetTasksPerPage {
+		page := storage.IntentPage{}
+		for j := i; j < min(i+fleetTasksPerPage, machines); j++ {
+			page[job(j)] = append(page[job(j)], storage.IntentEntry(j%fleetTasksPerJob, fleetMachineName(j), fleetAttempt))
 		}
-		page[job(i)] = append(page[job(i)], bookkeeping.IntentHead("red", 4, 0, 29))
-		put(bookkeeping.IntentKey(bookkeeping.PageID{Page: i / grownPerPage}), page)
+		page[job(i)] = append(page[job(i)], storage.IntentHeader("red", 4, 0, 29))
+		put(storage.IntentPageKey(storage.PageID{Page: i / fleetTasksPerPage}), page)
 	}
 	return machines
 }
 
-const grownTry = 5<<24 | 7
+const fleetAttempt = 5<<24 | 7
 
 // grownReport is what the worker of a machine says while its task runs.
-func grownReport(i int, seq uint64) *protocol.Report {
-	return &protocol.Report{
-		Machine: grownMachine(i), Address: "w", Type: "small", Zone: "z", Spot: true, Session: 1, Seq: seq, Token: grantToken,
-		Tasks: []protocol.TaskStatus{{Task: protocol.TaskName(fmt.Sprintf("run-%06d", i/grownPerJob), i%grownPerJob), Attempt: grownTry, State: protocol.TaskRunning}},
+func fleetHeartbeat(i int, seq uint64) *protocol.AgentHeartbeat {
+	return &protocol.AgentHeartbeat{
+		Machine: fleetMachineName(i), Address: "w", MachineType: "small", Zone: "z", Spot: true, Epoch: 1, Sequence: seq, FencingToken: grantToken,
+		Tasks: []protocol.TaskStatus{{Task: protocol.TaskName(fmt.Sprintf("run-%06d", i/fleetTasksPerJob), i%fleetTasksPerJob), Attempt: fleetAttempt, State: protocol.TaskRunning}},
 	}
 }
 
 // grownBench is a node that holds a grown fleet, every machine of which has
 // reported its running task.
-func grownBench(tb testing.TB) *bench { return benchOf(tb, grownMachines) }
+func newFleetController(tb testing.TB) *testController { return newFleetControllerOf(tb, mediumFleet) }
 
 // benchOf is the same with so many machines.
-func benchOf(tb testing.TB, machines int) *bench {
-	b := unheardBench(tb, machines)
+func newFleetControllerOf(tb testing.TB, machines int) *testController {
+	b := newUnreportedFleetController(tb, machines)
 	for i := range machines {
-		b.n.OnReport(grownReport(i, 1), func(a Answer) {
+		b.controller.OnAgentHeartbeat(fleetHeartbeat(i, 1), func(a Answer) {
 			if a.Status != 200 {
 				tb.Fatalf("status %d: %v", a.Status, a.Body)
 			}
 		})
 	}
-	b.n.hold.pass()
-	if n := len(b.n.hold.placed); n < machines {
+	b.controller.reconciler.pass()
+	if n := len(b.controller.reconciler.attemptsByTask); n < machines {
 		tb.Fatalf("%d tasks are placed", n)
 	}
 	return b
@@ -86,21 +86,21 @@
 
 // unheardBench is a node that has just been granted a fleet, no machine of which has
 // reported to it.
-func unheardBench(tb testing.TB, machines int) *bench {
-	b := newBench(tb)
-	b.n.Settings.Cluster.Teams[0].CPUsMax = 0
-	b.n.cache.Teams[0].CPUsMax = 0
-	grownRecords(machines, b.apply)
-	b.n.changed(true)
+func newUnreportedFleetController(tb testing.TB, machines int) *testController {
+	b := newTestController(tb)
+	b.controller.Settings.Cluster.Teams[0].MaxCPUs = 0
+	b.controller.view.Teams[0].MaxCPUs = 0
+	fleetRecords(machines, b.apply)
+	b.controller.recordsChanged(true)
 	return b
 }
 
 // waitingJob adds a job for whose tasks there is no room.
-func (b *bench) waitingJob() {
-	b.apply(bookkeeping.JobKey("run-999999"), bookkeeping.JobRecord{Spec: protocol.Spec{
-		ID: "run-999999", Class: "report", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 500, CPUs: 4, MemoryGB: 29, Spot: true, EstimateS: 15,
+func (b *testController) waitingJob() {
+	b.apply(storage.JobKey("run-999999"), storage.JobRecord{Spec: protocol.JobSpec{
+		ID: "run-999999", Class: "report", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 500, CPUs: 4, MemoryGB: 29, Spot: true, EstimateSeconds: 15,
 	}})
-	b.n.changed(true)
+	b.controller.recordsChanged(true)
 }
 
 // BenchmarkPass is one placing pass over a grown fleet: with nothing to place, and
@@ -108,13 +108,13 @@
 func BenchmarkPass(b *testing.B) {
 	for _, waiting := range []bool{false, true} {
 		b.Run(fmt.Sprintf("waiting=%t", waiting), func(b *testing.B) {
-			g := grownBench(b)
+			g := newFleetController(b)
 			if waiting {
 				g.waitingJob()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				g.n.hold.pass()
+				g.controller.reconciler.pass()
 			}
 		})
 	}
@@ -123,13 +123,13 @@
 // BenchmarkHeartbeat is a heartbeat of the holder of a grown fleet, made, encoded
 // and decoded again.
 func BenchmarkHeartbeat(b *testing.B) {
-	g := grownBench(b)
+	g := newFleetController(b)
 	var link bytes.Buffer
 	enc, dec := gob.NewEncoder(&link), gob.NewDecoder(&link)
 	b.ReportAllocs()
 	size := 0
 	for b.Loop() {
-		if err := enc.Encode(protocol.PeerRequest{Heartbeat: &protocol.Heartbeat{Node: "a", Machines: g.n.hold.notes()}}); err != nil {
+		if err := enc.Encode(protocol.PeerRequest{Heartbeat: &protocol.PeerHeartbeat{Controller: "a", Machines: g.controller.reconciler.machineStatuses()}}); err != nil {
 			b.Fatal(err)
 		}
 		size = link.Len()
@@ -143,16 +143,16 @@
 
 // BenchmarkApplyPage is a page of intents taken in from the changes.
 func BenchmarkApplyPage(b *testing.B) {
-	g := grownBench(b)
-	page := bookkeeping.IntentPage{}
-	for j := range grownPerPage {
-		page["run-000000"] = append(page["run-000000"], bookkeeping.IntentEntry(j, grownMachine(j), grownTry))
+	g := newFleetController(b)
+	page := storage.IntentPage{}
+	for j := range fleetTasksPerPage {
+		page["run-000000"] = append(page["run-000000"], storage.IntentEntry(j, fleetMachineName(j), fleetAttempt))
 	}
-	value := bookkeeping.Encode(page)
+	value := storage.Encode(page)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.rev++
-		if err := g.n.cache.Apply(bookkeeping.IntentKey(firstPage), value, g.rev); err != nil {
+		g.revision++
+		if err := g.controller.view.Apply(storage.IntentPageKey(firstPage), value, g.revision); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -160,26 +160,26 @@
 
 // BenchmarkTakenIn is a report without news, judged and answered.
 func BenchmarkTakenIn(b *testing.B) {
-	g := grownBench(b)
-	r := grownReport(7, 2)
+	g := newFleetController(b)
+	r := fleetHeartbeat(7, 2)
 	reply := func(Answer) {}
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Seq++
-		g.n.OnReport(r, reply)
+		r.Sequence++
+		g.controller.OnAgentHeartbeat(r, reply)
 	}
 }
 
 // TestPassAllocations: a pass that finds nothing to do allocates nothing that grows
 // with the fleet, whether work waits or not.
 func TestPassAllocations(t *testing.T) {
-	for _, machines := range []int{grownMachines, fleetMachines} {
-		b := benchOf(t, machines)
-		if n := testing.AllocsPerRun(20, b.n.hold.pass); n > 16 {
+	for _, machines := range []int{mediumFleet, largeFleet} {
+		b := newFleetControllerOf(t, machines)
+		if n := testing.AllocsPerRun(20, b.controller.reconciler.pass); n > 16 {
 			t.Errorf("%d machines: %v allocations for a pass with nothing to place", machines, n)
 		}
 		b.waitingJob()
-		if n := testing.AllocsPerRun(20, b.n.hold.pass); n > 64 {
+		if n := testing.AllocsPerRun(20, b.controller.reconciler.pass); n > 64 {
 			t.Errorf("%d machines: %v allocations for a pass with work that finds no room", machines, n)
 		}
 	}
@@ -192,17 +192,17 @@
 		mostLive  = 1500 // bytes
 		mostTaken = 6000 // allocated while reading, garbage included
 	)
-	for _, machines := range []int{grownMachines, grownMachines * 3 / 2, fleetMachines} {
+	for _, machines := range []int{mediumFleet, mediumFleet * 3 / 2, largeFleet} {
 		type record struct {
 			key   string
 			value []byte
 		}
 		var records []record
-		grownRecords(machines, func(key string, r any) { records = append(records, record{key, bookkeeping.Encode(r)}) })
+		fleetRecords(machines, func(key string, r any) { records = append(records, record{key, storage.Encode(r)}) })
 		var before, read, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c := bookkeeping.NewCache([]bookkeeping.Team{{Name: "red"}}, 1)
+		c := storage.NewView([]storage.Team{{Name: "red"}}, 1)
 		for i, r := range records {
 			if err := c.Apply(r.key, r.value, uint64(i+1)); err != nil {
 				t.Fatal(err)
@@ -218,7 +218,7 @@
 			t.Errorf("%d machines: %d bytes live for each (at most %d), %d allocated (at most %d)", machines, live, mostLive, taken, mostTaken)
 		}
 		intents := 0
-		c.Machines.All(func(_ int, m *bookkeeping.Machine) { intents += len(m.Intents) })
+		c.Machines.All(func(_ int, m *storage.Machine) { intents += len(m.Intents) })
 		if intents != machines {
 			t.Fatalf("%d intents were read", intents)
 		}
@@ -227,11 +227,11 @@
 
 // TestHeartbeatSize bounds what a holder tells the leader about each machine.
 func TestHeartbeatSize(t *testing.T) {
-	for _, machines := range []int{grownMachines, fleetMachines} {
-		b := benchOf(t, machines)
+	for _, machines := range []int{mediumFleet, largeFleet} {
+		b := newFleetControllerOf(t, machines)
 		b.now += 2 * time.Second
 		var link bytes.Buffer
-		if err := gob.NewEncoder(&link).Encode(b.n.hold.notes()); err != nil {
+		if err := gob.NewEncoder(&link).Encode(b.controller.reconciler.machineStatuses()); err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("%d machines: %d bytes", machines, link.Len())
@@ -243,11 +243,11 @@
 
 // BenchmarkPageWritten is the value of a page of intents, made to be written.
 func BenchmarkPageWritten(b *testing.B) {
-	g := grownBench(b)
-	w := g.n.hold.writers[0]
+	g := newFleetController(b)
+	w := g.controller.reconciler.writers[0]
 	b.ReportAllocs()
 	for b.Loop() {
-		if op := w.intents(w.pages[0]); len(op.Value) == 0 {
+		if op := w.intentPageOperation(w.intentPages[0]); len(op.Value) == 0 {
 			b.Fatal("an empty value")
 		}
 	}
@@ -255,11 +255,11 @@
 
 // BenchmarkSizerCycle is a cycle of the sizer over a grown fleet on which work waits.
 func BenchmarkSizerCycle(b *testing.B) {
-	g := grownBench(b)
+	g := newFleetController(b)
 	g.waitingJob()
-	f := g.leading()
+	f := g.becomeLeader()
 	b.ReportAllocs()
 	for b.Loop() {
-		f.size(g.now)
+		f.runCycle(g.now)
 	}
 }
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -6,80 +6,80 @@
 	"slices"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/config"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // holder reconciles what should be on its machines with what is.
-type holder struct {
-	n         *Node
-	machines  map[string]*holding
-	list      []*holding // the same, by name
-	writers   map[int]*recordWriter
-	placed    map[bookkeeping.TaskRef]int // attempts of a task that are not proven over
-	jobs      map[*bookkeeping.Job]*progress
-	mine      []*bookkeeping.Job // unfinished jobs of the homes held, in the order of arrival
-	jobsSeen  uint64
-	jobsOver  uint64 // of the cache, when what is held was last made to match it
-	fleetSeen uint64
-	usage     map[int][]usage // by home and team
-	ranks     [maxRank]int    // live attempts by rank
-	services  float64         // CPUs that replicas take
-	ended     []*attempt      // completed, waiting to be durable
-	ending    []*progress     // all tasks done, waiting to be durable
-	finishing int             // of those, being written
+type reconciler struct {
+	controller         *Controller
+	agents             map[string]*agent
+	sortedAgents       []*agent // the same, by name
+	writers            map[int]*recordWriter
+	attemptsByTask     map[storage.TaskRef]int // attempts of a task that are not proven over
+	jobs               map[*storage.Job]*jobProgress
+	activeJobs         []*storage.Job // unfinished jobs of the homes held, in the order of arrival
+	seenJobsAdded      uint64
+	seenJobsEnded      uint64 // of the cache, when what is held was last made to match it
+	seenFleetRevision  uint64
+	usage              map[int][]teamUsage // by home and team
+	liveAttemptsByRank [maxRank]int        // live attempts by rank
+	serviceCPUs        float64             // CPUs that replicas take
+	completedAttempts  []*attempt          // completed, waiting to be durable
+	completedJobs      []*jobProgress      // all tasks done, waiting to be durable
+	jobEndsInFlight    int                 // of those, being written
 
-	dependentWrites map[*bookkeeping.Job]*dependentWrite // jobs cancelled with another, being written
+	cancelledDependentWrites map[*storage.Job]*cancelledDependentWrite // jobs cancelled with another, being written
 
-	tries         uint64
-	placingPasses int // passes that placed something
-	passScheduled bool
-	passAt        time.Duration // no pass before
-	drainCheckAt  time.Duration // no look before at what must leave its machine
+	attemptCounter   uint64
+	placingPasses    int // passes that placed something
+	passScheduled    bool
+	nextPassAt       time.Duration // no pass before
+	nextDrainCheckAt time.Duration // no look before at what must leave its machine
 
-	summaryAt time.Duration
+	nextSummaryAt time.Duration
 }
 
 // maxRank bounds protocol.Spec.Rank.
 const maxRank = 8
 
-type usage struct{ cpus, gpus float64 }
+type teamUsage struct{ cpus, gpus float64 }
 
 // progress is what the home knows about a job beyond its record.
-type progress struct {
-	job      *bookkeeping.Job
-	done     bookkeeping.Bits // settled as done here, durable or not
-	doneN    int
-	pages    map[int]*donePage // by chunk
-	next     int               // no task below it waits to be placed
-	attempts int
-	head     int   // bytes of its head in a page of intents
-	within   bool  // fits into its team's guarantee with the team's earlier jobs
-	starved  bool  // has once waited too long
-	zones    []int // attempts that may be on a machine, by zone
-	writing  bool
-	wroteAt  uint64
-	retryAt  time.Duration
-	fails    int
-	runs     int             // completed tasks with a known run time
-	runSum   float64         // seconds
-	failedOn map[string]bool // machines on which tasks of the job failed
-	backoff  time.Duration   // no starts before
+type jobProgress struct {
+	job                *storage.Job
+	completed          storage.TaskSet // settled as done here, durable or not
+	completedCount     int
+	completionPages    map[int]*completionPage // by chunk
+	nextTask           int                     // no task below it waits to be placed
+	attempts           int
+	intentHeaderSize   int   // bytes of its head in a page of intents
+	withinGuarantee    bool  // fits into its team's guarantee with the team's earlier jobs
+	starved            bool  // has once waited too long
+	attemptsByZone     []int // attempts that may be on a machine, by zone
+	endInFlight        bool
+	endWrittenRevision uint64
+	retryAt            time.Duration
+	failures           int
+	measuredRuns       int             // completed tasks with a known run time
+	measuredSeconds    float64         // seconds
+	failedOn           map[string]bool // machines on which tasks of the job failed
+	backoffUntil       time.Duration   // no starts before
 }
 
-func newHolder(n *Node) *holder {
-	return &holder{
-		n: n, machines: map[string]*holding{}, placed: map[bookkeeping.TaskRef]int{}, writers: map[int]*recordWriter{},
-		jobs: map[*bookkeeping.Job]*progress{}, usage: map[int][]usage{}, dependentWrites: map[*bookkeeping.Job]*dependentWrite{},
+func newReconciler(n *Controller) *reconciler {
+	return &reconciler{
+		controller: n, agents: map[string]*agent{}, attemptsByTask: map[storage.TaskRef]int{}, writers: map[int]*recordWriter{},
+		jobs: map[*storage.Job]*jobProgress{}, usage: map[int][]teamUsage{}, cancelledDependentWrites: map[*storage.Job]*cancelledDependentWrite{},
 	}
 }
 
 // used is what a home's attempts take, by team.
-func (h *holder) used(home int) []usage {
+func (h *reconciler) usageOf(home int) []teamUsage {
 	u := h.usage[home]
 	if u == nil {
-		u = make([]usage, len(h.n.Settings.Cluster.Teams))
+		u = make([]teamUsage, len(h.controller.Settings.Cluster.Teams))
 		h.usage[home] = u
 	}
 	return u
@@ -88,179 +88,179 @@
 // sync makes the holdings match the grants and the records. Changes come many
 // times a second, and nearly all are of pages of intents and of jobs: the machines
 // are gone through only for those that change what there is to hold.
-func (h *holder) sync() {
-	n := h.n
-	fleet, over := h.fleetSeen != n.cache.FleetSeen, h.jobsOver != n.cache.JobsOver
-	h.fleetSeen, h.jobsOver = n.cache.FleetSeen, n.cache.JobsOver
+func (h *reconciler) syncWithRecords() {
+	n := h.controller
+	fleet, over := h.seenFleetRevision != n.view.FleetRevision, h.seenJobsEnded != n.view.JobsEnded
+	h.seenFleetRevision, h.seenJobsEnded = n.view.FleetRevision, n.view.JobsEnded
 	if fleet {
 		h.syncMachines()
 	}
 	if !fleet && !over {
 		return
 	}
-	h.stopUnwanted()
+	h.stopInactive()
 	for j, p := range h.jobs {
-		if j.Over() && p.attempts == 0 || h.writers[j.Home] == nil {
+		if j.Ended() && p.attempts == 0 || h.writers[j.Shard] == nil {
 			delete(h.jobs, j)
 		}
 	}
 }
 
 // syncMachines takes up the machines that are granted and lets go of the others.
-func (h *holder) syncMachines() {
-	n := h.n
+func (h *reconciler) syncMachines() {
+	n := h.controller
 	now := n.now()
-	for s := range n.shards {
-		if h.writers[s] != nil && !n.holds(s) {
+	for s := range n.shardCount {
+		if h.writers[s] != nil && !n.holdsShard(s) {
 			delete(h.writers, s)
 		}
-		if h.writers[s] == nil && n.holds(s) && s < n.cache.Homes {
+		if h.writers[s] == nil && n.holdsShard(s) && s < n.view.JobShards {
 			h.writers[s] = newRecordWriter(h, s)
 		}
 	}
-	for _, x := range slices.Clone(h.list) {
-		_, m := n.cache.Machines.Find(x.m.Name)
-		if m == x.m && !m.There() {
-			h.settleAll(x, "machine is gone")
+	for _, x := range slices.Clone(h.sortedAgents) {
+		_, m := n.view.Machines.Find(x.machine.Name)
+		if m == x.machine && !m.Exists() {
+			h.endAll(x, "machine is gone")
 		}
-		if m != x.m || !m.There() || h.writers[m.Shard] == nil || x.shard != m.Shard {
+		if m != x.machine || !m.Exists() || h.writers[m.Shard] == nil || x.shard != m.Shard {
 			h.release(x)
 		}
 	}
-	n.cache.Machines.All(func(_ int, m *bookkeeping.Machine) {
-		if !m.There() || h.writers[m.Shard] == nil {
+	n.view.Machines.All(func(_ int, m *storage.Machine) {
+		if !m.Exists() || h.writers[m.Shard] == nil {
 			return
 		}
-		base := max(n.cache.Grants[m.Shard].Token, m.Token)
-		x := h.machines[m.Name]
+		base := max(n.view.Grants[m.Shard].FencingToken, m.FencingToken)
+		x := h.agents[m.Name]
 		if x == nil {
 			h.adopt(m, base, now)
-		} else if base > x.base {
-			x.base, x.token, x.fenced = base, max(x.token, base), false
+		} else if base > x.grantToken {
+			x.grantToken, x.currentToken, x.fenceConfirmed = base, max(x.currentToken, base), false
 		}
 	})
 }
 
 // stopUnwanted stops what a cancelled or completed job still has on machines, and what is
 // on a machine that replicas of another home wait for.
-func (h *holder) stopUnwanted() {
-	for _, x := range h.list {
+func (h *reconciler) stopInactive() {
+	for _, x := range h.sortedAgents {
 		changed := false
 		for _, a := range x.attempts {
 			switch {
-			case !a.job.Wanted() && a.live() && (!a.stop || a.grace > 0):
-				a.stop, a.grace, a.stopSentAt, changed = true, 0, 0, true
-			case x.m.Yield && x.m.Phase == bookkeeping.PhaseDrain && !a.job.Standing() && a.live() && !a.stop:
-				a.stop, a.stopSentAt, changed = true, 0, true
-				if a.job.CheckpointS > 0 {
-					a.grace = a.job.SaveS
+			case !a.job.Active() && a.live() && (!a.stopRequested || a.graceSeconds > 0):
+				a.stopRequested, a.graceSeconds, a.stopSentAt, changed = true, 0, 0, true
+			case x.machine.Evict && x.machine.Phase == storage.PhaseDraining && !a.job.IsService() && a.live() && !a.stopRequested:
+				a.stopRequested, a.stopSentAt, changed = true, 0, true
+				if a.job.CheckpointSeconds > 0 {
+					a.graceSeconds = a.job.SaveSeconds
 				}
 			}
 		}
 		if changed {
-			x.busy = true
-			h.push(x)
+			x.needsAttention = true
+			h.sendCommands(x)
 		}
 	}
 }
 
 // adopt takes up a machine. Every recorded intent counts as a task that may be
 // on it, for quota as for doubles, until a fenced report shows otherwise.
-func (h *holder) adopt(m *bookkeeping.Machine, base uint64, now time.Duration) {
-	x := &holding{
-		m: m, addr: m.Addr, shard: m.Shard, base: base, token: base, sent: base - 1, since: now, heard: now, answered: now,
-		attempts: map[bookkeeping.TaskRef]*attempt{}, images: map[int]time.Duration{}, session: 1,
+func (h *reconciler) adopt(m *storage.Machine, base uint64, now time.Duration) {
+	x := &agent{
+		machine: m, address: m.Address, shard: m.Shard, grantToken: base, currentToken: base, highestStartToken: base - 1, heldSince: now, lastHeartbeatAt: now, lastAnsweredAt: now,
+		attempts: map[storage.TaskRef]*attempt{}, imageWantedAt: map[int]time.Duration{}, epoch: 1,
 	}
-	h.machines[m.Name] = x
-	i, _ := slices.BinarySearchFunc(h.list, m.Name, func(y *holding, name string) int { return cmp.Compare(y.m.Name, name) })
-	h.list = slices.Insert(h.list, i, x)
-	for _, ref := range refs(m.Intents) {
-		a := &attempt{job: h.n.cache.Jobs.Get(ref.Job), task: ref.Task, try: m.Intents[ref].Try, on: x, token: base - 1, inherited: true, planned: now}
-		a.stop = !a.job.Wanted()
-		h.add(a)
-		h.writers[m.Shard].intentPageAt(m.Intents[ref].Page).put(a)
+	h.agents[m.Name] = x
+	i, _ := slices.BinarySearchFunc(h.sortedAgents, m.Name, func(y *agent, name string) int { return cmp.Compare(y.machine.Name, name) })
+	h.sortedAgents = slices.Insert(h.sortedAgents, i, x)
+	for _, ref := range sortedTasks(m.Intents) {
+		a := &attempt{job: h.controller.view.Jobs.Get(ref.Job), task: ref.Task, number: m.Intents[ref].Attempt, agent: x, startToken: base - 1, inherited: true, plannedAt: now}
+		a.stopRequested = !a.job.Active()
+		h.addAttempt(a)
+		h.writers[m.Shard].intentPageAt(m.Intents[ref].Page).add(a)
 	}
 	if len(m.Intents) > 0 {
-		x.busy = true
-		h.push(x)
+		x.needsAttention = true
+		h.sendCommands(x)
 	}
 }
 
 // release drops a machine that is no longer held, without deciding anything
 // about its tasks.
-func (h *holder) release(x *holding) {
-	for _, ref := range refs(x.attempts) {
-		h.remove(x.attempts[ref])
+func (h *reconciler) release(x *agent) {
+	for _, ref := range sortedTasks(x.attempts) {
+		h.removeAttempt(x.attempts[ref])
 	}
-	delete(h.machines, x.m.Name)
-	h.list = slices.DeleteFunc(h.list, func(y *holding) bool { return x == y })
+	delete(h.agents, x.machine.Name)
+	h.sortedAgents = slices.DeleteFunc(h.sortedAgents, func(y *agent) bool { return x == y })
 }
 
 // add and remove keep the sums of machines and teams.
-func (h *holder) add(a *attempt) {
-	a.prog = h.progress(a.job)
-	a.prog.attempts++
-	a.job.Refs++
-	a.on.attempts[a.ref()] = a
-	a.on.busy = true
-	h.placed[a.ref()]++
+func (h *reconciler) addAttempt(a *attempt) {
+	a.progress = h.progress(a.job)
+	a.progress.attempts++
+	a.job.References++
+	a.agent.attempts[a.ref()] = a
+	a.agent.needsAttention = true
+	h.attemptsByTask[a.ref()]++
 	h.charge(a, 1)
 	if a.job.Image != "" {
-		a.on.images[a.job.ImageIdx] = h.n.now()
+		a.agent.imageWantedAt[a.job.ImageIndex] = h.controller.now()
 	}
 }
 
-func (h *holder) charge(a *attempt, sign float64) {
-	x := a.on
+func (h *reconciler) charge(a *attempt, sign float64) {
+	x := a.agent
 	x.cpus += sign * a.job.CPUs
 	x.gpus += sign * a.job.GPUs
 	x.memory += sign * a.job.MemoryGB
-	if a.job.Standing() {
-		x.services += sign * a.job.CPUs
-		h.services += sign * a.job.CPUs
+	if a.job.IsService() {
+		x.serviceCPUs += sign * a.job.CPUs
+		h.serviceCPUs += sign * a.job.CPUs
 	}
-	h.ranks[min(a.job.Rank(), maxRank-1)] += int(sign)
-	for len(a.prog.zones) <= x.m.ZoneIdx {
-		a.prog.zones = append(a.prog.zones, 0)
+	h.liveAttemptsByRank[min(a.job.Rank(), maxRank-1)] += int(sign)
+	for len(a.progress.attemptsByZone) <= x.machine.ZoneIndex {
+		a.progress.attemptsByZone = append(a.progress.attemptsByZone, 0)
 	}
-	a.prog.zones[x.m.ZoneIdx] += int(sign)
-	if t := a.job.TeamIdx; t >= 0 {
-		u := &h.used(x.shard)[t]
+	a.progress.attemptsByZone[x.machine.ZoneIndex] += int(sign)
+	if t := a.job.TeamIndex; t >= 0 {
+		u := &h.usageOf(x.shard)[t]
 		u.cpus += sign * a.job.CPUs
 		u.gpus += sign * a.job.GPUs
 	}
 }
 
-func (h *holder) remove(a *attempt) {
+func (h *reconciler) removeAttempt(a *attempt) {
 	if a.live() {
 		h.charge(a, -1)
 		a.state = taskEnded
 	}
-	if a.on.attempts[a.ref()] == a {
-		delete(a.on.attempts, a.ref())
+	if a.agent.attempts[a.ref()] == a {
+		delete(a.agent.attempts, a.ref())
 	}
 	if a.page != nil {
-		a.page.drop(a, h.n.now())
+		a.page.drop(a, h.controller.now())
 	}
-	if h.placed[a.ref()]--; h.placed[a.ref()] <= 0 {
-		delete(h.placed, a.ref())
+	if h.attemptsByTask[a.ref()]--; h.attemptsByTask[a.ref()] <= 0 {
+		delete(h.attemptsByTask, a.ref())
 	}
-	a.job.Refs--
-	a.prog.attempts--
-	a.prog.next = min(a.prog.next, a.task)
-	h.n.cache.DropJob(a.job)
+	a.job.References--
+	a.progress.attempts--
+	a.progress.nextTask = min(a.progress.nextTask, a.task)
+	h.controller.view.ForgetJob(a.job)
 }
 
-func (h *holder) progress(j *bookkeeping.Job) *progress {
+func (h *reconciler) progress(j *storage.Job) *jobProgress {
 	p := h.jobs[j]
 	if p == nil {
-		p = &progress{job: j, done: j.Done.Clone(), doneN: j.DoneN, pages: map[int]*donePage{}, head: len(intentHead(j))}
+		p = &jobProgress{job: j, completed: j.Completed.Clone(), completedCount: j.CompletedCount, completionPages: map[int]*completionPage{}, intentHeaderSize: len(intentHeader(j))}
 		h.jobs[j] = p
-		if d := h.writers[j.Home]; d != nil {
+		if d := h.writers[j.Shard]; d != nil {
 			d.loadCompleted(p)
 		}
-		if !j.Over() && !j.Standing() && p.doneN >= j.Tasks {
-			h.ending = append(h.ending, p)
+		if !j.Ended() && !j.IsService() && p.completedCount >= j.Tasks {
+			h.completedJobs = append(h.completedJobs, p)
 		}
 	}
 	return p
@@ -268,45 +268,45 @@
 
 // schedulePass asks for a pass over all that this node holds, soon but once. A pass that
 // took long is followed by a longer pause, so that reports are answered first.
-func (h *holder) schedulePass() {
+func (h *reconciler) schedulePass() {
 	if h.passScheduled {
 		return
 	}
 	h.passScheduled = true
-	h.n.later(max(5*time.Millisecond, h.passAt-h.n.now()), func() {
+	h.controller.later(max(5*time.Millisecond, h.nextPassAt-h.controller.now()), func() {
 		h.passScheduled = false
 		h.pass()
 	})
 }
 
 // tick does what only the passing of time asks for.
-func (h *holder) tick() {
-	n := h.n
+func (h *reconciler) tick() {
+	n := h.controller
 	now := n.now()
-	lease := n.Settings.Cluster.Workers.Lease()
-	for _, x := range h.list {
+	lease := n.Settings.Cluster.Agents.Lease()
+	for _, x := range h.sortedAgents {
 		if len(x.attempts) > 0 {
 			// The worker's lease is provably out: neither this holder nor, until
 			// its knowledge ran out, an earlier one can have renewed it since.
-			last := max(x.answered, x.since+n.authority)
-			if now > last+lease+lease/1000+config.Margin && now > x.heard+lease {
-				h.settleAll(x, "worker's lease is out")
+			last := max(x.lastAnsweredAt, x.heldSince+n.maxStaleness)
+			if now > last+lease+lease/1000+config.LeaseMargin && now > x.lastHeartbeatAt+lease {
+				h.endAll(x, "worker's lease is out")
 			}
 		}
-		if !x.fenced && now-x.since < lease && len(x.m.Intents) > 0 {
-			h.push(x)
+		if !x.fenceConfirmed && now-x.heldSince < lease && len(x.machine.Intents) > 0 {
+			h.sendCommands(x)
 		}
 	}
-	for s := range n.shards {
+	for s := range n.shardCount {
 		if d := h.writers[s]; d != nil {
 			d.flushSoon()
 		}
 	}
-	if now >= h.summaryAt {
-		h.summaryAt = now + summaryEvery
-		for s := range n.shards {
+	if now >= h.nextSummaryAt {
+		h.nextSummaryAt = now + summaryInterval
+		for s := range n.shardCount {
 			if h.writers[s] != nil {
-				h.summary(s)
+				h.logSummary(s)
 			}
 		}
 	}
@@ -314,70 +314,70 @@
 }
 
 // passPause is the least time between two passes.
-const passPause = 25 * time.Millisecond
+const minPassPause = 25 * time.Millisecond
 
 // pass places what waits, writes what must be durable and sends what follows.
-func (h *holder) pass() {
-	n := h.n
+func (h *reconciler) pass() {
+	n := h.controller
 	if !n.ready {
 		return
 	}
 	n.stats.passes.Add(1)
 	began := n.now()
-	h.stopForDrains()
+	h.evictForDrains()
 	h.place()
-	for s := range n.shards {
-		if d := h.writers[s]; d != nil && n.entitled(s) {
+	for s := range n.shardCount {
+		if d := h.writers[s]; d != nil && n.mayActFor(s) {
 			d.flush()
 		}
 	}
-	for _, x := range h.list {
-		if !x.busy {
+	for _, x := range h.sortedAgents {
+		if !x.needsAttention {
 			continue
 		}
-		if !n.entitled(x.shard) || !x.fenced {
-			if h.unheeded(x) {
-				h.push(x)
+		if !n.mayActFor(x.shard) || !x.fenceConfirmed {
+			if h.hasDueStops(x) {
+				h.sendCommands(x)
 			}
 			continue
 		}
-		startable, unsettled := h.startable(x), h.unsettled(x)
-		if startable || unsettled && n.now()-x.pushed > 500*time.Millisecond {
-			h.push(x)
-		} else if !unsettled && !x.reapDue(n.now()) && !x.changing() {
-			x.busy = false
+		startable, unsettled := h.hasUnsentCommands(x), h.needsResolution(x)
+		if startable || unsettled && n.now()-x.commandsSentAt > 500*time.Millisecond {
+			h.sendCommands(x)
+		} else if !unsettled && !x.reapDue(n.now()) && !x.hasPendingChanges() {
+			x.needsAttention = false
 		}
 	}
-	h.finish()
+	h.writeJobEnds()
 	h.writeDependentCancelled()
-	h.passAt = n.now() + max(passPause, 6*(n.now()-began))
+	h.nextPassAt = n.now() + max(minPassPause, 6*(n.now()-began))
 }
 
 // refs gives the tasks of a map in a fixed order: what a node does must follow
 // from what it knows alone, or no failure could be played again.
-func refs[V any](m map[bookkeeping.TaskRef]V) []bookkeeping.TaskRef {
-	return slices.SortedFunc(maps.Keys(m), func(a, b bookkeeping.TaskRef) int {
+func sortedTasks[V any](m map[storage.TaskRef]V) []storage.TaskRef {
+	return slices.SortedFunc(maps.Keys(m), func(a, b storage.TaskRef) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 	})
 }
 
 // notes tells the leader about the machines held.
-func (h *holder) notes() []protocol.MachineNote {
-	n := h.n
+func (h *reconciler) machineStatuses() []protocol.MachineStatus {
+	n := h.controller
 	now := n.now()
-	notes := make([]protocol.MachineNote, 0, len(h.list))
-	for _, x := range h.list {
-		if !n.holds(x.shard) {
+	notes := make([]protocol.MachineStatus, 0, len(h.sortedAgents))
+	for _, x := range h.sortedAgents {
+		if !n.holdsShard(x.shard) {
 			continue
 		}
-		note := protocol.MachineNote{
-			Name: x.m.Name, Seen: x.fenced, Silent: now - min(x.heard, x.answered), Tasks: len(x.attempts), Faulty: x.errors >= 3 || x.slow(), Leaves: x.notice > 0, Unresponsive: x.unresponsive,
+		note := protocol.MachineStatus{
+			Name: x.machine.Name, Seen: x.fenceConfirmed, Silent: now - min(x.lastHeartbeatAt, x.lastAnsweredAt), Tasks: len(x.attempts), Faulty: x.consecutiveErrors >= 3 || x.slow(), Leaves: x.terminationAt > 0, Unresponsive: x.unresponsive,
 		}
-		if x.m.Addr == "" {
-			note.Addr = x.addr
+		if x.machine.Address == "" {
+			note.Addr = x.address
 		}
-		if x.m.Phase == bookkeeping.PhaseDrain && len(x.attempts) == 0 && len(x.m.Intents) == 0 && !h.writers[x.shard].mayName(x) {
-			note.Empty = x.m.Drain
+		if x.machine.Phase == storage.PhaseDraining && len(x.attempts) == 0 && len(x.machine.Intents) == 0 && !h.writers[x.shard].mayStillName(x) {
+			note.Empty = x.machine.DrainStamp
 		}
 		notes = append(notes, note)
 	}
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -5,20 +5,20 @@
 	"slices"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/config"
+	"rockrun/internal/storage"
 )
 
 // waiting is a job with tasks to place.
-type waiting struct {
-	job    *bookkeeping.Job
-	prog   *progress
-	rank   int     // the highest of its own and of those of the jobs that need it
-	within bool    // fits into its team's guarantee with the team's earlier jobs
-	starve bool    // nothing of it has begun for too long
-	late   bool    // too late to be of the use its owner hoped for
-	aged   bool    // and has been for long
-	claim  float64 // work left by the time it has waited; the least goes first
+type pendingJob struct {
+	job             *storage.Job
+	progress        *jobProgress
+	rank            int     // the highest of its own and of those of the jobs that need it
+	withinGuarantee bool    // fits into its team's guarantee with the team's earlier jobs
+	starved         bool    // nothing of it has begun for too long
+	late            bool    // too late to be of the use its owner hoped for
+	longLate        bool    // and has been for long
+	weight          float64 // work left by the time it has waited; the least goes first
 }
 
 // order sorts jobs into the order in which they get machines: by priority, work
@@ -30,16 +30,16 @@
 // Where more is asked for than can be done, work that is late would wait for
 // ever behind what is not, or all would be late if it went first. So what has
 // been late for long takes turns with the rest, the oldest first.
-func order(list []waiting, agedFirst bool) {
-	slices.SortStableFunc(list, func(a, b waiting) int {
+func sortPendingJobs(list []pendingJob, agedFirst bool) {
+	slices.SortStableFunc(list, func(a, b pendingJob) int {
 		return cmp.Or(
 			cmp.Compare(a.rank, b.rank),
-			compareBool(b.starve, a.starve),
-			compareBool(b.within, a.within),
-			compareBool(a.aged != agedFirst, b.aged != agedFirst),
+			compareBool(b.starved, a.starved),
+			compareBool(b.withinGuarantee, a.withinGuarantee),
+			compareBool(a.longLate != agedFirst, b.longLate != agedFirst),
 			compareBool(a.late, b.late),
-			cmp.Compare(a.claim, b.claim),
-			cmp.Compare(a.job.ReadyMS(), b.job.ReadyMS()),
+			cmp.Compare(a.weight, b.weight),
+			cmp.Compare(a.job.ReadyAtMS(), b.job.ReadyAtMS()),
 			cmp.Compare(a.job.ID, b.job.ID),
 		)
 	})
@@ -58,30 +58,30 @@
 
 // rate works out a job's claim, and whether it is late or starves, from how many
 // tasks are left of it and whether any has begun.
-func (w *waiting) rate(left int, begun bool, aims []config.Objective, nowMS int64) {
+func (w *pendingJob) rate(left int, begun bool, aims []config.Objective, nowMS int64) {
 	j := w.job
-	age := float64(nowMS-j.ReadyMS()) / 1000
-	w.starve = !begun && age > bound
-	if j.Standing() {
+	age := float64(nowMS-j.ReadyAtMS()) / 1000
+	w.starved = !begun && age > maxDelaySeconds
+	if j.IsService() {
 		return
 	}
-	w.claim = float64(left) * max(j.CPUs, 0.1) * runS(j) / (age + runS(j))
-	last := j.DeadlineS
+	w.weight = float64(left) * max(j.CPUs, 0.1) * expectedRunSeconds(j) / (age + expectedRunSeconds(j))
+	last := j.DeadlineSeconds
 	for _, o := range aims {
 		switch {
 		case o.Class != j.Class:
-		case o.Kind == "finished" && j.DeadlineS == 0:
-			last = o.WithinS
-		case o.Kind == "deadline" && j.DeadlineS > 0:
-			last = max(last, j.DeadlineS*o.Times)
+		case o.Kind == "finished" && j.DeadlineSeconds == 0:
+			last = o.WithinSeconds
+		case o.Kind == "deadline" && j.DeadlineSeconds > 0:
+			last = max(last, j.DeadlineSeconds*o.DeadlineFactor)
 		}
 	}
-	if j.DeadlineS > 0 {
-		age = float64(nowMS-j.AtMS) / 1000 // a deadline counts from the submission
+	if j.DeadlineSeconds > 0 {
+		age = float64(nowMS-j.SubmittedAtMS) / 1000 // a deadline counts from the submission
 	}
-	w.late = last > 0 && age+runS(j) > last
-	if w.aged = last > 0 && age > last+bound; w.aged {
-		w.claim = 0 // by arrival
+	w.late = last > 0 && age+expectedRunSeconds(j) > last
+	if w.longLate = last > 0 && age > last+maxDelaySeconds; w.longLate {
+		w.weight = 0 // by arrival
 	}
 }
 
@@ -89,62 +89,62 @@
 // nothing has begun of by then goes first, and what has been late for so long
 // takes turns with what is not: else large jobs would starve for as long as more
 // is asked for than can be done.
-const bound = 100.0 // seconds
+const maxDelaySeconds = 100.0 // seconds
 
 // agedTurn is in how many passes that place something work that has been late
 // for long goes first once.
-const agedTurn = 3
+const longLateTurn = 3
 
 // unfinished lists the unfinished jobs of the homes held, in the order in which they
 // could start.
-func (h *holder) unfinished() []*bookkeeping.Job {
-	n := h.n
-	if h.jobsSeen != n.cache.JobsSeen {
-		h.jobsSeen = n.cache.JobsSeen
-		h.mine = h.mine[:0]
-		n.cache.Jobs.All(func(_ int, j *bookkeeping.Job) {
-			if j.Wanted() {
-				h.mine = append(h.mine, j)
+func (h *reconciler) sortedActiveJobs() []*storage.Job {
+	n := h.controller
+	if h.seenJobsAdded != n.view.JobsAdded {
+		h.seenJobsAdded = n.view.JobsAdded
+		h.activeJobs = h.activeJobs[:0]
+		n.view.Jobs.All(func(_ int, j *storage.Job) {
+			if j.Active() {
+				h.activeJobs = append(h.activeJobs, j)
 			}
 		})
-		slices.SortFunc(h.mine, func(a, b *bookkeeping.Job) int {
-			return cmp.Or(cmp.Compare(a.ReadyMS(), b.ReadyMS()), cmp.Compare(a.ID, b.ID))
+		slices.SortFunc(h.activeJobs, func(a, b *storage.Job) int {
+			return cmp.Or(cmp.Compare(a.ReadyAtMS(), b.ReadyAtMS()), cmp.Compare(a.ID, b.ID))
 		})
 	}
-	h.mine = slices.DeleteFunc(h.mine, func(j *bookkeeping.Job) bool { return !j.Wanted() })
-	return h.mine
+	h.activeJobs = slices.DeleteFunc(h.activeJobs, func(j *storage.Job) bool { return !j.Active() })
+	return h.activeJobs
 }
 
 // waitingJobs lists the jobs of the homes held with open tasks, in order.
-func (h *holder) waitingJobs(now time.Duration) []waiting {
-	n := h.n
-	var list []waiting
-	booked := map[int][]usage{}
+func (h *reconciler) pendingJobs(now time.Duration) []pendingJob {
+	n := h.controller
+	var list []pendingJob
+	booked := map[int][]teamUsage{}
 	nowMS := n.Clock.Wall().UnixMilli()
-	for _, j := range h.unfinished() {
-		if !j.Runnable() || h.writers[j.Home] == nil || !n.entitled(j.Home) {
+	for _, j := range h.sortedActiveJobs() {
+		if !j.Runnable() || h.writers[j.Shard] == nil || !n.mayActFor(j.Shard) {
 			continue
 		}
-		if booked[j.Home] == nil {
-			booked[j.Home] = make([]usage, len(n.cache.Teams))
+		if booked[j.Shard] == nil {
+			booked[j.Shard] = make([]teamUsage, len(n.view.Teams))
 		}
-		t := &n.cache.Teams[j.TeamIdx]
+		t := &n.view.Teams[j.TeamIndex]
 		p := h.progress(j)
-		open := float64(j.Tasks - p.doneN)
-		b := &booked[j.Home][j.TeamIdx]
-		within := t.Guaranteed && b.cpus+open*j.CPUs <= n.cache.Share(t, j.Home, t.CPUs)+1e-6 &&
-			(j.GPUs == 0 || b.gpus+open*j.GPUs <= n.cache.Share(t, j.Home, t.GPUs)+1e-6)
+		open := float64(j.Tasks - p.completedCount)
+		b := &booked[j.Shard][j.TeamIndex]
+		within := t.HasGuarantee && b.cpus+open*j.CPUs <= n.view.QuotaShare(t, j.Shard, t.GuaranteedCPUs)+1e-6 &&
+			(j.GPUs == 0 || b.gpus+open*j.GPUs <= n.view.QuotaShare(t, j.Shard, t.GuaranteedGPUs)+1e-6)
 		b.cpus += open * j.CPUs
 		b.gpus += open * j.GPUs
-		p.within = within
-		if now < p.backoff || h.nextOpen(j, p) < 0 {
+		p.withinGuarantee = within
+		if now < p.backoffUntil || h.nextOpenTask(j, p) < 0 {
 			continue
 		}
-		w := waiting{job: j, prog: p, within: within, rank: n.cache.EffectiveRank(j)}
-		w.rate(j.Tasks-p.doneN, p.attempts > 0 || p.doneN > 0, n.Settings.Cluster.Objectives, nowMS)
-		p.starved = p.starved || w.starve
+		w := pendingJob{job: j, progress: p, withinGuarantee: within, rank: n.view.EffectiveRank(j)}
+		w.rate(j.Tasks-p.completedCount, p.attempts > 0 || p.completedCount > 0, n.Settings.Cluster.Objectives, nowMS)
+		p.starved = p.starved || w.starved
 		list = append(list, w)
 	}
-	order(list, h.placingPasses%agedTurn == agedTurn-1)
+	sortPendingJobs(list, h.placingPasses%longLateTurn == longLateTurn-1)
 	return list
 }
--- a/internal/coordination/needs.go
+++ b/internal/coordination/needs.go
@@ -3,51 +3,51 @@
 import (
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // needVerdict is what is known of the jobs that a submission names as those that must
 // be done before. Of several jobs the highest counts.
-type needVerdict int
+type dependencyVerdict int
 
 const (
-	needAccepted   needVerdict = iota // it was accepted
-	needCancelled                     // it was accepted, and is cancelled
-	needUndecided                     // it could not be found out
-	needImpossible                    // it was never accepted, or is a service: no job can wait for it
+	dependencyAccepted   dependencyVerdict = iota // it was accepted
+	dependencyCancelled                           // it was accepted, and is cancelled
+	dependencyUndecided                           // it could not be found out
+	dependencyImpossible                          // it was never accepted, or is a service: no job can wait for it
 )
 
 // mostNeedReads is for how many jobs that are not known here a read each is worth it.
-const mostNeedReads = 8
+const maxDependencyReads = 8
 
 // checkNeeds finds out what has become of all the jobs that a submission names. The
 // verdict needImpossible rests on reads that began after the submission came.
-func (n *Node) checkNeeds(ids []string, done func(needVerdict)) {
-	worst, unknown := n.knownNeeds(ids)
-	if worst == needImpossible || len(unknown) == 0 {
+func (n *Controller) checkDependencies(ids []string, done func(dependencyVerdict)) {
+	worst, unknown := n.knownDependencies(ids)
+	if worst == dependencyImpossible || len(unknown) == 0 {
 		done(worst)
 		return
 	}
-	if len(unknown) <= mostNeedReads {
-		n.readNeeds(unknown, worst, done)
+	if len(unknown) <= maxDependencyReads {
+		n.readDependencies(unknown, worst, done)
 		return
 	}
 	// What other controllers have accepted comes with the changes, with one read.
 	n.sync(func(err error) {
 		if err != nil {
-			done(needUndecided)
+			done(dependencyUndecided)
 			return
 		}
-		verdict, unknown := n.knownNeeds(unknown)
-		n.readNeeds(unknown, max(worst, verdict), done)
+		verdict, unknown := n.knownDependencies(unknown)
+		n.readDependencies(unknown, max(worst, verdict), done)
 	})
 }
 
 // knownNeeds gives the verdict on the jobs that are known here, and lists the others.
-func (n *Node) knownNeeds(ids []string) (worst needVerdict, unknown []string) {
+func (n *Controller) knownDependencies(ids []string) (worst dependencyVerdict, unknown []string) {
 	for _, id := range ids {
-		if verdict, known := n.knownNeed(id); known {
+		if verdict, known := n.knownDependency(id); known {
 			worst = max(worst, verdict)
 		} else {
 			unknown = append(unknown, id)
@@ -57,48 +57,48 @@
 }
 
 // knownNeed gives the verdict on a job that is known here.
-func (n *Node) knownNeed(id string) (verdict needVerdict, known bool) {
-	if f, over := n.finals[id]; over {
+func (n *Controller) knownDependency(id string) (verdict dependencyVerdict, known bool) {
+	if f, over := n.finalRecords[id]; over {
 		return verdictOn(f), true
 	}
-	if _, j := n.cache.Jobs.Find(id); j != nil && !j.Over() {
+	if _, j := n.view.Jobs.Find(id); j != nil && !j.Ended() {
 		switch {
-		case j.Standing():
-			return needImpossible, true
-		case !j.Wanted():
-			return needCancelled, true
+		case j.IsService():
+			return dependencyImpossible, true
+		case !j.Active():
+			return dependencyCancelled, true
 		}
-		return needAccepted, true
+		return dependencyAccepted, true
 	}
-	if kind, found := n.accepted.kind(id); found {
+	if kind, found := n.recentlyAccepted.kind(id); found {
 		return verdictOnKind(kind), true
 	}
-	return needUndecided, false
+	return dependencyUndecided, false
 }
 
-func verdictOn(f bookkeeping.FinalRecord) needVerdict {
-	if f.Stage == protocol.StageWithdrawn {
-		return needCancelled
+func verdictOn(f storage.FinalRecord) dependencyVerdict {
+	if f.Stage == protocol.StageCancelled {
+		return dependencyCancelled
 	}
-	return needAccepted
+	return dependencyAccepted
 }
 
-func verdictOnKind(kind string) needVerdict {
+func verdictOnKind(kind string) dependencyVerdict {
 	if kind == protocol.KindService {
-		return needImpossible
+		return dependencyImpossible
 	}
-	return needAccepted
+	return dependencyAccepted
 }
 
 // readNeeds reads jobs that are not known here.
-func (n *Node) readNeeds(ids []string, worst needVerdict, done func(needVerdict)) {
+func (n *Controller) readDependencies(ids []string, worst dependencyVerdict, done func(dependencyVerdict)) {
 	left := len(ids)
 	if left == 0 {
 		done(worst)
 		return
 	}
 	for _, id := range ids {
-		n.readNeed(id, func(verdict needVerdict) {
+		n.readDependency(id, func(verdict dependencyVerdict) {
 			worst = max(worst, verdict)
 			if left--; left == 0 {
 				done(worst)
@@ -110,28 +110,28 @@
 // readNeed reads a job: first the record of an unfinished one, then the final one. A
 // job moves from the one to the other in a single transaction, so one that is found
 // under neither had not been accepted when the first read began.
-func (n *Node) readNeed(id string, done func(needVerdict)) {
-	n.State.Get(bookkeeping.JobKey(id), func(it protocol.Item, found bool, err error) {
+func (n *Controller) readDependency(id string, done func(dependencyVerdict)) {
+	n.Store.Get(storage.JobKey(id), func(it protocol.KeyValue, found bool, err error) {
 		if err != nil {
-			done(needUndecided)
+			done(dependencyUndecided)
 			return
 		}
 		if found {
-			var rec bookkeeping.JobRecord
+			var rec storage.JobRecord
 			if err := protocol.Decode(it.Value, &rec); err != nil {
 				n.Log.Error("unreadable record", "key", it.Key, "err", err)
-				done(needUndecided)
+				done(dependencyUndecided)
 				return
 			}
 			done(verdictOnKind(rec.Spec.Kind))
 			return
 		}
-		n.readFinal(id, func(f bookkeeping.FinalRecord, found bool, err error) {
+		n.readFinal(id, func(f storage.FinalRecord, found bool, err error) {
 			switch {
 			case err != nil:
-				done(needUndecided)
+				done(dependencyUndecided)
 			case !found:
-				done(needImpossible)
+				done(dependencyImpossible)
 			default:
 				done(verdictOn(f))
 			}
@@ -142,23 +142,23 @@
 // acceptedMemory remembers the kinds of jobs that were accepted here a moment ago: the
 // next job of a pipeline often comes before the changes bring the record of the one
 // that it needs.
-type acceptedMemory struct {
+type recentSubmissions struct {
 	recent, earlier map[string]string
-	turnedAt        time.Duration
+	rotatedAt       time.Duration
 }
 
 // acceptedFor is for how long at least an accepted job is remembered: far longer than
 // the changes take to bring its record.
-const acceptedFor = 10 * time.Second
+const recentSubmissionPeriod = 10 * time.Second
 
-func (m *acceptedMemory) add(id, kind string, now time.Duration) {
-	if m.recent == nil || now-m.turnedAt > acceptedFor {
-		m.recent, m.earlier, m.turnedAt = map[string]string{}, m.recent, now
+func (m *recentSubmissions) add(id, kind string, now time.Duration) {
+	if m.recent == nil || now-m.rotatedAt > recentSubmissionPeriod {
+		m.recent, m.earlier, m.rotatedAt = map[string]string{}, m.recent, now
 	}
 	m.recent[id] = kind
 }
 
-func (m *acceptedMemory) kind(id string) (kind string, found bool) {
+func (m *recentSubmissions) kind(id string) (kind string, found bool) {
 	if kind, found = m.recent[id]; !found {
 		kind, found = m.earlier[id]
 	}
--- a/internal/coordination/outcomes.go
+++ b/internal/coordination/outcomes.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // A job that is over leaves the records that controllers follow, and its leaving does
@@ -14,9 +14,9 @@
 
 // outcomeReader reads final records of needed jobs.
 type outcomeReader struct {
-	n       *Node
-	waiting map[string][]func(error) // by job: who waits for its final record
-	pace    bucket
+	controller *Controller
+	waiting    map[string][]func(error) // by job: who waits for its final record
+	readBudget tokenBucket
 }
 
 // outcomeReadShare is the part of the requests to the state service that one
@@ -24,39 +24,39 @@
 // changes and the leases, which take a quarter and a few, are never in want.
 const outcomeReadShare = 0.125
 
-func newOutcomeReader(n *Node) *outcomeReader {
-	return &outcomeReader{n: n, waiting: map[string][]func(error){}, pace: newBucket(max(1, outcomeReadShare*n.limits.RequestRate))}
+func newOutcomeReader(n *Controller) *outcomeReader {
+	return &outcomeReader{controller: n, waiting: map[string][]func(error){}, readBudget: newTokenBucket(max(1, outcomeReadShare*n.storeLimits.RequestRate))}
 }
 
 // read calls done once the final record of a job is known, or could not be read.
 func (r *outcomeReader) read(id string, done func(error)) {
-	if f, ok := r.n.finals[id]; ok {
-		r.n.setOutcome(id, f)
+	if f, ok := r.controller.finalRecords[id]; ok {
+		r.controller.setOutcome(id, f)
 		done(nil)
 		return
 	}
 	_, underWay := r.waiting[id]
 	r.waiting[id] = append(r.waiting[id], done)
 	if !underWay {
-		r.send(id)
+		r.readOrDefer(id)
 	}
 }
 
 // send reads a final record, later where too many have been read.
-func (r *outcomeReader) send(id string) {
-	n := r.n
+func (r *outcomeReader) readOrDefer(id string) {
+	n := r.controller
 	now := n.now()
-	if !r.pace.take(now, 1) {
-		n.later(r.pace.until(1), func() { r.send(id) })
+	if !r.readBudget.take(now, 1) {
+		n.later(r.readBudget.timeUntil(1), func() { r.readOrDefer(id) })
 		return
 	}
-	era := n.era
-	n.readFinal(id, func(_ bookkeeping.FinalRecord, found bool, err error) {
-		if era != n.era {
+	era := n.generation
+	n.readFinal(id, func(_ storage.FinalRecord, found bool, err error) {
+		if era != n.generation {
 			return
 		}
 		if err == nil && !found {
-			err = fmt.Errorf("%w: no final record of %s", protocol.ErrUnknown, id)
+			err = fmt.Errorf("%w: no final record of %s", protocol.ErrOutcomeUnknown, id)
 			n.Log.Error("a job is over and has no final record", "job", id)
 		}
 		waiting := r.waiting[id]
@@ -71,7 +71,7 @@
 func (r *outcomeReader) abandon() {
 	for _, waiting := range r.waiting {
 		for _, done := range waiting {
-			done(protocol.ErrNotDone)
+			done(protocol.ErrNotExecuted)
 		}
 	}
 	clear(r.waiting)
@@ -79,7 +79,7 @@
 
 // readAll calls done once the final records of all the jobs are known; with an error if
 // any could not be read.
-func (r *outcomeReader) readAll(jobs []*bookkeeping.Job, done func(error)) {
+func (r *outcomeReader) readAll(jobs []*storage.Job, done func(error)) {
 	left := len(jobs)
 	if left == 0 {
 		done(nil)
@@ -100,12 +100,12 @@
 
 // want reads, on a controller that places work or rents machines, what it does not
 // know yet.
-func (r *outcomeReader) want() {
-	n := r.n
-	if n.lead == nil && len(n.hold.writers) == 0 {
+func (r *outcomeReader) readWanted() {
+	n := r.controller
+	if n.leadership == nil && len(n.reconciler.writers) == 0 {
 		return
 	}
-	for _, j := range n.cache.Unread() {
+	for _, j := range n.view.UnreadOutcomes() {
 		if _, underWay := r.waiting[j.ID]; !underWay {
 			r.read(j.ID, func(error) {}) // the next tick asks again
 		}
@@ -114,44 +114,44 @@
 
 // readFinal reads the final record of a job and remembers it; found is false where the
 // job is not over, or was never accepted.
-func (n *Node) readFinal(id string, done func(f bookkeeping.FinalRecord, found bool, err error)) {
-	n.State.Get(bookkeeping.FinalKey(id), func(it protocol.Item, found bool, err error) {
+func (n *Controller) readFinal(id string, done func(f storage.FinalRecord, found bool, err error)) {
+	n.Store.Get(storage.FinalKey(id), func(it protocol.KeyValue, found bool, err error) {
 		if err != nil || !found {
-			done(bookkeeping.FinalRecord{}, false, err)
+			done(storage.FinalRecord{}, false, err)
 			return
 		}
-		f, err := bookkeeping.DecodeFinal(it.Value)
+		f, err := storage.DecodeFinal(it.Value)
 		if err == nil {
-			n.remember(id, f)
+			n.rememberFinal(id, f)
 		}
 		done(f, err == nil, err)
 	})
 }
 
 // setOutcome takes in how a job ended, and what follows for those that need it.
-func (n *Node) setOutcome(id string, f bookkeeping.FinalRecord) {
-	released, cancelled := n.cache.SetOutcome(id, f)
+func (n *Controller) setOutcome(id string, f storage.FinalRecord) {
+	released, cancelled := n.view.SetOutcome(id, f)
 	for _, j := range released {
-		if n.holds(j.Home) {
-			n.stats.released.Add(1)
+		if n.holdsShard(j.Shard) {
+			n.stats.jobsReleased.Add(1)
 			n.Log.Info("job released", "job", j.ID, "after", id)
 		}
 	}
-	n.noteCancelledWith(cancelled)
+	n.noteCancelledDependents(cancelled)
 	if len(released) > 0 {
-		n.hold.schedulePass()
+		n.reconciler.schedulePass()
 	}
 }
 
 // noteCancelledWith says which jobs are cancelled with another.
-func (n *Node) noteCancelledWith(jobs []*bookkeeping.Job) {
+func (n *Controller) noteCancelledDependents(jobs []*storage.Job) {
 	for _, j := range jobs {
-		if n.holds(j.Home) {
-			n.stats.cancelledWith.Add(1)
-			n.Log.Info("job cancelled with another", "job", j.ID, "with", j.CancelledWith().ID)
+		if n.holdsShard(j.Shard) {
+			n.stats.jobsCancelledByDependency.Add(1)
+			n.Log.Info("job cancelled with another", "job", j.ID, "with", j.CancelledBy().ID)
 		}
 	}
 	if len(jobs) > 0 {
-		n.hold.schedulePass()
+		n.reconciler.schedulePass()
 	}
 }
--- a/internal/coordination/oversized_pages.go
+++ b/internal/coordination/oversized_pages.go
@@ -17,30 +17,30 @@
 func (d *recordWriter) oversized(p *intentPage) bool { return p.bytes > d.pageCapacity() }
 
 // writable reports whether a page of intents may be written, and take new attempts.
-func (d *recordWriter) writable(p *intentPage) bool {
-	p.moved = slices.DeleteFunc(p.moved, (*attempt).namedElsewhere)
+func (d *recordWriter) intentPageWritable(p *intentPage) bool {
+	p.moved = slices.DeleteFunc(p.moved, (*attempt).recordedElsewhere)
 	return !d.oversized(p) && len(p.moved) == 0
 }
 
 // namedElsewhere reports whether the page that an attempt is not on any more need not
 // name it: the records name it on another one, or it is over.
-func (a *attempt) namedElsewhere() bool {
-	if a.on.attempts[a.ref()] != a {
+func (a *attempt) recordedElsewhere() bool {
+	if a.agent.attempts[a.ref()] != a {
 		return true
 	}
-	intent := a.on.m.Intents[a.ref()]
-	return a.page != nil && intent.Try == a.try && intent.Page == a.page.id.Page
+	intent := a.agent.machine.Intents[a.ref()]
+	return a.page != nil && intent.Attempt == a.number && intent.Page == a.page.id.Page
 }
 
 // shrinkOversized moves attempts from a page that is too large and due to be written:
 // machines that drain wait for the names that it still holds. One page at a time is
 // enough, since new tasks need the writes too.
 func (d *recordWriter) shrinkOversized(now time.Duration) {
-	if slices.ContainsFunc(d.pages, func(p *intentPage) bool { return len(p.moved) > 0 }) {
+	if slices.ContainsFunc(d.intentPages, func(p *intentPage) bool { return len(p.moved) > 0 }) {
 		return
 	}
-	for _, p := range d.pages {
-		if d.oversized(p) && d.due(p, now) {
+	for _, p := range d.intentPages {
+		if d.oversized(p) && d.intentPageDue(p, now) {
 			d.shrink(p)
 			return
 		}
@@ -54,7 +54,7 @@
 		list = append(list, a)
 	}
 	slices.SortFunc(list, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.job.Index, b.job.Index), cmp.Compare(a.task, b.task), cmp.Compare(a.try, b.try))
+		return cmp.Or(cmp.Compare(a.job.Index, b.job.Index), cmp.Compare(a.task, b.task), cmp.Compare(a.number, b.number))
 	})
 	for _, a := range list {
 		if !d.oversized(p) {
@@ -65,13 +65,13 @@
 		p.moved = append(p.moved, a)
 		d.unassigned = append(d.unassigned, a)
 	}
-	d.h.n.Log.Info("page of intents over the limit", "shard", d.shard, "page", p.id.Page, "moved", len(p.moved), "left", len(p.attempts))
+	d.reconciler.controller.Log.Info("page of intents over the limit", "shard", d.shard, "page", p.id.Page, "moved", len(p.moved), "left", len(p.attempts))
 }
 
 // move takes a chunk off a page that is too large.
-func (p *donePage) move(c doneChunk, now time.Duration) {
+func (p *completionPage) move(c completionChunk, now time.Duration) {
 	p.remove(c)
-	delete(c.p.pages, c.chunk)
+	delete(c.progress.completionPages, c.chunk)
 	p.moved = append(p.moved, c)
 	if p.dirtyAt == 0 {
 		p.dirtyAt = now
@@ -79,31 +79,31 @@
 }
 
 // writableDone reports whether a page of completed tasks may be written.
-func (d *recordWriter) writableDone(p *donePage) bool {
-	d.forgetOver(p)
-	p.moved = slices.DeleteFunc(p.moved, func(c doneChunk) bool {
-		page := c.p.pages[c.chunk]
-		return d.forgotten(c) || page != nil && c.p.job.DonePage[c.chunk] == page.id.Page
+func (d *recordWriter) completionPageWritable(p *completionPage) bool {
+	d.dropEndedJobs(p)
+	p.moved = slices.DeleteFunc(p.moved, func(c completionChunk) bool {
+		page := c.progress.completionPages[c.chunk]
+		return d.chunkObsolete(c) || page != nil && c.progress.job.CompletionPages[c.chunk] == page.id.Page
 	})
 	return p.bytes <= d.pageCapacity() && len(p.moved) == 0
 }
 
 // forgotten reports whether nobody needs to know any more which tasks of a chunk are
 // done.
-func (d *recordWriter) forgotten(c doneChunk) bool {
-	return c.p.job.Over() || d.h.jobs[c.p.job] != c.p
+func (d *recordWriter) chunkObsolete(c completionChunk) bool {
+	return c.progress.job.Ended() || d.reconciler.jobs[c.progress.job] != c.progress
 }
 
 // forgetOver takes the chunks of jobs that are over off a page.
-func (d *recordWriter) forgetOver(p *donePage) {
+func (d *recordWriter) dropEndedJobs(p *completionPage) {
 	for c := range p.chunks {
-		if d.forgotten(c) {
+		if d.chunkObsolete(c) {
 			p.remove(c)
 		}
 	}
 }
 
-func (p *donePage) remove(c doneChunk) {
+func (p *completionPage) remove(c completionChunk) {
 	if p.chunks[c] {
 		delete(p.chunks, c)
 		p.bytes -= c.size()
@@ -113,12 +113,12 @@
 // oversizedValues counts the values of a home that are over the limit.
 func (d *recordWriter) oversizedValues() int {
 	count := 0
-	for _, p := range d.pages {
+	for _, p := range d.intentPages {
 		if d.oversized(p) {
 			count++
 		}
 	}
-	for _, p := range d.done {
+	for _, p := range d.completionPages {
 		if p.bytes > d.pageCapacity() {
 			count++
 		}
--- a/internal/coordination/oversized_test.go
+++ b/internal/coordination/oversized_test.go
@@ -7,24 +7,24 @@
 	"testing"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // flushFor lets the writer of a home write for so long, as passes do.
-func (b *bench) flushFor(seconds int, each func()) {
+func (b *testController) flushFor(seconds int, each func()) {
 	b.t.Helper()
-	w := b.n.hold.writers[0]
+	w := b.controller.reconciler.writers[0]
 	for range 5 * seconds {
 		b.now += 200 * time.Millisecond
-		b.fresh()
+		b.refreshKnowledge()
 		w.flush()
-		b.carryOut()
-		for _, p := range w.pages {
-			p.writing = false
+		b.applyTransactions()
+		for _, p := range w.intentPages {
+			p.writeInFlight = false
 		}
-		for _, p := range w.done {
-			p.writing = false
+		for _, p := range w.completionPages {
+			p.writeInFlight = false
 		}
 		each()
 	}
@@ -36,31 +36,31 @@
 // it. Before, such a page was written as it was and refused for ever, and a machine
 // that drained kept its name on it for as long.
 func TestOversizedPagesAreEmptied(t *testing.T) {
-	b := grownBench(t)
-	b.n.limits.ValueBytes, b.n.limits.Changes = 512, 4
-	w := b.n.hold.writers[0]
+	b := newFleetController(t)
+	b.controller.storeLimits.ValueBytes, b.controller.storeLimits.Operations = 512, 4
+	w := b.controller.reconciler.writers[0]
 	before := w.oversizedValues()
 	if before < 30 {
 		t.Fatalf("%d pages are over the limit", before)
 	}
-	lost := b.n.hold.machines[grownMachine(17)]
-	lost.m.Phase = bookkeeping.PhaseDrain
-	b.n.hold.end(lost.attempts[refs(lost.attempts)[0]], "stopped")
-	other := b.n.hold.machines[grownMachine(200)] // goes on taking tasks, so there is no hurry
-	b.n.hold.end(other.attempts[refs(other.attempts)[0]], "stopped")
+	lost := b.controller.reconciler.agents[fleetMachineName(17)]
+	lost.machine.Phase = storage.PhaseDraining
+	b.controller.reconciler.end(lost.attempts[sortedTasks(lost.attempts)[0]], "stopped")
+	other := b.controller.reconciler.agents[fleetMachineName(200)] // goes on taking tasks, so there is no hurry
+	b.controller.reconciler.end(other.attempts[sortedTasks(other.attempts)[0]], "stopped")
 	b.flushFor(10, func() {
 		t.Helper()
-		for _, x := range b.n.hold.list {
+		for _, x := range b.controller.reconciler.sortedAgents {
 			for ref, a := range x.attempts {
-				if x.m.Intents[ref].Try != a.try {
-					t.Fatalf("no page names the task on %s", x.m.Name)
+				if x.machine.Intents[ref].Attempt != a.number {
+					t.Fatalf("no page names the task on %s", x.machine.Name)
 				}
 			}
 		}
 	})
-	for _, x := range []*holding{lost, other} {
-		if len(x.m.Intents) > 0 {
-			t.Errorf("%s is still named", x.m.Name)
+	for _, x := range []*agent{lost, other} {
+		if len(x.machine.Intents) > 0 {
+			t.Errorf("%s is still named", x.machine.Name)
 		}
 	}
 	if left := w.oversizedValues(); left != before-2 {
@@ -71,38 +71,38 @@
 // TestOversizedDonePageIsEmptied is the same for a page of completed tasks: what has
 // completed is in the records all the time.
 func TestOversizedDonePageIsEmptied(t *testing.T) {
-	b := newBench(t)
+	b := newTestController(t)
 	const jobs = 60
 	id := func(i int) string { return fmt.Sprintf("run-%06d", 100+i) }
-	page := bookkeeping.DonePage{}
+	page := storage.CompletionPage{}
 	for i := range jobs {
-		page[bookkeeping.DoneName(id(i), 0)] = []byte{1}
-		b.apply(bookkeeping.JobKey(id(i)), bookkeeping.JobRecord{Spec: protocol.Spec{
+		page[storage.CompletionChunkName(id(i), 0)] = []byte{1}
+		b.apply(storage.JobKey(id(i)), storage.JobRecord{Spec: protocol.JobSpec{
 			ID: id(i), Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 80, CPUs: 1, MemoryGB: 1,
 		}})
 	}
-	b.apply(bookkeeping.DoneKey(firstPage), page)
-	b.n.changed(true)
-	w := b.n.hold.writers[0]
+	b.apply(storage.CompletionPageKey(firstPage), page)
+	b.controller.recordsChanged(true)
+	w := b.controller.reconciler.writers[0]
 	for i := range jobs {
-		_, j := b.n.cache.Jobs.Find(id(i))
-		b.n.hold.progress(j)
+		_, j := b.controller.view.Jobs.Find(id(i))
+		b.controller.reconciler.progress(j)
 	}
-	b.n.limits.ValueBytes, b.n.limits.Changes = 1024, 4
+	b.controller.storeLimits.ValueBytes, b.controller.storeLimits.Operations = 1024, 4
 	if w.oversizedValues() != 1 {
 		t.Fatalf("%d pages are over the limit", w.oversizedValues())
 	}
 	completed := func(i, task int) {
-		_, j := b.n.cache.Jobs.Find(id(i))
-		p := b.n.hold.progress(j)
-		p.done.Set(task)
-		p.doneN++
-		w.completed(p, 0, b.now)
+		_, j := b.controller.view.Jobs.Find(id(i))
+		p := b.controller.reconciler.progress(j)
+		p.completed.Set(task)
+		p.completedCount++
+		w.markCompleted(p, 0, b.now)
 	}
 	recorded := func(i, task int) bool {
 		for key, value := range b.values {
-			var rec bookkeeping.DonePage
-			if strings.HasPrefix(key, "r/d/") && json.Unmarshal(value, &rec) == nil && bookkeeping.Bits(rec[bookkeeping.DoneName(id(i), 0)]).Has(task) {
+			var rec storage.CompletionPage
+			if strings.HasPrefix(key, "r/d/") && json.Unmarshal(value, &rec) == nil && storage.TaskSet(rec[storage.CompletionChunkName(id(i), 0)]).Has(task) {
 				return true
 			}
 		}
@@ -132,23 +132,23 @@
 }
 
 // leading makes the node the leader, whose fleet knows the machine types.
-func (b *bench) leading() *fleet {
+func (b *testController) becomeLeader() *provisioner {
 	const lease = 9
-	b.n.candidateLeases[lease] = true
-	b.apply(bookkeeping.KeyLeader, bookkeeping.LeaderRecord{Node: "a", Incarnation: b.n.incarnation, Term: 6, Lease: lease})
-	b.n.checkLeadership()
-	if b.n.lead == nil {
+	b.controller.candidateLeases[lease] = true
+	b.apply(storage.KeyLeader, storage.LeaderRecord{Controller: "a", Incarnation: b.controller.incarnation, Term: 6, Lease: lease})
+	b.controller.checkLeadership()
+	if b.controller.leadership == nil {
 		b.t.Fatal("it does not lead")
 	}
-	b.n.lead.fleet.gotTypes = true
-	return b.n.lead.fleet
+	b.controller.leadership.provisioner.hasMachineTypes = true
+	return b.controller.leadership.provisioner
 }
 
 // largeBlock is a block that was recorded under higher limits.
-func largeBlock(machines int) bookkeeping.BlockRecord {
-	rec := bookkeeping.BlockRecord{Type: "small", Zone: "z", Token: grantToken}
+func largeBlock(machines int) storage.MachineGroupRecord {
+	rec := storage.MachineGroupRecord{Type: "small", Zone: "z", FencingToken: grantToken}
 	for i := range machines {
-		rec.Machines = append(rec.Machines, bookkeeping.BlockMachine{Name: grownMachine(5000 + i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
+		rec.Machines = append(rec.Machines, storage.MachineEntry{Name: fleetMachineName(5000 + i), Address: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
 	}
 	return rec
 }
@@ -158,33 +158,33 @@
 // and is held as before.
 func TestOversizedBlockIsSplit(t *testing.T) {
 	for _, machines := range []int{60, 69, 90} {
-		b := newBench(t)
-		f := b.leading()
-		b.apply(bookkeeping.BlockKey("large"), largeBlock(machines))
-		b.n.changed(true)
-		held := map[string]*holding{}
-		for name, x := range b.n.hold.machines {
+		b := newTestController(t)
+		f := b.becomeLeader()
+		b.apply(storage.MachineGroupKey("large"), largeBlock(machines))
+		b.controller.recordsChanged(true)
+		held := map[string]*agent{}
+		for name, x := range b.controller.reconciler.agents {
 			held[name] = x
 		}
-		b.n.limits.ValueBytes, b.n.limits.Changes, b.n.limits.Conditions = 2048, 3, 12
-		_, leaving := b.n.cache.Machines.Find(grownMachine(5020))
+		b.controller.storeLimits.ValueBytes, b.controller.storeLimits.Operations, b.controller.storeLimits.Conditions = 2048, 3, 12
+		_, leaving := b.controller.view.Machines.Find(fleetMachineName(5020))
 		clear(f.changes)
-		f.phase(leaving, bookkeeping.PhaseDrain, "idle")
-		b.txns = nil
-		f.flush(b.now)
-		if len(b.txns) != 1 {
-			t.Fatalf("%d transactions", len(b.txns))
+		f.setPhase(leaving, storage.PhaseDraining, "idle")
+		b.transactions = nil
+		f.flushChanges(b.now)
+		if len(b.transactions) != 1 {
+			t.Fatalf("%d transactions", len(b.transactions))
 		}
-		b.carryOut()
-		b.n.changed(true)
+		b.applyTransactions()
+		b.controller.recordsChanged(true)
 		blocks := map[string]int{}
 		for i := range machines {
-			_, m := b.n.cache.Machines.Find(grownMachine(5000 + i))
-			blocks[m.Block]++
-			if (m.Phase == bookkeeping.PhaseDrain) != (m == leaving) {
+			_, m := b.controller.view.Machines.Find(fleetMachineName(5000 + i))
+			blocks[m.Group]++
+			if (m.Phase == storage.PhaseDraining) != (m == leaving) {
 				t.Errorf("%s is in phase %s", m.Name, m.Phase)
 			}
-			if x := b.n.hold.machines[m.Name]; x != held[m.Name] || x.base != grantToken {
+			if x := b.controller.reconciler.agents[m.Name]; x != held[m.Name] || x.grantToken != grantToken {
 				t.Errorf("%s is held anew", m.Name)
 			}
 		}
@@ -197,32 +197,32 @@
 // TestOversizedBlockHandsOver: machines leave a block that is too large for another
 // home; where that is more than a transaction takes, the block is split first.
 func TestOversizedBlockHandsOver(t *testing.T) {
-	b := newBench(t)
-	f := b.leading()
-	b.apply(bookkeeping.BlockKey("large"), largeBlock(60))
-	b.n.changed(true)
-	b.n.limits.ValueBytes, b.n.limits.Changes, b.n.limits.Conditions = 2048, 3, 12
+	b := newTestController(t)
+	f := b.becomeLeader()
+	b.apply(storage.MachineGroupKey("large"), largeBlock(60))
+	b.controller.recordsChanged(true)
+	b.controller.storeLimits.ValueBytes, b.controller.storeLimits.Operations, b.controller.storeLimits.Conditions = 2048, 3, 12
 	moved := 0
 	for range 10 {
 		b.now += time.Second
-		b.fresh()
-		b.txns = nil
+		b.refreshKnowledge()
+		b.transactions = nil
 		clear(f.changes)
 		clear(f.moves)
 		for i := range 30 {
-			_, m := b.n.cache.Machines.Find(grownMachine(5000 + i))
+			_, m := b.controller.view.Machines.Find(fleetMachineName(5000 + i))
 			if m.Shard == 0 {
-				k := moveKey{m.Block, 1}
+				k := groupMove{m.Group, 1}
 				f.moves[k] = append(f.moves[k], m)
 			}
 		}
-		f.handOver()
-		b.carryOut()
-		clear(f.writing) // as the answers would
-		b.n.changed(true)
+		f.moveMachines()
+		b.applyTransactions()
+		clear(f.groupWritesInFlight) // as the answers would
+		b.controller.recordsChanged(true)
 	}
 	for i := range 60 {
-		if _, m := b.n.cache.Machines.Find(grownMachine(5000 + i)); m.Shard == 1 && m.Block != "" {
+		if _, m := b.controller.view.Machines.Find(fleetMachineName(5000 + i)); m.Shard == 1 && m.Group != "" {
 			moved++
 		}
 	}
@@ -234,16 +234,16 @@
 // TestRejectedForGood: what the service rejects is not sent again as it is; from then
 // on values and transactions are smaller.
 func TestRejectedForGood(t *testing.T) {
-	b := newBench(t)
-	before := b.n.limits
+	b := newTestController(t)
+	before := b.controller.storeLimits
 	value := make([]byte, 4000)
-	large := protocol.Txn{Then: []protocol.Op{{Put: "r/x", Value: value}, {Put: "r/y"}, {Put: "r/z"}, {Put: "r/u"}, {Put: "r/v"}}}
-	after := lowered(before, large)
-	if after.ValueBytes >= 4000 || after.ValueBytes < leastValueBytes || after.Changes >= 5 || after.Conditions != 4*after.Changes {
+	large := protocol.Transaction{Operations: []protocol.Operation{{Put: "r/x", Value: value}, {Put: "r/y"}, {Put: "r/z"}, {Put: "r/u"}, {Put: "r/v"}}}
+	after := reducedLimits(before, large)
+	if after.ValueBytes >= 4000 || after.ValueBytes < minValueBytes || after.Operations >= 5 || after.Conditions != 4*after.Operations {
 		t.Errorf("%+v after %+v", after, before)
 	}
-	small := protocol.Txn{Then: []protocol.Op{{Put: "r/x", Value: value[:100]}}}
-	if after := lowered(before, small); after != before {
+	small := protocol.Transaction{Operations: []protocol.Operation{{Put: "r/x", Value: value[:100]}}}
+	if after := reducedLimits(before, small); after != before {
 		t.Errorf("%+v: a small transaction says nothing of the limits", after)
 	}
 }
@@ -251,25 +251,25 @@
 // TestGauges: pages and blocks over the limit and jobs that wait for others are counted,
 // and not counted any more once they are written smaller, or done.
 func TestGauges(t *testing.T) {
-	b := newBench(t)
-	f := b.leading()
-	f.l.n.limits.ValueBytes = 2048
-	b.apply(bookkeeping.BlockKey("large"), largeBlock(60))
-	b.apply(bookkeeping.BlockKey("small"), largeBlock(2))
-	b.apply(bookkeeping.JobKey("run-2"), bookkeeping.JobRecord{Spec: protocol.Spec{ID: "run-2", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Needs: []string{"run-1"}}})
-	b.n.refreshGauges()
-	if s := b.n.Stats(); s.Oversized != 1 || s.Waiting != 1 {
+	b := newTestController(t)
+	f := b.becomeLeader()
+	f.leadership.controller.storeLimits.ValueBytes = 2048
+	b.apply(storage.MachineGroupKey("large"), largeBlock(60))
+	b.apply(storage.MachineGroupKey("small"), largeBlock(2))
+	b.apply(storage.JobKey("run-2"), storage.JobRecord{Spec: protocol.JobSpec{ID: "run-2", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Dependencies: []string{"run-1"}}})
+	b.controller.refreshGauges()
+	if s := b.controller.Stats(); s.OversizedValues != 1 || s.JobsAwaitingDependencies != 1 {
 		t.Errorf("%+v", s)
 	}
-	b.apply(bookkeeping.BlockKey("large"), largeBlock(3))
-	b.n.cache.SetOutcome("run-1", bookkeeping.FinalRecord{Stage: protocol.StageDone})
-	b.n.refreshGauges()
-	if s := b.n.Stats(); s.Oversized != 1 || s.Waiting != 1 {
+	b.apply(storage.MachineGroupKey("large"), largeBlock(3))
+	b.controller.view.SetOutcome("run-1", storage.FinalRecord{Stage: protocol.StageDone})
+	b.controller.refreshGauges()
+	if s := b.controller.Stats(); s.OversizedValues != 1 || s.JobsAwaitingDependencies != 1 {
 		t.Errorf("counted again before it was time: %+v", s)
 	}
-	b.now += gaugesEvery
-	b.n.refreshGauges()
-	if s := b.n.Stats(); s.Oversized != 0 || s.Waiting != 0 {
+	b.now += gaugeInterval
+	b.controller.refreshGauges()
+	if s := b.controller.Stats(); s.OversizedValues != 0 || s.JobsAwaitingDependencies != 0 {
 		t.Errorf("%+v after they were mended", s)
 	}
 }
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -7,10 +7,10 @@
 )
 
 // mayStop reports whether work may be stopped to make room for a waiting job.
-func (h *holder) mayStop(w waiting, a *attempt) bool {
+func (h *reconciler) mayPreempt(w pendingJob, a *attempt) bool {
 	// What waits has its own priority, what may be stopped the highest of those that
 	// need it: a cheap first stage of a pipeline stops nothing and isn't stopped.
-	rank := h.n.cache.EffectiveRank(a.job)
+	rank := h.controller.view.EffectiveRank(a.job)
 	if rank > w.job.Rank() {
 		return true
 	}
@@ -20,28 +20,28 @@
 	// Nor is what goes before the waiting job in order, or is within its own team's
 	// guarantee, or has starved before: it would take the room back, and the two would
 	// stop each other for ever.
-	if !w.within || a.job.TeamIdx == w.job.TeamIdx || a.job.Standing() || a.prog.within || a.prog.starved || rank < w.rank {
+	if !w.withinGuarantee || a.job.TeamIndex == w.job.TeamIndex || a.job.IsService() || a.progress.withinGuarantee || a.progress.starved || rank < w.rank {
 		return false
 	}
-	b := h.n.cache
-	t := &b.Teams[a.job.TeamIdx]
-	return h.used(a.job.Home)[a.job.TeamIdx].cpus-a.job.CPUs >= b.Share(t, a.job.Home, t.CPUs)
+	b := h.controller.view
+	t := &b.Teams[a.job.TeamIndex]
+	return h.usageOf(a.job.Shard)[a.job.TeamIndex].cpus-a.job.CPUs >= b.QuotaShare(t, a.job.Shard, t.GuaranteedCPUs)
 }
 
 // mayMakeRoom reports whether there can be anything that may be stopped for a
 // job, before every machine is looked at.
-func (h *holder) mayMakeRoom(w waiting) bool {
+func (h *reconciler) preemptionPossible(w pendingJob) bool {
 	for rank := w.job.Rank() + 1; rank < maxRank; rank++ {
-		if h.ranks[rank] > 0 {
+		if h.liveAttemptsByRank[rank] > 0 {
 			return true
 		}
 	}
-	if !w.within {
+	if !w.withinGuarantee {
 		return false
 	}
-	b := h.n.cache
-	for i, u := range h.used(w.job.Home) {
-		if t := &b.Teams[i]; i != w.job.TeamIdx && u.cpus > b.Share(t, w.job.Home, t.CPUs) {
+	b := h.controller.view
+	for i, u := range h.usageOf(w.job.Shard) {
+		if t := &b.Teams[i]; i != w.job.TeamIndex && u.cpus > b.QuotaShare(t, w.job.Shard, t.GuaranteedCPUs) {
 			return true
 		}
 	}
@@ -51,20 +51,20 @@
 // stopsNoMore reports whether what may be stopped for w may be stopped for another job
 // too, and a place for w would do for it. Looking costs a look at everything that runs,
 // so where it was in vain for one job it is left out for those like it.
-func (w waiting) stopsNoMore(other waiting) bool {
-	return harder(w.job, other.job) && w.job.Rank() >= other.job.Rank() && w.rank >= other.rank && !w.job.Spread && !other.job.Spread && !other.job.OneZone &&
-		(!w.within || other.within && w.job.TeamIdx == other.job.TeamIdx)
+func (w pendingJob) preemptsNoMoreThan(other pendingJob) bool {
+	return dominates(w.job, other.job) && w.job.Rank() >= other.job.Rank() && w.rank >= other.rank && !w.job.Spread && !other.job.Spread && !other.job.OneZone &&
+		(!w.withinGuarantee || other.withinGuarantee && w.job.TeamIndex == other.job.TeamIndex)
 }
 
 // makeRoom stops the least work that lets one task of a job start; false when
 // nothing can be done.
-func (h *holder) makeRoom(w waiting, promised map[*holding]*room, now time.Duration) bool {
-	var best *eviction
-	for _, x := range h.list {
-		if !h.usable(x, now) || !h.allowed(x, w.job, w.prog) {
+func (h *reconciler) preemptFor(w pendingJob, promised map[*agent]*resources, now time.Duration) bool {
+	var best *preemption
+	for _, x := range h.sortedAgents {
+		if !h.schedulable(x, now) || !h.placementAllowed(x, w.job, w.progress) {
 			continue
 		}
-		if e := h.evictionOn(x, w, promised[x], now); e != nil && (best == nil || e.cost < best.cost) {
+		if e := h.preemptionOn(x, w, promised[x], now); e != nil && (best == nil || e.cost < best.cost) {
 			best = e
 		}
 	}
@@ -72,57 +72,57 @@
 		return false
 	}
 	for _, a := range best.victims {
-		a.stop, a.stopSentAt, best.on.busy = true, 0, true
-		if a.job.CheckpointS > 0 {
-			a.grace = a.job.SaveS
+		a.stopRequested, a.stopSentAt, best.agent.needsAttention = true, 0, true
+		if a.job.CheckpointSeconds > 0 {
+			a.graceSeconds = a.job.SaveSeconds
 		}
-		h.n.Log.Info("preempt", "job", a.job.ID, "task", a.task, "machine", best.on.m.Name, "for", w.job.ID)
+		h.controller.Log.Info("preempt", "job", a.job.ID, "task", a.task, "machine", best.agent.machine.Name, "for", w.job.ID)
 	}
-	best.left.take(w.job)
-	promised[best.on] = &best.left
+	best.remaining.subtract(w.job)
+	promised[best.agent] = &best.remaining
 	return true
 }
 
 // eviction is what would have to be stopped on a machine for a waiting task.
-type eviction struct {
-	on      *holding
-	victims []*attempt
-	left    room // on the machine, with the victims gone
-	cost    float64
+type preemption struct {
+	agent     *agent
+	victims   []*attempt
+	remaining resources // on the machine, with the victims gone
+	cost      float64
 }
 
 // evictionOn works out what must be stopped on a machine so that a task fits, or nil
 // where that is not enough. promised is the room that stops under way will leave there,
 // after what it was promised to; nil where it was promised to nobody.
-func (h *holder) evictionOn(x *holding, w waiting, promised *room, now time.Duration) *eviction {
-	e := &eviction{on: x, left: h.free(x)}
+func (h *reconciler) preemptionOn(x *agent, w pendingJob, promised *resources, now time.Duration) *preemption {
+	e := &preemption{agent: x, remaining: h.freeCapacity(x)}
 	if promised != nil {
-		e.left = *promised
+		e.remaining = *promised
 	}
 	var list []*attempt
 	for _, a := range x.attempts {
 		switch {
 		case !a.live():
-		case a.stop:
+		case a.stopRequested:
 			if promised == nil {
-				e.left.leave(a.job)
+				e.remaining.add(a.job)
 			}
-		case h.mayStop(w, a):
+		case h.mayPreempt(w, a):
 			list = append(list, a)
 		}
 	}
 	slices.SortFunc(list, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(b.job.Rank(), a.job.Rank()), cmp.Compare(b.planned, a.planned), cmp.Compare(a.try, b.try), cmp.Compare(a.task, b.task))
+		return cmp.Or(cmp.Compare(b.job.Rank(), a.job.Rank()), cmp.Compare(b.plannedAt, a.plannedAt), cmp.Compare(a.number, b.number), cmp.Compare(a.task, b.task))
 	})
 	for _, a := range list {
-		if e.left.fits(w.job) {
+		if e.remaining.fits(w.job) {
 			break
 		}
-		e.left.leave(a.job)
-		e.cost += 1 + a.job.CPUs*(now-a.planned).Seconds()
+		e.remaining.add(a.job)
+		e.cost += 1 + a.job.CPUs*(now-a.plannedAt).Seconds()
 		e.victims = append(e.victims, a)
 	}
-	if !e.left.fits(w.job) {
+	if !e.remaining.fits(w.job) {
 		return nil
 	}
 	return e
--- a/internal/coordination/record_batch.go
+++ b/internal/coordination/record_batch.go
@@ -6,58 +6,58 @@
 	"slices"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // batch is a transaction with the pages that it writes.
-type batch struct {
-	txn   protocol.Txn
-	pages []*intentPage
-	done  []*donePage
+type pageBatch struct {
+	transaction     protocol.Transaction
+	intentPages     []*intentPage
+	completionPages []*completionPage
 }
 
-func (b *batch) states() []*pageState {
+func (b *pageBatch) states() []*pageState {
 	var states []*pageState
-	for _, p := range b.pages {
+	for _, p := range b.intentPages {
 		states = append(states, &p.pageState)
 	}
-	for _, p := range b.done {
+	for _, p := range b.completionPages {
 		states = append(states, &p.pageState)
 	}
 	return states
 }
 
 // add puts one changed page into the transaction.
-func (b *batch) add(key string, version uint64, op protocol.Op) {
-	b.txn.If = append(b.txn.If, protocol.Cond{Key: key, Version: version})
-	b.txn.Then = append(b.txn.Then, op)
+func (b *pageBatch) add(key string, version uint64, op protocol.Operation) {
+	b.transaction.Conditions = append(b.transaction.Conditions, protocol.Condition{Key: key, Version: version})
+	b.transaction.Operations = append(b.transaction.Operations, op)
 }
 
 // dueWrites collects the pages that are to be written now: completed tasks first.
 // There are never more than there are writes for: waiting for a few at once, this
 // would starve beside others that take one or two as they come.
-func (d *recordWriter) dueWrites(now time.Duration) *batch {
-	n := d.h.n
-	b := &batch{}
-	b.txn.If = []protocol.Cond{{Key: bookkeeping.GrantKey(d.shard), Version: n.cache.Grants[d.shard].Version}}
-	most := min(n.limits.Changes, d.most, max(1, int(n.budget.level)))
-	for _, p := range d.done {
-		if p.dirtyAt == 0 && n.cache.StaleDone(p.id) {
+func (d *recordWriter) dueWrites(now time.Duration) *pageBatch {
+	n := d.reconciler.controller
+	b := &pageBatch{}
+	b.transaction.Conditions = []protocol.Condition{{Key: storage.GrantKey(d.shard), Version: n.view.Grants[d.shard].Version}}
+	most := min(n.storeLimits.Operations, d.maxOperations, max(1, int(n.writeBudget.level)))
+	for _, p := range d.completionPages {
+		if p.dirtyAt == 0 && n.view.HasStaleCompletions(p.id) {
 			p.dirtyAt = now
 		}
-		if len(b.txn.Then) >= most || !p.idle(n) || !d.doneDue(p, now) || !d.writableDone(p) {
+		if len(b.transaction.Operations) >= most || !p.idle(n) || !d.completionPageDue(p, now) || !d.completionPageWritable(p) {
 			continue
 		}
-		if op, any := d.completedTasks(p); any {
-			b.done = append(b.done, p)
-			b.add(bookkeeping.DoneKey(p.id), n.cache.DoneVersion(p.id), op)
+		if op, any := d.completionPageOperation(p); any {
+			b.completionPages = append(b.completionPages, p)
+			b.add(storage.CompletionPageKey(p.id), n.view.CompletionPageVersion(p.id), op)
 		}
 	}
 	due := d.duePages(now)
-	for _, p := range due[:min(len(due), max(most-len(b.txn.Then), 0))] {
-		b.pages = append(b.pages, p)
-		b.add(bookkeeping.IntentKey(p.id), n.cache.IntentVersion(p.id), d.intents(p))
+	for _, p := range due[:min(len(due), max(most-len(b.transaction.Operations), 0))] {
+		b.intentPages = append(b.intentPages, p)
+		b.add(storage.IntentPageKey(p.id), n.view.IntentPageVersion(p.id), d.intentPageOperation(p))
 	}
 	return b
 }
@@ -66,17 +66,17 @@
 // their machines' lists until it is, where the next holder finds them, and a job that
 // is over needs no page of them: so while writes are short these wait longer. Where
 // each page was written every second, they took as many writes as new tasks did.
-func (d *recordWriter) doneDue(p *donePage, now time.Duration) bool {
+func (d *recordWriter) completionPageDue(p *completionPage, now time.Duration) bool {
 	if p.dirtyAt == 0 {
 		return false
 	}
 	waited := now - p.dirtyAt
-	return waited > doneLatest || waited > doneAfter && d.spareWrites()
+	return waited > completionMaxDelay || waited > completionDelay && d.spareWrites()
 }
 
 // spareWrites reports whether there are writes beyond those that new tasks need.
 func (d *recordWriter) spareWrites() bool {
-	budget := &d.h.n.budget
+	budget := &d.reconciler.controller.writeBudget
 	return budget.level > budget.rate/2
 }
 
@@ -85,46 +85,46 @@
 // dozen of those would keep new tasks waiting for seconds while machines stand idle.
 func (d *recordWriter) duePages(now time.Duration) []*intentPage {
 	var due []*intentPage
-	for _, p := range d.pages {
-		if d.due(p, now) && d.writable(p) {
+	for _, p := range d.intentPages {
+		if d.intentPageDue(p, now) && d.intentPageWritable(p) {
 			due = append(due, p)
 		}
 	}
-	slices.SortStableFunc(due, func(a, b *intentPage) int { return cmp.Compare(b.fresh, a.fresh) })
+	slices.SortStableFunc(due, func(a, b *intentPage) int { return cmp.Compare(b.newAttempts, a.newAttempts) })
 	return due
 }
 
 // due reports whether a page of intents is to be written now.
-func (d *recordWriter) due(p *intentPage, now time.Duration) bool {
-	n := d.h.n
-	stale := p.dirtyAt > 0 && d.spareWrites() && now-p.dirtyAt > staleAfter
-	return p.idle(n) && (p.dirty || stale) && (len(p.attempts) > 0 || n.cache.IntentVersion(p.id) != 0)
+func (d *recordWriter) intentPageDue(p *intentPage, now time.Duration) bool {
+	n := d.reconciler.controller
+	stale := p.dirtyAt > 0 && d.spareWrites() && now-p.dirtyAt > removalDelay
+	return p.idle(n) && (p.dirty || stale) && (len(p.attempts) > 0 || n.view.IntentPageVersion(p.id) != 0)
 }
 
 // written takes in how a write ended.
-func (d *recordWriter) written(b *batch, revision uint64, err error) {
-	h, n := d.h, d.h.n
-	if n.hold != h || h.writers[d.shard] != d {
+func (d *recordWriter) onWritten(b *pageBatch, revision uint64, err error) {
+	h, n := d.reconciler, d.reconciler.controller
+	if n.reconciler != h || h.writers[d.shard] != d {
 		return
 	}
 	for _, s := range b.states() {
-		s.writing = false
+		s.writeInFlight = false
 		if err == nil {
-			s.wroteAt = revision
+			s.writtenRevision = revision
 		} else {
-			s.dirty, s.dirtyAt, s.retryAt = true, max(1, n.now()-staleAfter), n.now()+n.jitter(retryPause/2)
+			s.dirty, s.dirtyAt, s.retryAt = true, max(1, n.now()-removalDelay), n.now()+n.jitter(retryPause/2)
 		}
 	}
 	if err == nil {
-		d.most = min(d.most+1, mostChanges)
+		d.maxOperations = min(d.maxOperations+1, maxOperationsPerWrite)
 	} else {
 		n.Log.Debug("pages not written", "shard", d.shard, "err", err)
 		// Where all controllers together ask for more writes than there are, small
 		// transactions get through and large ones starve.
-		d.most = max(1, d.most/2)
-		for _, p := range b.pages {
-			p.fresh += p.freshSent
-			p.unknown = p.unknown || errors.Is(err, protocol.ErrUnknown)
+		d.maxOperations = max(1, d.maxOperations/2)
+		for _, p := range b.intentPages {
+			p.newAttempts += p.newAttemptsSent
+			p.outcomeUnknown = p.outcomeUnknown || errors.Is(err, protocol.ErrOutcomeUnknown)
 		}
 	}
 	h.schedulePass()
@@ -135,7 +135,7 @@
 
 // flushSoon writes what is due outside of a pass.
 func (d *recordWriter) flushSoon() {
-	if d.h.writers[d.shard] == d && d.h.n.hold == d.h && d.h.n.entitled(d.shard) {
+	if d.reconciler.writers[d.shard] == d && d.reconciler.controller.reconciler == d.reconciler && d.reconciler.controller.mayActFor(d.shard) {
 		d.flush()
 	}
 }
--- a/internal/coordination/record_size_test.go
+++ b/internal/coordination/record_size_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // TestPageSizeIsBounded: what a page of intents is taken to hold is never less than
@@ -16,31 +16,31 @@
 // refused again and again, and none of its tasks could ever start.
 func TestPageSizeIsBounded(t *testing.T) {
 	for seed := range uint64(2) {
-		b := grownBench(t)
+		b := newFleetController(t)
 		random := rand.New(rand.NewPCG(seed, 3))
 		for i := range 40 {
 			id := fmt.Sprintf("run-%d", 700_000_000+random.IntN(1_000_000)*(i+1))
-			b.apply(bookkeeping.JobKey(id), bookkeeping.JobRecord{Spec: protocol.Spec{
-				ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2000, CPUs: 0.333333 * float64(1+i%3), MemoryGB: 0.1, Spot: true, EstimateS: 15,
+			b.apply(storage.JobKey(id), storage.JobRecord{Spec: protocol.JobSpec{
+				ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2000, CPUs: 0.333333 * float64(1+i%3), MemoryGB: 0.1, Spot: true, EstimateSeconds: 15,
 			}})
 		}
-		b.n.changed(true)
-		w := b.n.hold.writers[0]
+		b.controller.recordsChanged(true)
+		w := b.controller.reconciler.writers[0]
 		for range 12 {
 			b.now += 200_000_000
-			b.fresh()
-			b.n.hold.place()
+			b.refreshKnowledge()
+			b.controller.reconciler.place()
 			w.assign()
-			for _, p := range w.pages {
-				size := len(w.intents(p).Value)
+			for _, p := range w.intentPages {
+				size := len(w.intentPageOperation(p).Value)
 				if size > p.bytes+2 || size > w.pageCapacity() {
 					t.Fatalf("seed %d: a page of %d bytes is taken for %d, at most %d", seed, size, p.bytes, w.pageCapacity())
 				}
 			}
-			for _, x := range b.n.hold.list {
-				for _, ref := range refs(x.attempts) {
+			for _, x := range b.controller.reconciler.sortedAgents {
+				for _, ref := range sortedTasks(x.attempts) {
 					if random.IntN(4) == 0 {
-						b.n.hold.end(x.attempts[ref], "stopped")
+						b.controller.reconciler.end(x.attempts[ref], "stopped")
 					}
 				}
 			}
@@ -53,22 +53,22 @@
 // needed for new tasks: sixty machines drained for minutes, and as no more may drain
 // at a time the whole fleet stayed rented (repechage-next, simulated).
 func TestDrainedMachineLosesItsNames(t *testing.T) {
-	b := grownBench(t)
-	x := b.n.hold.machines[grownMachine(17)]
-	b.n.hold.end(x.attempts[refs(x.attempts)[0]], "stopped")
-	x.m.Phase = bookkeeping.PhaseDrain
+	b := newFleetController(t)
+	x := b.controller.reconciler.agents[fleetMachineName(17)]
+	b.controller.reconciler.end(x.attempts[sortedTasks(x.attempts)[0]], "stopped")
+	x.machine.Phase = storage.PhaseDraining
 	for range 20 {
 		b.now += time.Second
-		b.fresh()
-		b.n.budget.rate, b.n.budget.level, b.n.budget.at = 2.5, 1, b.now // never more than half of what there may be
-		b.n.hold.stopForDrains()
-		b.n.hold.writers[0].flush()
-		b.carryOut()
+		b.refreshKnowledge()
+		b.controller.writeBudget.rate, b.controller.writeBudget.level, b.controller.writeBudget.filledAt = 2.5, 1, b.now // never more than half of what there may be
+		b.controller.reconciler.evictForDrains()
+		b.controller.reconciler.writers[0].flush()
+		b.applyTransactions()
 	}
-	if len(x.m.Intents) > 0 {
+	if len(x.machine.Intents) > 0 {
 		t.Error("the machine is still named")
 	}
-	if note := b.n.hold.notes()[17]; note.Name != x.m.Name || note.Tasks > 0 {
+	if note := b.controller.reconciler.machineStatuses()[17]; note.Name != x.machine.Name || note.Tasks > 0 {
 		t.Errorf("%+v", note)
 	}
 }
@@ -77,24 +77,24 @@
 // that new tasks wait for, not one of the many that drained machines have left to be
 // cleaned up.
 func TestNewTasksAreWrittenFirst(t *testing.T) {
-	b := grownBench(t)
-	w := b.n.hold.writers[0]
+	b := newFleetController(t)
+	w := b.controller.reconciler.writers[0]
 	leave := func(machine int, phase string) {
-		x := b.n.hold.machines[grownMachine(machine)]
-		x.m.Phase = phase
-		for _, ref := range refs(x.attempts) {
-			b.n.hold.end(x.attempts[ref], "stopped")
+		x := b.controller.reconciler.agents[fleetMachineName(machine)]
+		x.machine.Phase = phase
+		for _, ref := range sortedTasks(x.attempts) {
+			b.controller.reconciler.end(x.attempts[ref], "stopped")
 		}
 	}
 	for page := range 20 {
-		leave(page*grownPerPage, bookkeeping.PhaseDrain)
+		leave(page*fleetTasksPerPage, storage.PhaseDraining)
 	}
-	for i := 1; i < grownPerPage; i++ {
-		leave(19*grownPerPage+i, bookkeeping.PhaseDrain) // the emptiest of those pages, so new tasks are put there
-		leave(30*grownPerPage+i, bookkeeping.PhaseActive)
+	for i := 1; i < fleetTasksPerPage; i++ {
+		leave(19*fleetTasksPerPage+i, storage.PhaseDraining) // the emptiest of those pages, so new tasks are put there
+		leave(30*fleetTasksPerPage+i, storage.PhaseActive)
 	}
 	dirty := 0
-	for _, p := range w.pages {
+	for _, p := range w.intentPages {
 		if p.dirty {
 			dirty++
 		}
@@ -103,18 +103,18 @@
 		t.Fatalf("%d pages are to be written", dirty)
 	}
 	b.waitingJob()
-	b.n.hold.place()
+	b.controller.reconciler.place()
 	if len(w.unassigned) == 0 {
 		t.Fatal("nothing new was placed")
 	}
-	b.txns = nil
-	b.n.budget.rate, b.n.budget.level, b.n.budget.at = 1, 1, b.now
+	b.transactions = nil
+	b.controller.writeBudget.rate, b.controller.writeBudget.level, b.controller.writeBudget.filledAt = 1, 1, b.now
 	b.now += flushPause
 	w.flush()
-	if len(b.txns) != 1 || len(b.txns[0].Then) != 1 {
-		t.Fatalf("transactions: %v", b.txns)
+	if len(b.transactions) != 1 || len(b.transactions[0].Operations) != 1 {
+		t.Fatalf("transactions: %v", b.transactions)
 	}
-	if page := string(b.txns[0].Then[0].Value); !strings.Contains(page, "run-999999") {
-		t.Errorf("written first: %s %s", b.txns[0].Then[0].Put, page)
+	if page := string(b.transactions[0].Operations[0].Value); !strings.Contains(page, "run-999999") {
+		t.Errorf("written first: %s %s", b.transactions[0].Operations[0].Put, page)
 	}
 }
