--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // recordWriter writes the records of one home: pages of intents, which name every task
@@ -18,90 +18,90 @@
 // replaces, so that at most one holder's pages can ever change, and a
 // transaction that is applied late finds its condition broken by any later one.
 type recordWriter struct {
-	h          *holder
-	shard      int
-	pages      []*intentPage
-	done       []*donePage
-	unassigned []*attempt // not on a page yet
-	flushAt    time.Duration
-	most       int // changes in a transaction; fewer after a refusal
+	reconciler      *reconciler
+	shard           int
+	intentPages     []*intentPage
+	completionPages []*completionPage
+	unassigned      []*attempt // not on a page yet
+	nextFlushAt     time.Duration
+	maxOperations   int // changes in a transaction; fewer after a refusal
 }
 
 // Times of a record writer. Removals and completed tasks wait for company; new intents
 // don't, but for the pause that the budget of writes asks for.
 const (
-	flushPause = 40 * time.Millisecond
-	doneAfter  = time.Second
-	doneLatest = 6 * time.Second // while all writes are needed for new tasks
-	staleAfter = 2 * time.Second
-	namesEvery = 2 * time.Second // between two looks for the pages that name a machine which drains
+	flushPause         = 40 * time.Millisecond
+	completionDelay    = time.Second
+	completionMaxDelay = 6 * time.Second // while all writes are needed for new tasks
+	removalDelay       = 2 * time.Second
+	namesCheckInterval = 2 * time.Second // between two looks for the pages that name a machine which drains
 
-	mostChanges = 4
-	looseness   = 3 // pages for each that the entries would fill
+	maxOperationsPerWrite = 4
+	pageSlack             = 3 // pages for each that the entries would fill
 )
 
 // pageState is what pages of both kinds have in common.
 type pageState struct {
-	id      bookkeeping.PageID
-	bytes   int
-	dirty   bool
-	dirtyAt time.Duration // since when something may be removed or added at leisure; 0: nothing
-	writing bool
-	wroteAt uint64 // revision that must be in the cache before the next write
-	retryAt time.Duration
+	id              storage.PageID
+	bytes           int
+	dirty           bool
+	dirtyAt         time.Duration // since when something may be removed or added at leisure; 0: nothing
+	writeInFlight   bool
+	writtenRevision uint64 // revision that must be in the cache before the next write
+	retryAt         time.Duration
 }
 
-func (s *pageState) idle(n *Node) bool {
-	return !s.writing && n.revision >= s.wroteAt && n.now() >= s.retryAt
+func (s *pageState) idle(n *Controller) bool {
+	return !s.writeInFlight && n.revision >= s.writtenRevision && n.now() >= s.retryAt
 }
 
 // intentPage is a page of intents.
 type intentPage struct {
 	pageState
 	attempts map[*attempt]bool
-	jobs     map[*bookkeeping.Job]int // attempts by job
+	jobs     map[*storage.Job]int // attempts by job
 	// Machines that a write names whose outcome the cache does not show yet. A
 	// write without an answer can be applied until the page has a new version.
-	named   map[*holding]bool
-	unknown bool
-	cond    uint64
+	possiblyNamed  map[*agent]bool
+	outcomeUnknown bool
+	writtenOver    uint64
 	// Attempts that no write has named yet, and those that the last one was the
 	// first to name.
-	fresh, freshSent int
+	newAttempts, newAttemptsSent int
 	// Attempts that the page in the records names and that have gone to others, which
 	// must name them before this one is written without them.
 	moved []*attempt
 }
 
 // donePage is a page of completed tasks.
-type donePage struct {
+type completionPage struct {
 	pageState
-	chunks map[doneChunk]bool
-	moved  []doneChunk // as of an intentPage
+	chunks map[completionChunk]bool
+	moved  []completionChunk // as of an intentPage
 }
 
-type doneChunk struct {
-	p     *progress
-	chunk int
+type completionChunk struct {
+	progress *jobProgress
+	chunk    int
 }
 
-func newRecordWriter(h *holder, shard int) *recordWriter {
-	d := &recordWriter{h: h, shard: shard, most: mostChanges}
-	h.n.cache.IntentPages(shard, func(k, entries int) {
+func newRecordWriter(h *reconciler, shard int) *recordWriter {
+	d := &recordWriter{reconciler: h, shard: shard, maxOperations: maxOperationsPerWrite}
+	h.controller.view.EachIntentPage(shard, func(k, entries int) {
 		p := d.intentPageAt(k)
 		if entries > 0 {
-			p.dirtyAt = h.n.now() // until its machines are taken up nobody knows what of it is wanted
+			p.dirtyAt = h.controller.now() // until its machines are taken up nobody knows what of it is wanted
 		}
 	})
-	h.n.cache.DonePages(shard, func(k int) { d.donePageAt(k) })
-	h.n.cache.Jobs.All(func(_ int, j *bookkeeping.Job) {
-		if j.Home == shard && !j.Over() {
+	h.controller.view.EachCompletionPage(shard, func(k int) { d.completionPageAt(k) })
+	h.controller.view.Jobs.All(func(_ int, j *storage.Job) {
+		if j.Shard == shard && !j.Ended() {
 			h.progress(j)
 		}
 	})
 	// Jobs known before the record writer was there are read again, with their pages.
 	for j, p := range h.jobs {
-		if j.Home == shard {
+		if j.Shard == shard {
 			d.loadCompleted(p)
 		}
 	}
@@ -109,48 +109,48 @@
 }
 
 // loadCompleted puts a job's completed tasks on the pages that name them.
-func (d *recordWriter) loadCompleted(p *progress) {
-	for chunk, k := range p.job.DonePage {
-		d.donePageAt(k).put(p, chunk)
+func (d *recordWriter) loadCompleted(p *jobProgress) {
+	for chunk, k := range p.job.CompletionPages {
+		d.completionPageAt(k).add(p, chunk)
 	}
 }
 
 func (d *recordWriter) intentPageAt(k int) *intentPage {
-	for len(d.pages) <= k {
-		id := bookkeeping.PageID{Shard: d.shard, Page: len(d.pages)}
-		d.pages = append(d.pages, &intentPage{pageState: pageState{id: id}, attempts: map[*attempt]bool{}, jobs: map[*bookkeeping.Job]int{}, named: map[*holding]bool{}})
+	for len(d.intentPages) <= k {
+		id := storage.PageID{Shard: d.shard, Page: len(d.intentPages)}
+		d.intentPages = append(d.intentPages, &intentPage{pageState: pageState{id: id}, attempts: map[*attempt]bool{}, jobs: map[*storage.Job]int{}, possiblyNamed: map[*agent]bool{}})
 	}
-	return d.pages[k]
+	return d.intentPages[k]
 }
 
-func (d *recordWriter) donePageAt(k int) *donePage {
-	for len(d.done) <= k {
-		id := bookkeeping.PageID{Shard: d.shard, Page: len(d.done)}
-		d.done = append(d.done, &donePage{pageState: pageState{id: id}, chunks: map[doneChunk]bool{}})
+func (d *recordWriter) completionPageAt(k int) *completionPage {
+	for len(d.completionPages) <= k {
+		id := storage.PageID{Shard: d.shard, Page: len(d.completionPages)}
+		d.completionPages = append(d.completionPages, &completionPage{pageState: pageState{id: id}, chunks: map[completionChunk]bool{}})
 	}
-	return d.done[k]
+	return d.completionPages[k]
 }
 
 // weight is at least what an attempt takes of a page: its entry, and the name of
 // its job where it is the first of that.
-func (p *intentPage) weight(a *attempt) int {
-	w := len(a.on.m.Name) + a.width
+func (p *intentPage) entryWeight(a *attempt) int {
+	w := len(a.agent.machine.Name) + a.entrySize
 	if p.jobs[a.job] == 0 {
-		w += len(a.job.ID) + 8 + a.prog.head + 3
+		w += len(a.job.ID) + 8 + a.progress.intentHeaderSize + 3
 	}
 	return w
 }
 
-func intentHead(j *bookkeeping.Job) string {
-	return bookkeeping.IntentHead(j.Team, j.CPUs, j.GPUs, j.MemoryGB)
+func intentHeader(j *storage.Job) string {
+	return storage.IntentHeader(j.Team, j.CPUs, j.GPUs, j.MemoryGB)
 }
 
-func (p *intentPage) put(a *attempt) {
+func (p *intentPage) add(a *attempt) {
 	if a.page != nil {
 		return
 	}
-	a.width = len(bookkeeping.IntentEntry(a.task, "", a.try)) + 4
-	p.bytes += p.weight(a)
+	a.entrySize = len(storage.IntentEntry(a.task, "", a.number)) + 4
+	p.bytes += p.entryWeight(a)
 	p.jobs[a.job]++
 	a.page = p
 	p.attempts[a] = true
@@ -162,7 +162,7 @@
 	if p.jobs[a.job]--; p.jobs[a.job] == 0 {
 		delete(p.jobs, a.job)
 	}
-	p.bytes -= p.weight(a)
+	p.bytes -= p.entryWeight(a)
 }
 
 func (p *intentPage) drop(a *attempt, now time.Duration) {
@@ -173,44 +173,44 @@
 	if p.dirtyAt == 0 {
 		p.dirtyAt = now
 	}
-	if a.on.m.Phase == bookkeeping.PhaseDrain {
+	if a.agent.machine.Phase == storage.PhaseDraining {
 		p.dirty = true // the machine goes on only once no record names it
 	}
 }
 
 // size is at least what a chunk takes of a page.
-func (c doneChunk) size() int {
-	tasks := min(c.p.job.Tasks-c.chunk*bookkeeping.ChunkTasks, bookkeeping.ChunkTasks)
-	return len(c.p.job.ID) + 16 + (max(tasks, 1)/8+3)*4/3
+func (c completionChunk) size() int {
+	tasks := min(c.progress.job.Tasks-c.chunk*storage.TasksPerChunk, storage.TasksPerChunk)
+	return len(c.progress.job.ID) + 16 + (max(tasks, 1)/8+3)*4/3
 }
 
-func (p *donePage) put(prog *progress, chunk int) {
-	if prog.pages[chunk] == nil {
-		prog.pages[chunk] = p
-		c := doneChunk{prog, chunk}
+func (p *completionPage) add(prog *jobProgress, chunk int) {
+	if prog.completionPages[chunk] == nil {
+		prog.completionPages[chunk] = p
+		c := completionChunk{prog, chunk}
 		p.chunks[c] = true
 		p.bytes += c.size()
 	}
 }
 
 // pageCapacity is how many bytes a page holds.
-func (d *recordWriter) pageCapacity() int { return d.h.n.capacity() }
+func (d *recordWriter) pageCapacity() int { return d.reconciler.controller.valueCapacity() }
 
 // completed takes in that a task of a chunk is done.
-func (d *recordWriter) completed(p *progress, chunk int, now time.Duration) {
-	page := p.pages[chunk]
+func (d *recordWriter) markCompleted(p *jobProgress, chunk int, now time.Duration) {
+	page := p.completionPages[chunk]
 	if page != nil && page.bytes > d.pageCapacity() && len(page.chunks) > 1 {
-		page.move(doneChunk{p, chunk}, now)
+		page.move(completionChunk{p, chunk}, now)
 		page = nil
 	}
 	if page == nil {
-		need := doneChunk{p, chunk}.size()
+		need := completionChunk{p, chunk}.size()
 		for k := 0; page == nil; k++ {
-			if q := d.donePageAt(k); q.bytes+need <= d.pageCapacity() || len(q.chunks) == 0 {
+			if q := d.completionPageAt(k); q.bytes+need <= d.pageCapacity() || len(q.chunks) == 0 {
 				page = q
 			}
 		}
-		page.put(p, chunk)
+		page.add(p, chunk)
 	}
 	if page.dirtyAt == 0 {
 		page.dirtyAt = now
@@ -218,90 +218,90 @@
 }
 
 // mayName reports whether a write that is not settled names a machine.
-func (d *recordWriter) mayName(x *holding) bool {
-	return slices.ContainsFunc(d.pages, func(p *intentPage) bool { return p.named[x] })
+func (d *recordWriter) mayStillName(x *agent) bool {
+	return slices.ContainsFunc(d.intentPages, func(p *intentPage) bool { return p.possiblyNamed[x] })
 }
 
 // writeFor sees to it that pages which still name a machine that drains, and on which
 // nothing is left, are written soon. What ended there before the drain began left its
 // name to be removed at leisure, which may be never while all writes are needed for new
 // tasks.
-func (d *recordWriter) writeFor(x *holding) {
-	now := d.h.n.now()
-	if len(x.attempts) > 0 || len(x.m.Intents) == 0 || now < x.namesWrittenAt+namesEvery {
+func (d *recordWriter) markPagesNaming(x *agent) {
+	now := d.reconciler.controller.now()
+	if len(x.attempts) > 0 || len(x.machine.Intents) == 0 || now < x.namesCheckedAt+namesCheckInterval {
 		return
 	}
-	x.namesWrittenAt = now
-	for _, k := range d.h.n.cache.PagesNaming(d.shard, x.m) {
+	x.namesCheckedAt = now
+	for _, k := range d.reconciler.controller.view.IntentPagesNaming(d.shard, x.machine) {
 		d.intentPageAt(k).dirty = true
 	}
 }
 
 // settle forgets what writes may have named once the cache shows how they ended.
-func (d *recordWriter) settle(p *intentPage) {
-	n := d.h.n
-	if len(p.named) == 0 || p.writing || n.revision < p.wroteAt {
+func (d *recordWriter) resolveNamed(p *intentPage) {
+	n := d.reconciler.controller
+	if len(p.possiblyNamed) == 0 || p.writeInFlight || n.revision < p.writtenRevision {
 		return
 	}
-	if n.cache.IntentVersion(p.id) != p.cond {
-		p.unknown = false
+	if n.view.IntentPageVersion(p.id) != p.writtenOver {
+		p.outcomeUnknown = false
 	}
-	if !p.unknown {
-		clear(p.named)
+	if !p.outcomeUnknown {
+		clear(p.possiblyNamed)
 	}
 }
 
 // flush writes what is due.
 func (d *recordWriter) flush() {
-	n := d.h.n
+	n := d.reconciler.controller
 	now := n.now()
-	if now < d.flushAt {
+	if now < d.nextFlushAt {
 		return
 	}
-	for _, p := range d.pages {
-		d.settle(p)
+	for _, p := range d.intentPages {
+		d.resolveNamed(p)
 	}
 	d.shrinkOversized(now)
 	d.assign()
-	n.budget.fill(now)
-	if n.budget.level < min(1, n.budget.rate) {
+	n.writeBudget.fill(now)
+	if n.writeBudget.level < min(1, n.writeBudget.rate) {
 		return // nothing can be written, so nothing is encoded
 	}
 	b := d.dueWrites(now)
-	if len(b.txn.Then) == 0 || !n.budget.take(now, len(b.txn.Then)) {
+	if len(b.transaction.Operations) == 0 || !n.writeBudget.take(now, len(b.transaction.Operations)) {
 		return
 	}
-	d.flushAt = now + flushPause
-	for _, p := range b.pages {
-		p.cond = n.cache.IntentVersion(p.id)
-		p.fresh, p.freshSent = 0, p.fresh
+	d.nextFlushAt = now + flushPause
+	for _, p := range b.intentPages {
+		p.writtenOver = n.view.IntentPageVersion(p.id)
+		p.newAttempts, p.newAttemptsSent = 0, p.newAttempts
 		for a := range p.attempts {
-			p.named[a.on] = true
+			p.possiblyNamed[a.agent] = true
 		}
 	}
 	for _, s := range b.states() {
-		s.writing, s.dirty, s.dirtyAt = true, false, 0
+		s.writeInFlight, s.dirty, s.dirtyAt = true, false, 0
 	}
-	n.txn(b.txn, func(revision uint64, err error) { d.written(b, revision, err) })
+	n.commit(b.transaction, func(revision uint64, err error) { d.onWritten(b, revision, err) })
 }
 
 // assign puts new attempts on the emptiest pages that can be written now, so
 // that what has ended leaves the records with the same writes.
 func (d *recordWriter) assign() {
-	n := d.h.n
+	n := d.reconciler.controller
 	d.unassigned = slices.DeleteFunc(d.unassigned, func(a *attempt) bool { return !a.live() || a.page != nil })
 	if len(d.unassigned) == 0 {
 		return
 	}
 	var free []*intentPage
-	for _, p := range d.pages {
-		if p.idle(n) && d.writable(p) {
+	for _, p := range d.intentPages {
+		if p.idle(n) && d.intentPageWritable(p) {
 			free = append(free, p)
 		}
 	}
 	slices.SortStableFunc(free, func(a, b *intentPage) int {
 		// One that is to be written soonest, or anyway, comes first.
-		return cmp.Or(cmp.Compare(b.fresh, a.fresh), compareBool(b.dirty, a.dirty), cmp.Compare(a.bytes, b.bytes))
+		return cmp.Or(cmp.Compare(b.newAttempts, a.newAttempts), compareBool(b.dirty, a.dirty), cmp.Compare(a.bytes, b.bytes))
 	})
 	// A write costs the same however much of a page is new. Among full pages each
 	// would carry the few entries that have just ended there, and where writes are
@@ -309,17 +309,17 @@
 	// several times the pages that the entries need, and one that is more than a
 	// quarter full is left to empty.
 	bytes := 0
-	for _, p := range d.pages {
+	for _, p := range d.intentPages {
 		bytes += p.bytes
 	}
-	enough := 4 + looseness*(bytes/d.pageCapacity()+1)
+	enough := 4 + pageSlack*(bytes/d.pageCapacity()+1)
 	used := 0
 	for _, a := range d.unassigned {
-		a.width = len(bookkeeping.IntentEntry(a.task, "", a.try)) + 4
-		for len(free) > 0 && free[0].bytes+free[0].weight(a) > d.pageCapacity() && len(free[0].attempts) > 0 {
+		a.entrySize = len(storage.IntentEntry(a.task, "", a.number)) + 4
+		for len(free) > 0 && free[0].bytes+free[0].entryWeight(a) > d.pageCapacity() && len(free[0].attempts) > 0 {
 			free = free[1:]
 		}
-		if len(free) > 0 && !free[0].dirty && free[0].bytes > d.pageCapacity()/4 && used == 0 && len(d.pages) < enough {
+		if len(free) > 0 && !free[0].dirty && free[0].bytes > d.pageCapacity()/4 && used == 0 && len(d.intentPages) < enough {
 			free = nil
 		}
 		if len(free) == 0 {
@@ -327,11 +327,11 @@
 				break
 			}
 			used++
-			free = append(free, d.intentPageAt(len(d.pages)))
+			free = append(free, d.intentPageAt(len(d.intentPages)))
 		}
-		free[0].put(a)
+		free[0].add(a)
 		if !a.durable() { // one that moves from another page waits for nothing
-			free[0].fresh++
+			free[0].newAttempts++
 		}
 		free[0].dirty = true
 	}
@@ -341,35 +341,35 @@
 // intents is the change that makes a page of intents say what it should. An
 // empty page stays: once it were removed, its version would be 0 again, and a
 // late transaction that made it first could bring its contents back.
-func (d *recordWriter) intents(p *intentPage) protocol.Op {
-	key := bookkeeping.IntentKey(p.id)
-	rec := bookkeeping.IntentPage{}
+func (d *recordWriter) intentPageOperation(p *intentPage) protocol.Operation {
+	key := storage.IntentPageKey(p.id)
+	rec := storage.IntentPage{}
 	for a := range p.attempts {
-		rec[a.job.ID] = append(rec[a.job.ID], bookkeeping.IntentEntry(a.task, a.on.m.Name, a.try))
+		rec[a.job.ID] = append(rec[a.job.ID], storage.IntentEntry(a.task, a.agent.machine.Name, a.number))
 	}
 	for j := range p.jobs {
-		rec[j.ID] = append(rec[j.ID], intentHead(j))
+		rec[j.ID] = append(rec[j.ID], intentHeader(j))
 	}
 	for _, entries := range rec {
 		slices.Sort(entries)
 	}
-	return protocol.Op{Put: key, Value: bookkeeping.Encode(rec)}
+	return protocol.Operation{Put: key, Value: storage.Encode(rec)}
 }
 
 // completedTasks is the same for a page of completed tasks; any is false where
 // there is neither a page nor a need of one.
-func (d *recordWriter) completedTasks(p *donePage) (op protocol.Op, any bool) {
-	key := bookkeeping.DoneKey(p.id)
-	rec := bookkeeping.DonePage{}
-	d.forgetOver(p)
+func (d *recordWriter) completionPageOperation(p *completionPage) (op protocol.Operation, any bool) {
+	key := storage.CompletionPageKey(p.id)
+	rec := storage.CompletionPage{}
+	d.dropEndedJobs(p)
 	for c := range p.chunks {
-		j := c.p.job
-		part := c.p.done[min(len(c.p.done), c.chunk*bookkeeping.ChunkTasks/8):]
-		rec[bookkeeping.DoneName(j.ID, c.chunk)] = part[:min(len(part), bookkeeping.ChunkTasks/8)]
+		j := c.progress.job
+		part := c.progress.completed[min(len(c.progress.completed), c.chunk*storage.TasksPerChunk/8):]
+		rec[storage.CompletionChunkName(j.ID, c.chunk)] = part[:min(len(part), storage.TasksPerChunk/8)]
 	}
-	if len(rec) == 0 && d.h.n.cache.DoneVersion(p.id) == 0 {
+	if len(rec) == 0 && d.reconciler.controller.view.CompletionPageVersion(p.id) == 0 {
 		p.dirtyAt = 0
 		return op, false
 	}
-	return protocol.Op{Put: key, Value: bookkeeping.Encode(rec)}, true
+	return protocol.Operation{Put: key, Value: storage.Encode(rec)}, true
 }
--- a/internal/coordination/sizer.go
+++ b/internal/coordination/sizer.go
@@ -28,12 +28,12 @@
 }
 
 // windows keeps since when a condition has held, by machine.
-type windows map[string]time.Duration
+type holdWindows map[string]time.Duration
 
 // held reports whether a machine's condition has held for the whole window.
-func (w windows) held(name string, cond bool, now, window time.Duration) bool {
+func (w holdWindows) heldFor(name string, cond bool, now, window time.Duration) bool {
 	since := w[name]
-	ok := held(cond, &since, now, window)
+	ok := heldFor(cond, &since, now, window)
 	if since == 0 {
 		delete(w, name)
 	} else {
@@ -44,7 +44,7 @@
 
 // held keeps since at the time when a condition began to hold, and reports
 // whether it has held for the whole window.
-func held(cond bool, since *time.Duration, now, window time.Duration) bool {
+func heldFor(cond bool, since *time.Duration, now, window time.Duration) bool {
 	if !cond {
 		*since = 0
 		return false
@@ -58,8 +58,8 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // bounds are the options' windows.
-type bounds struct{ cycle, rent, give time.Duration }
+type cycleWindows struct{ cycleInterval, scaleOutWindow, scaleInWindow time.Duration }
 
-func boundsOf(o config.Options) bounds {
-	return bounds{seconds(o.CycleS), seconds(o.RentWindowS), seconds(o.GiveWindowS)}
+func cycleWindowsOf(o config.Options) cycleWindows {
+	return cycleWindows{seconds(o.CycleSeconds), seconds(o.ScaleOutWindowSeconds), seconds(o.ScaleInWindowSeconds)}
 }
--- a/internal/coordination/spare_room.go
+++ b/internal/coordination/spare_room.go
@@ -4,43 +4,43 @@
 	"cmp"
 	"slices"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // spareRoom is the room that homes have beyond what is kept for services.
-type spareRoom struct {
-	s      *sizing
-	spares []demand
-	over   []int // by spare
+type spareCapacity struct {
+	input   *scalingInput
+	spares  []demand
+	surplus []int // by spare
 }
 
-func newSpareRoom(s *sizing, spares []demand) *spareRoom {
-	r := &spareRoom{s: s, spares: spares}
+func newSpareCapacity(s *scalingInput, spares []demand) *spareCapacity {
+	r := &spareCapacity{input: s, spares: spares}
 	for _, d := range spares {
-		r.over = append(r.over, s.spareFor(d)-d.count)
+		r.surplus = append(r.surplus, s.replicasThatFit(d)-d.count)
 	}
 	return r
 }
 
 // take takes a machine's room off if the spare room can do without it.
-func (r *spareRoom) take(x *supply) bool {
+func (r *spareCapacity) take(x *machineSupply) bool {
 	for i, d := range r.spares {
-		if n := r.s.roomOn(x, d); n > 0 && n > r.over[i] {
+		if n := r.input.replicasThatFitOn(x, d); n > 0 && n > r.surplus[i] {
 			return false
 		}
 	}
 	for i, d := range r.spares {
-		r.over[i] -= r.s.roomOn(x, d)
+		r.surplus[i] -= r.input.replicasThatFitOn(x, d)
 	}
 	return true
 }
 
 // mayMove reports whether everything on a machine could be moved, room aside.
-func (l *leadership) mayMove(m *bookkeeping.Machine) bool {
+func (l *leadership) onlyMovableTasks(m *storage.Machine) bool {
 	for ref := range m.Intents {
-		j := l.n.cache.Jobs.Get(ref.Job)
-		if !j.Over() && (!j.Standing() || j.OneZone || j.Spread && j.Tasks > 1) {
+		j := l.controller.view.Jobs.Get(ref.Job)
+		if !j.Ended() && (!j.IsService() || j.OneZone || j.Spread && j.Tasks > 1) {
 			return false
 		}
 	}
@@ -49,18 +49,18 @@
 
 // movable reports whether everything on a machine that does not end by itself
 // finds room on others, with the spare room that is kept still there.
-func (s *sizing) movable(m *bookkeeping.Machine, jobs func(bookkeeping.TaskRef) *bookkeeping.Job, spares []demand) bool {
-	var rest []*supply
+func (s *scalingInput) canConsolidate(m *storage.Machine, jobs func(storage.TaskRef) *storage.Job, spares []demand) bool {
+	var rest []*machineSupply
 	for _, x := range s.supply {
-		if x.taking && x.m != nil && x.m != m && x.ready && x.shard == m.Shard {
+		if x.schedulable && x.machine != nil && x.machine != m && x.ready && x.shard == m.Shard {
 			c := *x
 			rest = append(rest, &c)
 		}
 	}
-	after := &sizing{types: s.types, fits: s.fits, supply: rest}
-	for _, ref := range refs(m.Intents) {
+	after := &scalingInput{types: s.types, fits: s.fits, supply: rest}
+	for _, ref := range sortedTasks(m.Intents) {
 		j := jobs(ref)
-		if j.Over() {
+		if j.Ended() {
 			continue
 		}
 		d := demand{job: j, shard: m.Shard, count: 1}
@@ -71,26 +71,28 @@
 			return false
 		}
 	}
-	return !slices.ContainsFunc(spares, func(d demand) bool { return d.shard == m.Shard && after.spareFor(d) < d.count })
+	return !slices.ContainsFunc(spares, func(d demand) bool { return d.shard == m.Shard && after.replicasThatFit(d) < d.count })
 }
 
 // sortForReturn puts idle machines into the order in which they drain: the least
 // booked first, of equal ones the dearest, and those of a block together, whose
 // changes then share their writes.
-func sortForReturn(idle []*supply, types []protocol.MachineType) {
-	each := func(x *supply) float64 { return price(&types[x.typ], x.spot) / max(types[x.typ].CPUs, 1e-9) }
-	slices.SortFunc(idle, func(a, b *supply) int {
+func sortForScaleIn(idle []*machineSupply, types []protocol.MachineType) {
+	each := func(x *machineSupply) float64 {
+		return hourlyPrice(&types[x.machineType], x.spot) / max(types[x.machineType].CPUs, 1e-9)
+	}
+	slices.SortFunc(idle, func(a, b *machineSupply) int {
 		return cmp.Or(cmp.Compare(a.booked(types), b.booked(types)), cmp.Compare(each(b), each(a)),
-			cmp.Compare(a.m.Block, b.m.Block), cmp.Compare(a.m.Name, b.m.Name))
+			cmp.Compare(a.machine.Group, b.machine.Group), cmp.Compare(a.machine.Name, b.machine.Name))
 	})
 }
 
 // bookedShare is the booked part of the fleet's CPUs.
-func bookedShare(list []*supply, types []protocol.MachineType) float64 {
+func bookedShare(list []*machineSupply, types []protocol.MachineType) float64 {
 	total, free := 0.0, 0.0
 	for _, x := range list {
-		if x.taking {
-			total += types[x.typ].CPUs
+		if x.schedulable {
+			total += types[x.machineType].CPUs
 			free += max(x.free.cpus, 0)
 		}
 	}
@@ -101,6 +103,6 @@
 }
 
 // booked is the booked part of a machine's CPUs.
-func (x *supply) booked(types []protocol.MachineType) float64 {
-	return 1 - x.free.cpus/max(types[x.typ].CPUs, 1e-9)
+func (x *machineSupply) booked(types []protocol.MachineType) float64 {
+	return 1 - x.free.cpus/max(types[x.machineType].CPUs, 1e-9)
 }
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-const summaryEvery = 10 * time.Second
+const summaryInterval = 10 * time.Second
 
 // summary logs how a home stands.
-func (h *holder) summary(shard int) {
-	n := h.n
+func (h *reconciler) logSummary(shard int) {
+	n := h.controller
 	machines, usable, full := 0, 0, 0
-	for _, x := range h.list {
+	for _, x := range h.sortedAgents {
 		if x.shard != shard {
 			continue
 		}
 		machines++
-		if h.usable(x, n.now()) {
+		if h.schedulable(x, n.now()) {
 			usable++
-			if h.free(x).cpus < 1 {
+			if h.freeCapacity(x).cpus < 1 {
 				full++
 			}
 		}
 	}
 	states := map[taskState]int{}
 	unwritten, waits, dependent := 0, 0, 0
-	for _, x := range h.list {
+	for _, x := range h.sortedAgents {
 		for _, a := range x.attempts {
 			if x.shard == shard {
 				states[a.state]++
@@ -32,17 +32,17 @@
 			}
 		}
 	}
-	for _, j := range h.unfinished() {
+	for _, j := range h.sortedActiveJobs() {
 		switch {
-		case j.Home != shard:
-		case j.Waits():
+		case j.Shard != shard:
+		case j.AwaitsDependencies():
 			dependent++
 		default:
 			p := h.progress(j)
-			waits += max(0, j.Tasks-p.doneN-p.attempts)
+			waits += max(0, j.Tasks-p.completedCount-p.attempts)
 		}
 	}
 	n.Log.Info("home", "shard", shard, "machines", machines, "usable", usable, "full", full, "waiting", waits, "dependent", dependent,
 		"unwritten", unwritten, "planned", states[taskPlanned], "fetching", states[taskFetching], "running", states[taskRunning],
-		"saving", states[taskSaving], "ended", states[taskEnded], "pages", len(h.writers[shard].pages), "writes", n.budget.level)
+		"saving", states[taskSaving], "ended", states[taskEnded], "pages", len(h.writers[shard].intentPages), "writes", n.writeBudget.level)
 }
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -5,77 +5,77 @@
 	"slices"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // supplies lists the machines as the sizer counts them.
-func (l *leadership) supplies() []*supply {
-	n := l.n
-	var out []*supply
-	n.cache.Machines.All(func(_ int, m *bookkeeping.Machine) {
-		if !m.There() || m.Phase == bookkeeping.PhaseReturning {
+func (l *leadership) supplies() []*machineSupply {
+	n := l.controller
+	var out []*machineSupply
+	n.view.Machines.All(func(_ int, m *storage.Machine) {
+		if !m.Exists() || m.Phase == storage.PhaseDecommissioning {
 			return
 		}
-		t := &n.cache.Types[m.TypeIdx]
-		x := &supply{
-			m: m, typ: m.TypeIdx, zone: m.ZoneIdx, spot: m.Spot, shard: m.Shard,
-			free: room{t.CPUs, t.GPUs, t.MemoryGB}, firm: room{t.CPUs, t.GPUs, t.MemoryGB}, taking: m.Phase == bookkeeping.PhaseActive,
+		t := &n.view.MachineTypes[m.TypeIndex]
+		x := &machineSupply{
+			machine: m, machineType: m.TypeIndex, zone: m.ZoneIndex, spot: m.Spot, shard: m.Shard,
+			free: resources{t.CPUs, t.GPUs, t.MemoryGB}, freeBesideServices: resources{t.CPUs, t.GPUs, t.MemoryGB}, schedulable: m.Phase == storage.PhaseActive,
 		}
 		for ref := range m.Intents {
-			j := n.cache.Jobs.Get(ref.Job)
-			if j.Over() || j.Done.Has(ref.Task) {
+			j := n.view.Jobs.Get(ref.Job)
+			if j.Ended() || j.Completed.Has(ref.Task) {
 				continue // about to leave
 			}
-			x.free.take(j)
-			if j.Standing() {
-				x.firm.take(j)
+			x.free.subtract(j)
+			if j.IsService() {
+				x.freeBesideServices.subtract(j)
 			}
-			x.service = x.service || j.Standing()
+			x.hostsService = x.hostsService || j.IsService()
 			x.reserve(t, j, 0.5)
 		}
-		note, known := l.note(m)
+		note, known := l.machineStatus(m)
 		x.ready = known && note.Seen
 		if !x.ready {
-			x.bootLeft = max(0, t.BootS-l.age(m).Seconds())
+			x.bootSecondsLeft = max(0, t.BootSeconds-l.machineAge(m).Seconds())
 		}
-		patience := 3 * n.Settings.Cluster.Workers.Report()
-		if l.fleet.cutOff[m.ZoneIdx] {
-			patience = l.quietLimit()
+		patience := 3 * n.Settings.Cluster.Agents.HeartbeatInterval()
+		if l.provisioner.partitionedZones[m.ZoneIndex] {
+			patience = l.heartbeatTolerance()
 		}
 		if known && (note.Faulty || note.Leaves || note.Unresponsive || (note.Seen || note.Tasks > 0) && note.Silent > patience) {
-			x.taking = false
-			x.doubtful = true
+			x.schedulable = false
+			x.suspect = true
 		}
 		// What no holder has spoken of may well be up: a leader that can't hear the
 		// holder must not rent the whole fleet anew.
-		if known && !x.ready && l.overdue(m) {
-			x.taking = false
+		if known && !x.ready && l.bootOverdue(m) {
+			x.schedulable = false
 		}
 		out = append(out, x)
 	})
-	slices.SortFunc(out, func(a, b *supply) int { return cmp.Compare(a.m.Name, b.m.Name) })
+	slices.SortFunc(out, func(a, b *machineSupply) int { return cmp.Compare(a.machine.Name, b.machine.Name) })
 	return out
 }
 
 // note is what the holder of a machine last said of it.
-func (l *leadership) note(m *bookkeeping.Machine) (protocol.MachineNote, bool) {
-	g := &l.n.cache.Grants[m.Shard]
-	p := l.peers[g.Node]
+func (l *leadership) machineStatus(m *storage.Machine) (protocol.MachineStatus, bool) {
+	g := &l.controller.view.Grants[m.Shard]
+	p := l.peers[g.Controller]
 	if p == nil || p.incarnation != g.Incarnation {
-		return protocol.MachineNote{}, false
+		return protocol.MachineStatus{}, false
 	}
-	i, ok := p.notes[m.Name]
+	i, ok := p.machines[m.Name]
 	return i, ok
 }
 
 // age is the time since a machine was rented.
-func (l *leadership) age(m *bookkeeping.Machine) time.Duration {
-	return time.Duration(l.n.Clock.Wall().UnixMilli()-m.AtMS) * time.Millisecond
+func (l *leadership) machineAge(m *storage.Machine) time.Duration {
+	return time.Duration(l.controller.Clock.Wall().UnixMilli()-m.RentedAtMS) * time.Millisecond
 }
 
 // overdue reports whether a machine should have come up long ago.
-func (l *leadership) overdue(m *bookkeeping.Machine) bool {
-	boot := l.n.cache.Types[m.TypeIdx].BootS
-	return l.age(m).Seconds() > boot*l.n.Options.BootPatience+5
+func (l *leadership) bootOverdue(m *storage.Machine) bool {
+	boot := l.controller.view.MachineTypes[m.TypeIndex].BootSeconds
+	return l.machineAge(m).Seconds() > boot*l.controller.Options.BootPatience+5
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -19,25 +19,25 @@
 
 // MachineType is a kind of machine the cloud rents out.
 type MachineType struct {
-	Name      string   `json:"name"`
-	CPUs      float64  `json:"vcpus"`
-	GPUs      float64  `json:"gpus"`
-	MemoryGB  float64  `json:"ramGb"`
-	CacheGB   float64  `json:"cacheGb"`
-	FetchGBPS float64  `json:"fetchGbPerS"`
-	Price     float64  `json:"hourly"`
-	SpotPrice float64  `json:"marketPrice"`
-	BootS     float64  `json:"bootS"`
-	Zones     []string `json:"yards"`
+	Name            string   `json:"name"`
+	CPUs            float64  `json:"vcpus"`
+	GPUs            float64  `json:"gpus"`
+	MemoryGB        float64  `json:"ramGb"`
+	CacheGB         float64  `json:"cacheGb"`
+	FetchGBPS       float64  `json:"fetchGbPerS"`
+	HourlyPrice     float64  `json:"hourly"`
+	HourlySpotPrice float64  `json:"marketPrice"`
+	BootSeconds     float64  `json:"bootS"`
+	Zones           []string `json:"yards"`
 }
 
 // Catalogue is the cloud's answer to what it rents.
-type Catalogue struct {
+type MachineTypeCatalogue struct {
 	Types []MachineType `json:"builds"`
 }
 
 // Rent asks for machines. Request names it for ever: repeating it is harmless.
-type Rent struct {
+type CreateMachinesRequest struct {
 	Request string `json:"ask"`
 	Type    string `json:"build"`
 	Zone    string `json:"yard"`
@@ -47,26 +47,26 @@
 
 // CloudMachine is a machine in the cloud's list.
 type CloudMachine struct {
-	Name    string  `json:"id"`
-	Address string  `json:"address"`
-	Type    string  `json:"build"`
-	Zone    string  `json:"yard"`
-	Spot    bool    `json:"loaner"`
-	Stage   string  `json:"stage"`
-	AgeS    float64 `json:"ageS"`
+	Name       string  `json:"id"`
+	Address    string  `json:"address"`
+	Type       string  `json:"build"`
+	Zone       string  `json:"yard"`
+	Spot       bool    `json:"loaner"`
+	Stage      string  `json:"stage"`
+	AgeSeconds float64 `json:"ageS"`
 }
 
 // Errors that tell what is known about a call.
 var (
 	// ErrNotDone: the call was certainly not carried out.
-	ErrNotDone = errors.New("refused, not carried out")
+	ErrNotExecuted = errors.New("refused, not carried out")
 	// ErrUnknown: the call may have been carried out, or may yet be.
-	ErrUnknown = errors.New("no answer, outcome unknown")
+	ErrOutcomeUnknown = errors.New("no answer, outcome unknown")
 	// ErrRejected: the call can never be carried out as it is, since it is malformed or
 	// over a limit. Sending it again is of no use.
 	ErrRejected = errors.New("rejected for good")
 	// ErrTooMany: the call was not carried out, since there were too many.
-	ErrTooMany = fmt.Errorf("%w: too many requests", ErrNotDone)
+	ErrRateLimited = fmt.Errorf("%w: too many requests", ErrNotExecuted)
 	// ErrNoCapacity: the cloud has no such machines now.
 	ErrNoCapacity = errors.New("no capacity")
 )
@@ -94,11 +94,11 @@
 	}
 	status, answer, err := c.Call(method, addr, path, body, timeout)
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: %s %s: %v", ErrUnknown, method, path, err)
+		return 0, nil, fmt.Errorf("%w: %s %s: %v", ErrOutcomeUnknown, method, path, err)
 	}
 	if status == http.StatusOK && out != nil {
 		if err := Decode(answer, out); err != nil {
-			return status, answer, fmt.Errorf("%w: %s %s: %v", ErrUnknown, method, path, err)
+			return status, answer, fmt.Errorf("%w: %s %s: %v", ErrOutcomeUnknown, method, path, err)
 		}
 	}
 	return status, answer, nil
@@ -108,19 +108,19 @@
 	if len(answer) > 200 {
 		answer = answer[:200]
 	}
-	kind := ErrNotDone
+	kind := ErrNotExecuted
 	switch status {
 	case http.StatusBadRequest:
 		kind = ErrRejected
 	case http.StatusTooManyRequests:
-		kind = ErrTooMany
+		kind = ErrRateLimited
 	}
 	return fmt.Errorf("%w: %s: status %d: %s", kind, what, status, answer)
 }
 
 // Catalogue reads the machine types and their current prices.
-func (c *CloudClient) Catalogue() (Catalogue, error) {
-	var out Catalogue
+func (c *CloudClient) MachineTypes() (MachineTypeCatalogue, error) {
+	var out MachineTypeCatalogue
 	status, answer, err := callJSON(c.HTTP, http.MethodGet, c.Addr, "/flavors", nil, &out, c.Timeout)
 	if err == nil && status != http.StatusOK {
 		err = refused("machine types", status, answer)
@@ -129,7 +129,7 @@
 }
 
 // Rent rents machines and returns their names.
-func (c *CloudClient) Rent(r Rent) ([]string, error) {
+func (c *CloudClient) CreateMachines(r CreateMachinesRequest) ([]string, error) {
 	var out struct {
 		Machines []string `json:"hosts"`
 	}
@@ -143,7 +143,7 @@
 		}
 		return out.Machines, nil
 	}
-	var p Problem
+	var p ErrorBody
 	if status == http.StatusServiceUnavailable && Decode(answer, &p) == nil && p.Error == "no capacity" {
 		return nil, ErrNoCapacity
 	}
@@ -151,7 +151,7 @@
 }
 
 // Delete gives machines back. No error means that they are gone.
-func (c *CloudClient) Delete(names []string) error {
+func (c *CloudClient) DeleteMachines(names []string) error {
 	in := struct {
 		Machines []string `json:"hosts"`
 	}{names}
@@ -166,7 +166,7 @@
 const MachinesPerCall = 500
 
 // List reads all machines, page by page.
-func (c *CloudClient) List() ([]CloudMachine, error) {
+func (c *CloudClient) ListMachines() ([]CloudMachine, error) {
 	var all []CloudMachine
 	after := ""
 	for {
@@ -194,14 +194,14 @@
 }
 
 // WorkerClient sends commands straight to workers.
-type WorkerClient struct {
+type AgentClient struct {
 	HTTP    Caller
 	Timeout time.Duration
 }
 
 // Command carries out commands at once. With no error the report tells what is
 // on the machine; done is false when the worker refused the commands.
-func (c *WorkerClient) Command(addr string, o CommandRequest) (r *Report, done bool, err error) {
+func (c *AgentClient) Execute(addr string, o CommandRequest) (r *AgentHeartbeat, done bool, err error) {
 	if o.Commands == nil {
 		o.Commands = []Command{}
 	}
@@ -211,11 +211,11 @@
 	}
 	status, answer, err := c.HTTP.Call(http.MethodPost, addr, "/commands", body, c.Timeout)
 	if err != nil {
-		return nil, false, fmt.Errorf("%w: commands to %s: %v", ErrUnknown, addr, err)
+		return nil, false, fmt.Errorf("%w: commands to %s: %v", ErrOutcomeUnknown, addr, err)
 	}
 	if status != http.StatusOK && status != http.StatusConflict {
 		return nil, false, refused("commands", status, answer)
 	}
-	r, err = ParseReport(answer)
+	r, err = ParseAgentHeartbeat(answer)
 	return r, status == http.StatusOK, err
 }
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -14,13 +14,13 @@
 var ErrConflict = errors.New("condition not met")
 
 // ErrNoLease says that the lease has ended.
-var ErrNoLease = errors.New("no such lease")
+var ErrLeaseNotFound = errors.New("no such lease")
 
 // ErrTooOld says that the changes asked for are no longer kept; read the keys again.
-var ErrTooOld = errors.New("changes no longer kept")
+var ErrCompacted = errors.New("changes no longer kept")
 
 // Item is a key with its value.
-type Item struct {
+type KeyValue struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"data"`
 	Version uint64          `json:"stamp"`
@@ -28,20 +28,20 @@
 }
 
 // Page is a part of a range of keys.
-type Page struct {
-	Items    []Item `json:"items"`
-	More     bool   `json:"more"`
-	Revision uint64 `json:"epoch"`
+type KeyValuePage struct {
+	Items    []KeyValue `json:"items"`
+	More     bool       `json:"more"`
+	Revision uint64     `json:"epoch"`
 }
 
 // Cond demands that a key has a version; 0 demands that it does not exist.
-type Cond struct {
+type Condition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
 }
 
 // Op is one change: either Put with Value, or Delete.
-type Op struct {
+type Operation struct {
 	Put    string          `json:"put,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
 	Lease  uint64          `json:"permit,omitempty"`
@@ -49,9 +49,9 @@
 }
 
 // Txn is an atomic transaction.
-type Txn struct {
-	If   []Cond `json:"when"`
-	Then []Op   `json:"apply,omitempty"`
+type Transaction struct {
+	Conditions []Condition `json:"when"`
+	Operations []Operation `json:"apply,omitempty"`
 }
 
 // Event is a change to a key: a put, or a removal.
@@ -70,20 +70,20 @@
 
 // StateClient speaks to the state service. Every error wraps one of ErrNotDone,
 // ErrRejected, ErrUnknown, ErrConflict, ErrNoLease or ErrTooOld.
-type StateClient struct {
+type KVClient struct {
 	HTTP    Caller
 	Addr    string
 	Timeout time.Duration
 }
 
 // Get reads one key; found is false when it does not exist.
-func (c *StateClient) Get(key string) (it Item, found bool, err error) {
+func (c *KVClient) Get(key string) (it KeyValue, found bool, err error) {
 	status, answer, err := callJSON(c.HTTP, http.MethodGet, c.Addr, "/store/"+key, nil, &it, c.Timeout)
 	switch {
 	case err != nil:
 		return it, false, err
 	case status == http.StatusOK && it.Key != key:
-		return it, false, fmt.Errorf("%w: get %s: answer names %q", ErrUnknown, key, it.Key)
+		return it, false, fmt.Errorf("%w: get %s: answer names %q", ErrOutcomeUnknown, key, it.Key)
 	case status == http.StatusOK:
 		return it, true, nil
 	case status == http.StatusNotFound:
@@ -93,8 +93,8 @@
 }
 
 // List reads a page of keys with a prefix, beginning after the key given.
-func (c *StateClient) List(prefix, after string) (Page, error) {
-	var p Page
+func (c *KVClient) List(prefix, after string) (KeyValuePage, error) {
+	var p KeyValuePage
 	path := "/store?prefix=" + url.QueryEscape(prefix) + "&most=1000"
 	if after != "" {
 		path += "&from=" + url.QueryEscape(after)
@@ -107,9 +107,9 @@
 }
 
 // Txn carries out a transaction and returns its revision.
-func (c *StateClient) Txn(t Txn) (uint64, error) {
-	if t.If == nil {
-		t.If = []Cond{}
+func (c *KVClient) Commit(t Transaction) (uint64, error) {
+	if t.Conditions == nil {
+		t.Conditions = []Condition{}
 	}
 	var out struct {
 		Revision uint64 `json:"epoch"`
@@ -123,16 +123,16 @@
 	case status == http.StatusConflict:
 		return 0, fmt.Errorf("%w: %s", ErrConflict, answer)
 	case status == http.StatusBadRequest:
-		var p Problem
+		var p ErrorBody
 		if json.Unmarshal(answer, &p) == nil && p.Error == "no such lease" {
-			return 0, ErrNoLease
+			return 0, ErrLeaseNotFound
 		}
 	}
 	return 0, refused("transaction", status, answer)
 }
 
 // NewLease opens a lease.
-func (c *StateClient) NewLease(ttl time.Duration) (uint64, error) {
+func (c *KVClient) OpenLease(ttl time.Duration) (uint64, error) {
 	in := struct {
 		TTL int64 `json:"lifeMs"`
 	}{ttl.Milliseconds()}
@@ -144,7 +144,7 @@
 		err = refused("new lease", status, answer)
 	}
 	if err == nil && out.Lease == 0 {
-		err = fmt.Errorf("%w: new lease: answer names none", ErrUnknown)
+		err = fmt.Errorf("%w: new lease: answer names none", ErrOutcomeUnknown)
 	}
 	return out.Lease, err
 }
@@ -152,7 +152,7 @@
 func leasePath(lease uint64) string { return "/holds/" + strconv.FormatUint(lease, 10) }
 
 // Renew renews a lease.
-func (c *StateClient) Renew(lease uint64) error {
+func (c *KVClient) RenewLease(lease uint64) error {
 	status, answer, err := callJSON(c.HTTP, http.MethodPost, c.Addr, leasePath(lease)+"/touch", nil, nil, c.Timeout)
 	switch {
 	case err != nil:
@@ -160,13 +160,13 @@
 	case status == http.StatusOK || status == http.StatusNoContent:
 		return nil
 	case status == http.StatusNotFound:
-		return ErrNoLease
+		return ErrLeaseNotFound
 	}
 	return refused("renew lease", status, answer)
 }
 
 // EndLease ends a lease and with it the keys attached to it.
-func (c *StateClient) EndLease(lease uint64) error {
+func (c *KVClient) RevokeLease(lease uint64) error {
 	status, answer, err := callJSON(c.HTTP, http.MethodDelete, c.Addr, leasePath(lease), nil, nil, c.Timeout)
 	if err == nil && status >= 300 && status != http.StatusNotFound {
 		err = refused("end lease", status, answer)
@@ -175,7 +175,7 @@
 }
 
 // Follow waits for changes after a revision.
-func (c *StateClient) Follow(prefix string, after uint64, wait time.Duration) (Changes, error) {
+func (c *KVClient) Watch(prefix string, after uint64, wait time.Duration) (Changes, error) {
 	var out Changes
 	path := "/follow?prefix=" + url.QueryEscape(prefix) + "&from=" + strconv.FormatUint(after, 10) +
 		"&blockMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
@@ -186,7 +186,7 @@
 	case status == http.StatusOK:
 		return out, nil
 	case status == http.StatusGone:
-		return out, ErrTooOld
+		return out, ErrCompacted
 	}
 	return out, refused("follow", status, answer)
 }
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -31,38 +31,38 @@
 	StageQueued    = "queued"
 	StageRunning   = "running"
 	StageDone      = "done"
-	StageWithdrawn = "withdrawn"
+	StageCancelled = "withdrawn"
 )
 
 // Spec is a job as its user submitted it. It is also how a job is kept in the
 // state service.
-type Spec struct {
-	ID          string   `json:"id"`
-	Class       string   `json:"lane"`
-	Team        string   `json:"crew"`
-	Kind        string   `json:"shape"`
-	Priority    string   `json:"rank"`
-	Tasks       int      `json:"pieces"`
-	CPUs        float64  `json:"vcpus"`
-	GPUs        float64  `json:"gpus"`
-	MemoryGB    float64  `json:"ramGb"`
-	Image       string   `json:"bundle"`
-	ImageGB     float64  `json:"sizeGb"`
-	Types       []string `json:"builds,omitempty"`
-	Zone        string   `json:"yard,omitempty"`
-	OneZone     bool     `json:"together,omitempty"`
-	Spread      bool     `json:"spread,omitempty"`
-	Spot        bool     `json:"loaner,omitempty"`
-	EstimateS   float64  `json:"guessS,omitempty"`
-	CheckpointS float64  `json:"markS,omitempty"`
-	SaveS       float64  `json:"stashS,omitempty"`
-	DeadlineS   float64  `json:"dueS,omitempty"` // 0: no deadline
+type JobSpec struct {
+	ID                string   `json:"id"`
+	Class             string   `json:"lane"`
+	Team              string   `json:"crew"`
+	Kind              string   `json:"shape"`
+	Priority          string   `json:"rank"`
+	Tasks             int      `json:"pieces"`
+	CPUs              float64  `json:"vcpus"`
+	GPUs              float64  `json:"gpus"`
+	MemoryGB          float64  `json:"ramGb"`
+	Image             string   `json:"bundle"`
+	ImageGB           float64  `json:"sizeGb"`
+	Types             []string `json:"builds,omitempty"`
+	Zone              string   `json:"yard,omitempty"`
+	OneZone           bool     `json:"together,omitempty"`
+	Spread            bool     `json:"spread,omitempty"`
+	Spot              bool     `json:"loaner,omitempty"`
+	EstimateSeconds   float64  `json:"guessS,omitempty"`
+	CheckpointSeconds float64  `json:"markS,omitempty"`
+	SaveSeconds       float64  `json:"stashS,omitempty"`
+	DeadlineSeconds   float64  `json:"dueS,omitempty"` // 0: no deadline
 	// Jobs that must be done before any task of this one starts, each named once.
-	Needs []string `json:"waitsOn,omitempty"`
+	Dependencies []string `json:"waitsOn,omitempty"`
 }
 
 // Rank gives the job's priority as a number, 0 being the highest.
-func (s *Spec) Rank() int {
+func (s *JobSpec) Rank() int {
 	for i, p := range priorities {
 		if p == s.Priority {
 			return i
@@ -72,28 +72,28 @@
 }
 
 // rawSpec tells a missing field from a zero one.
-type rawSpec struct {
-	ID          *string   `json:"id"`
-	Class       *string   `json:"lane"`
-	Team        *string   `json:"crew"`
-	Kind        *string   `json:"shape"`
-	Priority    *string   `json:"rank"`
-	Tasks       *int64    `json:"pieces"`
-	CPUs        *float64  `json:"vcpus"`
-	GPUs        *float64  `json:"gpus"`
-	MemoryGB    *float64  `json:"ramGb"`
-	Image       *string   `json:"bundle"`
-	ImageGB     *float64  `json:"sizeGb"`
-	Types       *[]string `json:"builds"`
-	Zone        *string   `json:"yard"`
-	OneZone     *bool     `json:"together"`
-	Spread      *bool     `json:"spread"`
-	Spot        *bool     `json:"loaner"`
-	EstimateS   *float64  `json:"guessS"`
-	CheckpointS *float64  `json:"markS"`
-	SaveS       *float64  `json:"stashS"`
-	DeadlineS   *float64  `json:"dueS"`
-	Needs       *[]string `json:"waitsOn"`
+type submission struct {
+	ID                *string   `json:"id"`
+	Class             *string   `json:"lane"`
+	Team              *string   `json:"crew"`
+	Kind              *string   `json:"shape"`
+	Priority          *string   `json:"rank"`
+	Tasks             *int64    `json:"pieces"`
+	CPUs              *float64  `json:"vcpus"`
+	GPUs              *float64  `json:"gpus"`
+	MemoryGB          *float64  `json:"ramGb"`
+	Image             *string   `json:"bundle"`
+	ImageGB           *float64  `json:"sizeGb"`
+	Types             *[]string `json:"builds"`
+	Zone              *string   `json:"yard"`
+	OneZone           *bool     `json:"together"`
+	Spread            *bool     `json:"spread"`
+	Spot              *bool     `json:"loaner"`
+	EstimateSeconds   *float64  `json:"guessS"`
+	CheckpointSeconds *float64  `json:"markS"`
+	SaveSeconds       *float64  `json:"stashS"`
+	DeadlineSeconds   *float64  `json:"dueS"`
+	Dependencies      *[]string `json:"waitsOn"`
 }
 
 // ErrMalformed marks a body its sender must correct.
@@ -120,14 +120,14 @@
 
 // ParseSubmission reads and checks the body of a submission. Its errors wrap
 // ErrMalformed.
-func ParseSubmission(body []byte) (*Spec, error) {
+func ParseSubmission(body []byte) (*JobSpec, error) {
 	if len(body) > MaxBody {
 		return nil, malformed("body over %d bytes", MaxBody)
 	}
 	if b := bytes.TrimLeft(body, " \t\r\n"); len(b) == 0 || b[0] != '{' {
 		return nil, malformed("not an object")
 	}
-	var r rawSpec
+	var r submission
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, malformed("%v", err)
 	}
@@ -204,8 +204,8 @@
 }
 
 // spec checks each field by itself.
-func (r *rawSpec) spec() (*Spec, error) {
-	s := &Spec{}
+func (r *submission) spec() (*JobSpec, error) {
+	s := &JobSpec{}
 	f := &fieldReader{}
 	f.text("id", r.ID, &s.ID, false)
 	f.text("lane", r.Class, &s.Class, false)
@@ -217,15 +217,15 @@
 	f.amount("gpus", r.GPUs, &s.GPUs)
 	f.amount("ramGb", r.MemoryGB, &s.MemoryGB)
 	f.amount("sizeGb", r.ImageGB, &s.ImageGB)
-	f.amount("guessS", r.EstimateS, &s.EstimateS)
-	f.amount("markS", r.CheckpointS, &s.CheckpointS)
-	f.amount("stashS", r.SaveS, &s.SaveS)
+	f.amount("guessS", r.EstimateSeconds, &s.EstimateSeconds)
+	f.amount("markS", r.CheckpointSeconds, &s.CheckpointSeconds)
+	f.amount("stashS", r.SaveSeconds, &s.SaveSeconds)
 	f.flag("together", r.OneZone, &s.OneZone)
 	f.flag("spread", r.Spread, &s.Spread)
 	f.flag("loaner", r.Spot, &s.Spot)
 	f.tasks(r.Tasks, &s.Tasks)
-	if r.DeadlineS != nil {
-		f.amount("dueS", r.DeadlineS, &s.DeadlineS)
+	if r.DeadlineSeconds != nil {
+		f.amount("dueS", r.DeadlineSeconds, &s.DeadlineSeconds)
 	}
 	if r.Zone != nil {
 		f.text("yard", r.Zone, &s.Zone, false)
@@ -239,8 +239,8 @@
 		}
 		s.Types = *r.Types
 	}
-	if r.Needs != nil {
-		s.Needs = f.jobIDs("waitsOn", *r.Needs)
+	if r.Dependencies != nil {
+		s.Dependencies = f.jobIDs("waitsOn", *r.Dependencies)
 	}
 	return s, f.err
 }
@@ -262,7 +262,7 @@
 }
 
 // View is what a user is told about a job.
-type View struct {
+type JobStatus struct {
 	ID      string `json:"id"`
 	Stage   string `json:"stage"`
 	Done    int    `json:"done"`
@@ -270,12 +270,12 @@
 }
 
 // Receipt answers a submission or a cancellation.
-type Receipt struct {
+type JobReceipt struct {
 	ID    string `json:"id"`
 	Stage string `json:"stage"`
 }
 
 // Problem is the body of every answer that is not a success.
-type Problem struct {
+type ErrorBody struct {
 	Error string `json:"error"`
 }
--- a/internal/protocol/users_test.go
+++ b/internal/protocol/users_test.go
@@ -68,7 +68,7 @@
 			if err != nil && !errors.Is(err, ErrMalformed) {
 				t.Errorf("%v does not wrap ErrMalformed", err)
 			}
-			if err == nil && (s.ID != "run-000412" || s.CPUs != 8 || !s.Spot || s.SaveS != 4) {
+			if err == nil && (s.ID != "run-000412" || s.CPUs != 8 || !s.Spot || s.SaveSeconds != 4) {
 				t.Errorf("read as %+v", s)
 			}
 		})
@@ -96,7 +96,7 @@
 			t.Fatal(err)
 		}
 		s, err := ParseSubmission(body)
-		if err != nil || !slices.Equal(s.Needs, c.want) {
+		if err != nil || !slices.Equal(s.Dependencies, c.want) {
 			t.Errorf("%v: read as %v, %v", c.given, s, err)
 		}
 	}
@@ -131,16 +131,16 @@
 			}
 			return
 		}
-		for i, id := range s.Needs {
-			if !ValidJobID(id) || slices.Contains(s.Needs[:i], id) {
-				t.Fatalf("needs %q", s.Needs)
+		for i, id := range s.Dependencies {
+			if !ValidJobID(id) || slices.Contains(s.Dependencies[:i], id) {
+				t.Fatalf("needs %q", s.Dependencies)
 			}
 		}
 		record, err := json.Marshal(s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again Spec
+		var again JobSpec
 		if err := Decode(record, &again); err != nil || !reflect.DeepEqual(*s, again) {
 			t.Fatalf("%+v was read again as %+v, %v", *s, again, err)
 		}
@@ -148,31 +148,31 @@
 }
 
 func TestReports(t *testing.T) {
-	if _, err := ParseReport([]byte(`{"host":"m-1","shift":1,"tick":3,"pieces":null}`)); err != nil {
+	if _, err := ParseAgentHeartbeat([]byte(`{"host":"m-1","shift":1,"tick":3,"pieces":null}`)); err != nil {
 		t.Error(err)
 	}
 	for _, body := range []string{"", "{}", `{"host":"m 1","shift":1}`, `{"host":"m-1"}`, `{"host":"m-1","shift":-1}`} {
-		if _, err := ParseReport([]byte(body)); err == nil {
+		if _, err := ParseAgentHeartbeat([]byte(body)); err == nil {
 			t.Errorf("%q was taken for a report", body)
 		}
 	}
-	r := Report{Session: 2, Seq: 5}
+	r := AgentHeartbeat{Epoch: 2, Sequence: 5}
 	for _, c := range []struct {
 		session, seq uint64
 		newer        bool
 	}{{2, 4, true}, {2, 5, false}, {2, 6, false}, {1, 99, true}, {3, 0, false}} {
-		if r.Newer(c.session, c.seq) != c.newer {
+		if r.NewerThan(c.session, c.seq) != c.newer {
 			t.Errorf("newer than %d, %d: %v", c.session, c.seq, !c.newer)
 		}
 	}
 }
 
 func TestTaskNames(t *testing.T) {
-	if job, task, err := SplitTask(TaskName("run-000412", 3)); err != nil || job != "run-000412" || task != 3 {
+	if job, task, err := ParseTaskName(TaskName("run-000412", 3)); err != nil || job != "run-000412" || task != 3 {
 		t.Errorf("%s %d %v", job, task, err)
 	}
 	for _, name := range []string{"", "run-1", "run-1/", "run-1/x", "run-1/-1", "x/1", "run-1/100000"} {
-		if _, _, err := SplitTask(name); err == nil {
+		if _, _, err := ParseTaskName(name); err == nil {
 			t.Errorf("%q was taken for a task", name)
 		}
 	}
--- a/internal/protocol/worker_test.go
+++ b/internal/protocol/worker_test.go
@@ -22,13 +22,13 @@
 
 func TestBadReports(t *testing.T) {
 	for _, body := range bad {
-		var want Report
+		var want AgentHeartbeat
 		wantErr := json.Unmarshal([]byte(body), &want)
-		got, err := ParseReport([]byte(body))
+		got, err := ParseAgentHeartbeat([]byte(body))
 		switch {
 		case wantErr != nil && err == nil:
 			t.Errorf("%q is taken for %+v; it is not JSON of a report: %v", body, got, wantErr)
-		case wantErr == nil && want.Machine != "" && want.Session != 0 && err != nil:
+		case wantErr == nil && want.Machine != "" && want.Epoch != 0 && err != nil:
 			t.Errorf("%q: %v", body, err)
 		case err == nil && !reflect.DeepEqual(*got, want):
 			t.Errorf("%q is read as %+v, not %+v", body, *got, want)
@@ -42,9 +42,9 @@
 		f.Add([]byte(body))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		var want Report
+		var want AgentHeartbeat
 		wantErr := json.Unmarshal(body, &want)
-		got, err := ParseReport(body)
+		got, err := ParseAgentHeartbeat(body)
 		if wantErr != nil && err == nil {
 			t.Errorf("%q is taken for %+v: %v", body, got, wantErr)
 		}
@@ -70,7 +70,7 @@
 	body := []byte(`{"host":"m-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","loaner":true,"shift":1,"tick":88,"baton":41,"warnS":null,` +
 		`"pieces":[{"piece":"run-000412/3","try":2,"stage":"running"},{"piece":"run-000398/0","try":1,"stage":"ended","cause":"done"}]}`)
 	if n := testing.AllocsPerRun(200, func() {
-		if _, err := ParseReport(body); err != nil {
+		if _, err := ParseAgentHeartbeat(body); err != nil {
 			t.Fatal(err)
 		}
 	}); n > 11 {
--- a/internal/scenario/actions_breaches.go
+++ b/internal/scenario/actions_breaches.go
@@ -13,7 +13,7 @@
 	// started on a machine behind the controllers' back.
 	name, task := line.arg(0), line.arg(1)
 	return func() {
-		if x := s.workers[name]; x != nil {
+		if x := s.agents[name]; x != nil {
 			x.obey([]protocol.Command{{Verb: protocol.VerbStart, Task: task, Attempt: math.MaxUint32}})
 		}
 	}
--- a/internal/scenario/actions_machines.go
+++ b/internal/scenario/actions_machines.go
@@ -36,7 +36,7 @@
 func actRestart(s *sim, line *statement) func() {
 	name := line.arg(0)
 	return func() {
-		if x := s.workers[name]; x != nil {
+		if x := s.agents[name]; x != nil {
 			x.restart()
 		}
 	}
@@ -54,7 +54,7 @@
 func actTake(s *sim, line *statement) func() {
 	name, notice := line.arg(0), line.duration(line.text("notice", "0s"))
 	return func() {
-		if x := s.workers[name]; x != nil && notice > 0 {
+		if x := s.agents[name]; x != nil && notice > 0 {
 			x.warn = s.now + notice
 			x.changed()
 		}
@@ -76,7 +76,7 @@
 func actFaulty(s *sim, line *statement) func() {
 	name := line.arg(0)
 	return func() {
-		if x := s.workers[name]; x != nil {
+		if x := s.agents[name]; x != nil {
 			x.faulty = true
 		}
 	}
@@ -85,7 +85,7 @@
 func actSlow(s *sim, line *statement) func() {
 	name, factor := line.arg(0), line.num("factor", 3)
 	return func() {
-		if x := s.workers[name]; x != nil {
+		if x := s.agents[name]; x != nil {
 			x.slow = factor
 		}
 	}
--- a/internal/scenario/actions_nodes.go
+++ b/internal/scenario/actions_nodes.go
@@ -7,7 +7,7 @@
 	if name == "all" {
 		return func() {
 			s.faultBegins("away", "")
-			for _, h := range s.nodes {
+			for _, h := range s.hosts {
 				h.crash()
 			}
 		}
@@ -31,7 +31,7 @@
 	h := s.host(line, line.arg(0))
 	return func() {
 		if p := h.p; p != nil {
-			p.node.Stop(h.crash)
+			p.controller.Stop(h.crash)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	if line.arg(0) == "all" {
 		return func() {
 			s.faultEnds("away", "")
-			for _, h := range s.nodes {
+			for _, h := range s.hosts {
 				if h.p == nil {
 					h.start()
 				}
@@ -81,7 +81,7 @@
 		h.noPeers = on
 	}
 	if what == "all" || what == "workers" {
-		h.noWorkers = on
+		h.noAgents = on
 	}
 	switch after := h.isCut(); {
 	case after && !before:
@@ -94,7 +94,7 @@
 	}
 }
 
-func (h *host) isCut() bool { return h.noState || h.noPeers || h.noWorkers }
+func (h *host) isCut() bool { return h.noState || h.noPeers || h.noAgents }
 
 // actUpgrade ends a controller's process; the next one is of the new version, which
 // knows the limits to come.
--- a/internal/scenario/actions_users.go
+++ b/internal/scenario/actions_users.go
@@ -38,7 +38,7 @@
 		line.args[0] = fmt.Sprintf("%s-%d", prefix, first+i)
 		j := s.job(line)
 		if behind >= 0 {
-			j.spec.Needs = append(j.spec.Needs, fmt.Sprintf("%s-%d", prefix, behind+i))
+			j.spec.Dependencies = append(j.spec.Dependencies, fmt.Sprintf("%s-%d", prefix, behind+i))
 		}
 		jobs = append(jobs, j)
 	}
@@ -101,11 +101,11 @@
 
 // job reads the description of a job.
 func (s *sim) job(line *statement) *userJob {
-	sp := protocol.Spec{
+	sp := protocol.JobSpec{
 		ID: line.arg(0), Class: line.text("class", "c"), Team: line.text("team", "red"), Priority: line.text("rank", "normal"),
 		Tasks: int(line.num("tasks", 1)), CPUs: line.num("cpus", 1), MemoryGB: line.num("mem", 1), Image: line.text("image", "img"), ImageGB: line.num("gb", 1),
 		Zone: line.text("zone", ""), OneZone: line.text("together", "") != "", Spread: line.text("spread", "") != "", Spot: line.text("loaner", "") != "",
-		EstimateS: line.num("guess", 10), CheckpointS: line.num("mark", 0), SaveS: line.num("stash", 0), DeadlineS: line.num("due", 0),
+		EstimateSeconds: line.num("guess", 10), CheckpointSeconds: line.num("mark", 0), SaveSeconds: line.num("stash", 0), DeadlineSeconds: line.num("due", 0),
 	}
 	switch kind := line.text("kind", "array"); kind {
 	case "array":
@@ -118,7 +118,7 @@
 		line.fail("kind %s", kind)
 	}
 	if needs := line.text("needs", ""); needs != "" {
-		sp.Needs = strings.Split(needs, ",")
+		sp.Dependencies = strings.Split(needs, ",")
 	}
 	if t := line.text("types", ""); t != "" {
 		sp.Types = strings.Split(t, ",")
--- a/internal/scenario/checker.go
+++ b/internal/scenario/checker.go
@@ -14,15 +14,15 @@
 // the controllers believe.
 type checker struct {
 	s        *sim
-	on       map[string][]*worker // where a task is on its machine
-	finished map[string]bool      // tasks that have completed
+	on       map[string][]*agent // where a task is on its machine
+	finished map[string]bool     // tasks that have completed
 	starts   int
 	lateOnes int // starts after a confirmed withdrawal, within the time for cancelling or not
 	broken   []string
 }
 
 func newChecker(s *sim) *checker {
-	return &checker{s: s, on: map[string][]*worker{}, finished: map[string]bool{}}
+	return &checker{s: s, on: map[string][]*agent{}, finished: map[string]bool{}}
 }
 
 func (c *checker) breach(rule, format string, args ...any) {
@@ -30,7 +30,7 @@
 }
 
 // began is called when a task has its image and starts.
-func (c *checker) began(w *worker, t *onWorker) {
+func (c *checker) began(w *agent, t *agentTask) {
 	c.starts++
 	if j := c.s.users.jobs[t.spec.ID]; j.beganAt == 0 {
 		j.beganAt = c.s.now
@@ -44,21 +44,21 @@
 	if c.s.users.jobs[t.spec.ID].withdrawnAt > 0 {
 		c.lateOnes++
 	}
-	if j := c.s.users.jobs[t.spec.ID]; j.withdrawnAt > 0 && c.s.now > j.withdrawnAt+c.s.cluster.Workers.Cancel() {
+	if j := c.s.users.jobs[t.spec.ID]; j.withdrawnAt > 0 && c.s.now > j.withdrawnAt+c.s.cluster.Agents.CancelTimeout() {
 		c.breach("ran_cancelled", "%s starts %s after its withdrawal", t.Task, c.s.now-j.withdrawnAt)
 	}
 	c.quota(t)
 }
 
 // quota checks that what runs of a team stays within its limit.
-func (c *checker) quota(t *onWorker) {
+func (c *checker) quota(t *agentTask) {
 	i := slices.IndexFunc(c.s.cluster.Teams, func(x config.Team) bool { return x.Name == t.spec.Team })
-	most := c.s.cluster.Teams[i].CPUsMax
+	most := c.s.cluster.Teams[i].MaxCPUs
 	if most <= 0 {
 		return // no limit
 	}
 	cpus := 0.0
-	for _, x := range c.s.workers {
+	for _, x := range c.s.agents {
 		for _, o := range x.tasks {
 			if (o == t || o.State == protocol.TaskRunning || o.State == protocol.TaskSaving) && o.spec != nil && o.spec.Team == t.spec.Team {
 				cpus += o.spec.CPUs
@@ -71,7 +71,7 @@
 }
 
 // place checks that a task starts where its job allows.
-func (c *checker) place(w *worker, t *onWorker) {
+func (c *checker) place(w *agent, t *agentTask) {
 	s := t.spec
 	if w.r.Spot && !s.Spot || s.Zone != "" && s.Zone != w.r.Zone || len(s.Types) > 0 && !slices.Contains(s.Types, w.r.Type) {
 		c.breach("wrong_place", "%s on %s", t.Task, w.r.Name)
@@ -81,7 +81,7 @@
 	}
 	here, elsewhere := 1, 0
 	for task, workers := range c.on {
-		id, _, err := protocol.SplitTask(task)
+		id, _, err := protocol.ParseTaskName(task)
 		if err != nil || id != s.ID || task == t.Task {
 			continue
 		}
@@ -102,8 +102,8 @@
 }
 
 // left is called when a task is no longer on its machine.
-func (c *checker) left(w *worker, t *onWorker) {
-	c.on[t.Task] = slices.DeleteFunc(c.on[t.Task], func(x *worker) bool { return x == w })
+func (c *checker) left(w *agent, t *agentTask) {
+	c.on[t.Task] = slices.DeleteFunc(c.on[t.Task], func(x *agent) bool { return x == w })
 	if len(c.on[t.Task]) == 0 {
 		delete(c.on, t.Task)
 	}
@@ -124,14 +124,14 @@
 		if !c.complete(j) {
 			c.breach("not_done", "%s is called done, not all of its tasks are", id)
 		}
-	case protocol.StageWithdrawn:
+	case protocol.StageCancelled:
 		if !j.asked && !c.mayBeCancelled(j) {
 			c.breach("went_back", "%s is called withdrawn and nobody asked for it", id)
 		}
 		if j.withdrawnAt == 0 {
 			j.withdrawnAt = c.s.now
 			c.s.noteFault("confirmed", 0)
-			c.s.after(c.s.cluster.Workers.Cancel(), func() { c.gone(id) })
+			c.s.after(c.s.cluster.Agents.CancelTimeout(), func() { c.gone(id) })
 		}
 	default:
 		c.orphaned(j, stage)
@@ -156,7 +156,7 @@
 // gone checks that a withdrawn job has left every machine.
 func (c *checker) gone(id string) {
 	for task, workers := range c.on {
-		if job, _, err := protocol.SplitTask(task); err == nil && job == id && len(workers) > 0 {
+		if job, _, err := protocol.ParseTaskName(task); err == nil && job == id && len(workers) > 0 {
 			c.breach("ran_cancelled", "%s is still on %s", task, workers[0].r.Name)
 		}
 	}
@@ -201,7 +201,7 @@
 func (c *checker) unserved() string {
 	on := map[string]int{}
 	for task, workers := range c.on {
-		if id, _, err := protocol.SplitTask(task); err == nil && len(workers) > 0 {
+		if id, _, err := protocol.ParseTaskName(task); err == nil && len(workers) > 0 {
 			on[id]++
 		}
 	}
--- a/internal/scenario/checker_idle.go
+++ b/internal/scenario/checker_idle.go
@@ -9,15 +9,15 @@
 )
 
 // machinesOf lists the machines that tasks of a job are on.
-func (c *checker) machinesOf(id string) []*worker {
+func (c *checker) machinesOf(id string) []*agent {
 	var tasks []string
 	for task := range c.on {
-		if job, _, err := protocol.SplitTask(task); err == nil && job == id {
+		if job, _, err := protocol.ParseTaskName(task); err == nil && job == id {
 			tasks = append(tasks, task)
 		}
 	}
 	slices.Sort(tasks)
-	var out []*worker
+	var out []*agent
 	for _, task := range tasks {
 		out = append(out, c.on[task]...)
 	}
@@ -52,7 +52,7 @@
 	s := c.s
 	used := 0.0
 	fits := false
-	for _, w := range s.workers {
+	for _, w := range s.agents {
 		cpus, mem := w.t.CPUs, w.t.MemoryGB
 		for _, o := range w.tasks {
 			if o.State != protocol.TaskEnded && o.spec != nil {
@@ -70,7 +70,7 @@
 		}
 	}
 	for _, t := range s.cluster.Teams {
-		if t.Name == j.spec.Team && t.CPUsMax > 0 && used+j.spec.CPUs > t.CPUsMax+1e-6 {
+		if t.Name == j.spec.Team && t.MaxCPUs > 0 && used+j.spec.CPUs > t.MaxCPUs+1e-6 {
 			return false
 		}
 	}
--- a/internal/scenario/checker_needs.go
+++ b/internal/scenario/checker_needs.go
@@ -13,7 +13,7 @@
 // needsDone reports whether all jobs that a job needs are done: as it is, not as
 // anybody was told.
 func (c *checker) needsDone(j *userJob) bool {
-	return !slices.ContainsFunc(j.spec.Needs, c.incomplete)
+	return !slices.ContainsFunc(j.spec.Dependencies, c.incomplete)
 }
 
 // incomplete reports whether a job that another one names is not done.
@@ -24,7 +24,7 @@
 
 // tooEarly is called when a task of a job starts.
 func (c *checker) tooEarly(task string, j *userJob) {
-	for _, id := range j.spec.Needs {
+	for _, id := range j.spec.Dependencies {
 		if c.incomplete(id) {
 			c.breach("too_early", "%s starts before %s is done", task, id)
 		}
@@ -37,7 +37,7 @@
 	for next := []*userJob{j}; len(next) > 0; {
 		last := next[len(next)-1]
 		next = next[:len(next)-1]
-		for _, id := range last.spec.Needs {
+		for _, id := range last.spec.Dependencies {
 			if need := c.s.users.jobs[id]; need != nil && !slices.Contains(list, need) {
 				list = append(list, need)
 				next = append(next, need)
@@ -52,7 +52,7 @@
 func (c *checker) cancelledBefore(j *userJob) (time.Duration, bool) {
 	since, found := time.Duration(0), false
 	for _, need := range c.before(j) {
-		if need.final == protocol.StageWithdrawn && (!found || need.withdrawnAt < since) {
+		if need.final == protocol.StageCancelled && (!found || need.withdrawnAt < since) {
 			since, found = need.withdrawnAt, true
 		}
 	}
@@ -69,7 +69,7 @@
 func (c *checker) orphaned(j *userJob, stage string) {
 	since, found := c.cancelledBefore(j)
 	since = max(since, j.acceptedAt)
-	if found && c.s.now > since+c.s.cluster.Workers.Cancel() {
+	if found && c.s.now > since+c.s.cluster.Agents.CancelTimeout() {
 		c.breach("orphaned", "%s is called %s, one before it has been cancelled since %s", j.spec.ID, stage, since)
 	}
 }
@@ -78,16 +78,16 @@
 // names had been accepted is what was so when it was sent.
 func (c *checker) acceptedNeeds(j *userJob, status int, allAccepted bool) {
 	switch {
-	case allAccepted && status == http.StatusUnprocessableEntity && len(j.spec.Needs) > 0 && !c.needsService(j):
+	case allAccepted && status == http.StatusUnprocessableEntity && len(j.spec.Dependencies) > 0 && !c.needsService(j):
 		c.breach("refused_needs", "%s is answered %d, all that it needs was accepted", j.spec.ID, status)
-	case status == http.StatusCreated && slices.ContainsFunc(j.spec.Needs, func(id string) bool { return c.s.users.jobs[id] == nil }):
+	case status == http.StatusCreated && slices.ContainsFunc(j.spec.Dependencies, func(id string) bool { return c.s.users.jobs[id] == nil }):
 		c.breach("invented", "%s is accepted, and needs one that nobody has submitted", j.spec.ID)
 	}
 }
 
 // needsService reports whether a job names a service, as no user should.
 func (c *checker) needsService(j *userJob) bool {
-	return slices.ContainsFunc(j.spec.Needs, func(id string) bool {
+	return slices.ContainsFunc(j.spec.Dependencies, func(id string) bool {
 		need := c.s.users.jobs[id]
 		return need != nil && need.spec.Kind == protocol.KindService
 	})
@@ -97,7 +97,7 @@
 // nor any job before it is cancelled.
 func (c *checker) causeless() string {
 	for id, j := range c.s.users.jobs {
-		if j.final != protocol.StageWithdrawn || j.asked {
+		if j.final != protocol.StageCancelled || j.asked {
 			continue
 		}
 		if _, found := c.cancelledBefore(j); !found {
--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -12,11 +12,11 @@
 
 // idleWorld has one machine with room and one accepted job that fits there.
 func idleWorld() (*sim, *userJob) {
-	s := newSim(config.Cluster{Teams: []config.Team{{Name: "red", CPUsMax: 4}}, Workers: config.Workers{LeaseS: 30, CancelS: 60}}, config.DefaultOptions(), 1, io.Discard)
+	s := newSim(config.Cluster{Teams: []config.Team{{Name: "red", MaxCPUs: 4}}, Agents: config.Agents{LeaseSeconds: 30, CancelSeconds: 60}}, config.DefaultOptions(), 1, io.Discard)
 	r := &rented{poolName: poolName{"small", "north", false}}
 	r.Name, r.Type, r.Zone = "m-1", "small", "north"
-	s.workers["m-1"] = &worker{s: s, r: r, t: &protocol.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}}
-	j := &userJob{accepted: true, spec: protocol.Spec{ID: "run-1", Class: "c", Team: "red", Kind: protocol.KindArray, Tasks: 1, CPUs: 2, MemoryGB: 1}}
+	s.agents["m-1"] = &agent{s: s, r: r, t: &protocol.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}}
+	j := &userJob{accepted: true, spec: protocol.JobSpec{ID: "run-1", Class: "c", Team: "red", Kind: protocol.KindArray, Tasks: 1, CPUs: 2, MemoryGB: 1}}
 	s.users.jobs["run-1"] = j
 	return s, j
 }
@@ -31,11 +31,11 @@
 		"room and limit": {func(*sim, *userJob) {}, true},
 		"above limit":    {func(_ *sim, j *userJob) { j.spec.CPUs = 5 }, false},
 		"other zone":     {func(_ *sim, j *userJob) { j.spec.Zone = "south" }, false},
-		"mute machine":   {func(s *sim, _ *userJob) { s.workers["m-1"].mute = true }, false},
+		"mute machine":   {func(s *sim, _ *userJob) { s.agents["m-1"].mute = true }, false},
 		"no room": {func(s *sim, _ *userJob) {
-			s.workers["m-1"].tasks = []*onWorker{{TaskStatus: protocol.TaskStatus{State: protocol.TaskRunning}, spec: &protocol.Spec{Team: "blue", CPUs: 3}}}
+			s.agents["m-1"].tasks = []*agentTask{{TaskStatus: protocol.TaskStatus{State: protocol.TaskRunning}, spec: &protocol.JobSpec{Team: "blue", CPUs: 3}}}
 		}, false},
-		"it runs": {func(s *sim, _ *userJob) { s.check.on["run-1/0"] = []*worker{s.workers["m-1"]} }, false},
+		"it runs": {func(s *sim, _ *userJob) { s.check.on["run-1/0"] = []*agent{s.agents["m-1"]} }, false},
 	} {
 		s, j := idleWorld()
 		c.change(s, j)
@@ -90,7 +90,7 @@
 // another counts as cut exactly until then.
 func TestCutEndsByAnyName(t *testing.T) {
 	s, _ := idleWorld()
-	s.nodes = []*host{{s: s, name: "a"}, {s: s, name: "b"}}
+	s.hosts = []*host{{s: s, name: "a"}, {s: s, name: "b"}}
 	play := func(at time.Duration, verb, what string) {
 		t.Helper()
 		line := parseStatement(verb + " " + what)
--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -54,7 +54,7 @@
 	r.history = append(r.history, seen{now, stage})
 }
 
-func (c *cloud) rent(q protocol.Rent) ([]string, error) {
+func (c *cloud) rent(q protocol.CreateMachinesRequest) ([]string, error) {
 	if names, ok := c.asks[q.Request]; ok {
 		return names, nil
 	}
@@ -82,11 +82,11 @@
 			continue
 		}
 		i := slices.IndexFunc(c.types, func(t protocol.MachineType) bool { return t.Name == q.Type })
-		boot := time.Duration(c.types[i].BootS * (0.6 + 0.9*c.s.rand.Float64()) * float64(time.Second))
+		boot := time.Duration(c.types[i].BootSeconds * (0.6 + 0.9*c.s.rand.Float64()) * float64(time.Second))
 		c.s.after(boot, func() {
 			if !r.gone {
 				r.set(c.s.now, protocol.MachineRunning)
-				newWorker(c.s, r, &c.types[i])
+				newAgent(c.s, r, &c.types[i])
 			}
 		})
 	}
@@ -99,7 +99,7 @@
 		if r := c.find(name); r != nil && !r.gone {
 			r.gone = true
 			r.set(c.s.now, "")
-			if w := c.s.workers[name]; w != nil {
+			if w := c.s.agents[name]; w != nil {
 				w.kill()
 			}
 		}
@@ -112,7 +112,7 @@
 	if r == nil || r.gone {
 		return
 	}
-	if w := c.s.workers[name]; w != nil {
+	if w := c.s.agents[name]; w != nil {
 		w.kill()
 	}
 	c.s.after(30*time.Second, func() {
@@ -123,7 +123,7 @@
 }
 
 func (c *cloud) list() []protocol.CloudMachine {
-	lag := time.Duration(c.s.cluster.Cloud.ListLagS * (0.5 + 1.5*c.s.rand.Float64()) * float64(time.Second))
+	lag := time.Duration(c.s.cluster.Cloud.ListLagSeconds * (0.5 + 1.5*c.s.rand.Float64()) * float64(time.Second))
 	asOf := c.s.now - lag
 	var out []protocol.CloudMachine
 	for _, r := range c.rented {
@@ -135,7 +135,7 @@
 		}
 		if stage != "" {
 			m := r.CloudMachine
-			m.Stage, m.AgeS = stage, (asOf - r.at).Seconds()
+			m.Stage, m.AgeSeconds = stage, (asOf - r.at).Seconds()
 			out = append(out, m)
 		}
 	}
@@ -154,12 +154,12 @@
 	s.cloud.calls++
 	s.after(s.delay(), func() {
 		if s.cloud.outage {
-			s.after(s.delay(), l.p.guard(func() { failed(protocol.ErrNotDone) }))
+			s.after(s.delay(), l.p.guard(func() { failed(protocol.ErrNotExecuted) }))
 			return
 		}
 		back := do(s.cloud)
 		if s.rand.Float64() < s.cloud.lose {
-			s.after(5*time.Second, l.p.guard(func() { failed(protocol.ErrUnknown) }))
+			s.after(5*time.Second, l.p.guard(func() { failed(protocol.ErrOutcomeUnknown) }))
 			return
 		}
 		s.after(50*time.Millisecond, l.p.guard(back))
@@ -167,15 +167,15 @@
 }
 
 // Catalogue implements coordination.Cloud.
-func (l cloudLink) Catalogue(done func(protocol.Catalogue, error)) {
+func (l cloudLink) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
 	l.sent("machine types", nil)
 	l.call(func(c *cloud) func() {
-		return func() { done(protocol.Catalogue{Types: c.types}, nil) }
-	}, func(err error) { done(protocol.Catalogue{}, err) })
+		return func() { done(protocol.MachineTypeCatalogue{Types: c.types}, nil) }
+	}, func(err error) { done(protocol.MachineTypeCatalogue{}, err) })
 }
 
 // Rent implements coordination.Cloud.
-func (l cloudLink) Rent(r protocol.Rent, done func([]string, error)) {
+func (l cloudLink) CreateMachines(r protocol.CreateMachinesRequest, done func([]string, error)) {
 	l.sent("rent", r)
 	l.call(func(c *cloud) func() {
 		names, err := c.rent(r)
@@ -184,7 +184,7 @@
 }
 
 // Delete implements coordination.Cloud.
-func (l cloudLink) Delete(names []string, done func(error)) {
+func (l cloudLink) DeleteMachines(names []string, done func(error)) {
 	l.sent("delete", names)
 	l.call(func(c *cloud) func() {
 		c.delete(names)
@@ -193,7 +193,7 @@
 }
 
 // List implements coordination.Cloud.
-func (l cloudLink) List(done func([]protocol.CloudMachine, error)) {
+func (l cloudLink) ListMachines(done func([]protocol.CloudMachine, error)) {
 	l.sent("list machines", nil)
 	l.call(func(c *cloud) func() {
 		list := c.list()
--- a/internal/scenario/expect.go
+++ b/internal/scenario/expect.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // expectation checks one line of the expectations and says what is not met, or
@@ -41,9 +41,9 @@
 	"late-starts": func(s *sim, line *statement) string { return line.bounds(s.check.lateOnes) },
 	"writes":      func(s *sim, line *statement) string { return line.bounds(s.store.writes) },
 	"looks":       func(s *sim, line *statement) string { return line.bounds(s.users.looks) },
-	"records":     func(s *sim, line *statement) string { return line.bounds(len(s.store.keys(bookkeeping.Prefix))) },
+	"records":     func(s *sim, line *statement) string { return line.bounds(len(s.store.keys(storage.Prefix))) },
 	"final-reads": func(s *sim, line *statement) string { return line.bounds(s.store.finals) },
-	"unfinished":  func(s *sim, line *statement) string { return line.bounds(len(s.store.keys(bookkeeping.JobKey("")))) },
+	"unfinished":  func(s *sim, line *statement) string { return line.bounds(len(s.store.keys(storage.JobKey("")))) },
 	"requests":    func(s *sim, line *statement) string { return line.bounds(s.store.requests) },
 	"rejected":    func(s *sim, line *statement) string { return line.bounds(s.store.rejected) },
 	"inherited":   func(s *sim, line *statement) string { return line.bounds(s.store.inherited) },
@@ -78,7 +78,7 @@
 }
 
 func expectWithdrawn(s *sim, line *statement) string {
-	if why := expectFinal(s, line, protocol.StageWithdrawn); why != "" {
+	if why := expectFinal(s, line, protocol.StageCancelled); why != "" {
 		return why
 	}
 	j := s.users.jobs[line.arg(0)]
@@ -215,7 +215,7 @@
 // readyAt is when a job could begin: submitted, and all that it needs complete.
 func (s *sim) readyAt(j *userJob) time.Duration {
 	ready := j.submitted
-	for _, id := range j.spec.Needs {
+	for _, id := range j.spec.Dependencies {
 		need := s.users.jobs[id]
 		if need == nil || need.completeAt == 0 {
 			return s.now
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -49,7 +49,7 @@
 func (s *sim) apart(zone string, d time.Duration) {
 	s.noteFault("zone-cut", d)
 	s.cutZone = zone
-	for _, h := range s.nodes {
+	for _, h := range s.hosts {
 		if h.zone == zone {
 			h.cut("state", true)
 			h.cut("peers", true)
@@ -57,7 +57,7 @@
 	}
 	s.after(d, func() {
 		s.cutZone = ""
-		for _, h := range s.nodes {
+		for _, h := range s.hosts {
 			if h.zone == zone {
 				h.cut("state", false)
 				h.cut("peers", false)
@@ -67,8 +67,8 @@
 }
 
 // reach reports whether messages pass between a controller and a machine.
-func (s *sim) reach(h *host, w *worker) bool {
-	return !h.noWorkers && (s.cutZone == "" || (h.zone == s.cutZone) == (w.r.Zone == s.cutZone))
+func (s *sim) reach(h *host, w *agent) bool {
+	return !h.noAgents && (s.cutZone == "" || (h.zone == s.cutZone) == (w.r.Zone == s.cutZone))
 }
 
 // overlaps reports how often two faults lasted at the same time.
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -16,8 +16,8 @@
 	Broken []string // rules, with when and how
 	Failed []string // expectations that were not met
 
-	Digest  string          // of everything that controllers sent
-	Records []protocol.Item // what lies in the state service at the end, by key
+	Digest  string              // of everything that controllers sent
+	Records []protocol.KeyValue // what lies in the state service at the end, by key
 }
 
 // defaultEnd is when a scenario ends whose script doesn't say.
--- a/internal/scenario/select.go
+++ b/internal/scenario/select.go
@@ -6,11 +6,11 @@
 	"strconv"
 	"strings"
 
-	"rockrun/internal/bookkeeping"
+	"rockrun/internal/storage"
 )
 
 func (s *sim) host(line *statement, name string) *host {
-	for _, h := range s.nodes {
+	for _, h := range s.hosts {
 		if h.name == name {
 			return h
 		}
@@ -27,17 +27,17 @@
 	}
 	if shard, ok := strings.CutPrefix(name, "holder:"); ok {
 		n, err := strconv.Atoi(shard)
-		var g bookkeeping.GrantRecord
-		if it := s.store.items[bookkeeping.GrantKey(n)]; err == nil && it != nil && json.Unmarshal(it.Value, &g) == nil {
-			name = g.Node
+		var g storage.GrantRecord
+		if it := s.store.items[storage.GrantKey(n)]; err == nil && it != nil && json.Unmarshal(it.Value, &g) == nil {
+			name = g.Controller
 		}
 	}
-	for _, h := range s.nodes {
+	for _, h := range s.hosts {
 		if h.name == name {
 			return h
 		}
 	}
-	return s.nodes[0]
+	return s.hosts[0]
 }
 
 // hostsNow is hostNow with "all" and "well" as names: the latter are those that
@@ -45,23 +45,23 @@
 func (s *sim) hostsNow(name string) []*host {
 	switch name {
 	case "all":
-		return s.nodes
+		return s.hosts
 	case "well":
-		return slices.DeleteFunc(slices.Clone(s.nodes), func(h *host) bool { return s.store.down(h) })
+		return slices.DeleteFunc(slices.Clone(s.hosts), func(h *host) bool { return s.store.down(h) })
 	}
 	return []*host{s.hostNow(name)}
 }
 
 // leaderHost is the host whose process leads now, or the first.
 func (s *sim) leaderHost() *host {
-	for _, h := range s.nodes {
+	for _, h := range s.hosts {
 		if h.p != nil {
-			if st, _ := h.p.node.Autoscaler(); st.Leading {
+			if st, _ := h.p.controller.Autoscaler(); st.Leading {
 				return h
 			}
 		}
 	}
-	return s.nodes[0]
+	return s.hosts[0]
 }
 
 // known fails unless a name means a host.
@@ -73,12 +73,12 @@
 
 // machines picks machines that are up: the one named, or with "some" a share of
 // them all, of a zone where one is given.
-func (s *sim) machines(line *statement) func() []*worker {
+func (s *sim) machines(line *statement) func() []*agent {
 	name, zone, share := line.arg(0), line.text("zone", ""), line.num("share", 1)
-	return func() []*worker {
-		var out []*worker
+	return func() []*agent {
+		var out []*agent
 		for _, r := range s.cloud.rented {
-			x := s.workers[r.Name]
+			x := s.agents[r.Name]
 			if x != nil && (r.Name == name || name == "some" && (zone == "" || zone == r.Zone) && s.rand.Float64() < share) {
 				out = append(out, x)
 			}
--- a/internal/scenario/sim.go
+++ b/internal/scenario/sim.go
@@ -50,19 +50,19 @@
 	cluster config.Cluster
 	options config.Options
 
-	nodes   []*host
-	store   *store
-	cloud   *cloud
-	workers map[string]*worker
-	users   *users
-	check   *checker
-	trace   *trace  // of what controllers send
-	echo    float64 // share of direct commands of which a late copy arrives
-	copies  float64 // share of reports of which a late copy arrives
+	hosts  []*host
+	store  *store
+	cloud  *cloud
+	agents map[string]*agent
+	users  *users
+	check  *checker
+	trace  *trace  // of what controllers send
+	echo   float64 // share of direct commands of which a late copy arrives
+	copies float64 // share of reports of which a late copy arrives
 
 	copyLeast, copyMost time.Duration // how late
 	keptCopies          float64       // share of reports of which a copy is kept for the next leader
-	kept                []*protocol.Report
+	kept                []*protocol.AgentHeartbeat
 	lateCommands        float64 // share of direct commands that are carried out late, unanswered
 	lateLeast, lateMost time.Duration
 	drag                float64       // share of direct commands that are held up on their way there or back
@@ -76,7 +76,7 @@
 
 func newSim(cluster config.Cluster, options config.Options, seed uint64, log io.Writer) *sim {
 	s := &sim{
-		rand: rand.New(rand.NewPCG(seed, 7)), cluster: cluster, options: options, workers: map[string]*worker{},
+		rand: rand.New(rand.NewPCG(seed, 7)), cluster: cluster, options: options, agents: map[string]*agent{},
 	}
 	s.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: s.virtualTime}))
 	s.store = newStore(s)
@@ -117,44 +117,44 @@
 
 // host is a controller's machine, on which processes come and go.
 type host struct {
-	s         *sim
-	name      string
-	zone      string // "": none in particular
-	p         *process
-	unaware   bool          // processes started here don't know the limits to come
-	noState   bool          // the state service refuses it
-	noPeers   bool          // it can't reach other controllers, nor they it
-	noWorkers bool          // it can't reach workers, nor they it
-	thaw      time.Duration // until then the process stands still; what comes meanwhile is worked off afterwards
+	s        *sim
+	name     string
+	zone     string // "": none in particular
+	p        *process
+	unaware  bool          // processes started here don't know the limits to come
+	noState  bool          // the state service refuses it
+	noPeers  bool          // it can't reach other controllers, nor they it
+	noAgents bool          // it can't reach workers, nor they it
+	thaw     time.Duration // until then the process stands still; what comes meanwhile is worked off afterwards
 }
 
 // process is one run of the program.
 type process struct {
-	h    *host
-	node *coordination.Node
-	dead bool
+	h          *host
+	controller *coordination.Controller
+	dead       bool
 }
 
 func (h *host) start() {
 	s := h.s
 	s.faultEnds("down", h.name)
 	p := &process{h: h}
-	set := &config.Settings{Node: h.name, Cluster: s.cluster}
+	set := &config.Settings{Controller: h.name, Cluster: s.cluster}
 	if h.unaware {
-		set.Cluster.State.Next = nil
+		set.Cluster.KVStore.Announced = nil
 	}
-	for _, o := range s.nodes {
+	for _, o := range s.hosts {
 		if o != h {
-			set.Siblings = append(set.Siblings, config.Sibling{Node: o.name})
+			set.Peers = append(set.Peers, config.Peer{Controller: o.name})
 		}
 	}
-	p.node = coordination.New(coordination.Config{
-		Settings: set, Options: s.options, Clock: p, State: stateLink{p}, Cloud: cloudLink{p}, Workers: workerLink{p}, Peers: peerLink{p},
+	p.controller = coordination.New(coordination.Config{
+		Settings: set, Options: s.options, Clock: p, Store: storeLink{p}, Cloud: cloudLink{p}, Agents: agentLink{p}, Peers: peerLink{p},
 		Rand: rand.New(rand.NewPCG(s.rand.Uint64(), s.rand.Uint64())),
 		Log:  s.log.With("node", h.name),
 	})
 	h.p = p
-	s.after(0, p.guard(p.node.Start))
+	s.after(0, p.guard(p.controller.Start))
 }
 
 func (h *host) crash() {
@@ -198,9 +198,9 @@
 	s := l.p.h.s
 	s.trace.asked(l.p.h.name, node, r)
 	fail := func() {
-		s.after(time.Second, l.p.guard(func() { done(protocol.PeerAnswer{}, protocol.ErrUnknown) }))
+		s.after(time.Second, l.p.guard(func() { done(protocol.PeerAnswer{}, protocol.ErrOutcomeUnknown) }))
 	}
-	for _, h := range s.nodes {
+	for _, h := range s.hosts {
 		if h.name != node {
 			continue
 		}
@@ -218,7 +218,7 @@
 				done = func(protocol.PeerAnswer, error) {}
 			}
 			to.guard(func() {
-				to.node.OnPeer(r, func(a protocol.PeerAnswer) {
+				to.controller.OnPeer(r, func(a protocol.PeerAnswer) {
 					s.trace.replied(h.name, a)
 					s.after(s.delay(), l.p.guard(func() { done(a, nil) }))
 				})
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -8,19 +8,19 @@
 	"strings"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/config"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // store is the stand-in for the state service.
 type store struct {
 	s         *sim
-	limits    config.StateLimits
+	limits    config.StoreLimits
 	rejected  int // transactions that were rejected for good
 	inherited int // values over the limits to come when these came into force
 	revision  uint64
-	items     map[string]*protocol.Item
+	items     map[string]*protocol.KeyValue
 	leases    map[uint64]*lease
 	nextID    uint64
 	history   []change
@@ -56,10 +56,10 @@
 }
 
 func newStore(s *sim) *store {
-	today := s.cluster.State
-	today.Next = nil
+	today := s.cluster.KVStore
+	today.Announced = nil
 	limits := today.Limits()
-	return &store{s: s, limits: limits, items: map[string]*protocol.Item{}, leases: map[uint64]*lease{}, tokens: limits.WriteRate}
+	return &store{s: s, limits: limits, items: map[string]*protocol.KeyValue{}, leases: map[uint64]*lease{}, tokens: limits.WriteRate}
 }
 
 // down reports whether a host is refused.
@@ -88,7 +88,7 @@
 	delete(st.leases, id)
 	for _, key := range st.keys("") {
 		if st.items[key].Lease == id {
-			if key == bookkeeping.KeyLeader {
+			if key == storage.KeyLeader {
 				st.s.faultBegins("leaderless", "")
 			}
 			st.revision++
@@ -111,8 +111,8 @@
 }
 
 // list is all that lies here, by key.
-func (st *store) list() []protocol.Item {
-	var items []protocol.Item
+func (st *store) list() []protocol.KeyValue {
+	var items []protocol.KeyValue
 	for _, key := range st.keys("") {
 		items = append(items, *st.items[key])
 	}
@@ -122,18 +122,18 @@
 func (st *store) record(e protocol.Event) { st.history = append(st.history, change{st.revision, e}) }
 
 // txn carries out a transaction.
-func (st *store) txn(t protocol.Txn) (uint64, error) {
+func (st *store) txn(t protocol.Transaction) (uint64, error) {
 	if err := st.reject(t); err != nil {
 		return 0, err
 	}
 	st.tokens = min(st.limits.WriteRate, st.tokens+st.limits.WriteRate*(st.s.now-st.tokensAt).Seconds())
 	st.tokensAt = st.s.now
-	if st.tokens < float64(len(t.Then)) {
-		return 0, protocol.ErrTooMany
+	if st.tokens < float64(len(t.Operations)) {
+		return 0, protocol.ErrRateLimited
 	}
-	st.tokens -= float64(len(t.Then))
-	st.writes += len(t.Then)
-	for _, c := range t.If {
+	st.tokens -= float64(len(t.Operations))
+	st.writes += len(t.Operations)
+	for _, c := range t.Conditions {
 		var have uint64
 		if it := st.items[c.Key]; it != nil {
 			have = it.Version
@@ -142,22 +142,22 @@
 			return 0, protocol.ErrConflict
 		}
 	}
-	for _, op := range t.Then {
+	for _, op := range t.Operations {
 		if op.Lease != 0 && st.leases[op.Lease] == nil {
-			return 0, protocol.ErrNoLease
+			return 0, protocol.ErrLeaseNotFound
 		}
 	}
 	st.revision++
-	for _, op := range t.Then {
+	for _, op := range t.Operations {
 		if op.Put != "" {
-			if op.Put == bookkeeping.KeyLeader {
+			if op.Put == storage.KeyLeader {
 				st.s.faultEnds("leaderless", "")
 				st.s.noteFault("election", 0)
 				st.s.releaseCopies()
 			}
-			st.items[op.Put] = &protocol.Item{Key: op.Put, Value: op.Value, Version: st.revision, Lease: op.Lease}
+			st.items[op.Put] = &protocol.KeyValue{Key: op.Put, Value: op.Value, Version: st.revision, Lease: op.Lease}
 			st.record(protocol.Event{Put: op.Put, Value: op.Value, Version: st.revision})
-			if path.Dir(op.Put) == path.Dir(bookkeeping.GrantKey(0)) {
+			if path.Dir(op.Put) == path.Dir(storage.GrantKey(0)) {
 				st.grants++
 				st.s.noteHandover()
 			}
@@ -171,9 +171,9 @@
 }
 
 // reject says whether a transaction is over a limit, whatever its conditions.
-func (st *store) reject(t protocol.Txn) error {
-	large := slices.ContainsFunc(t.Then, func(op protocol.Op) bool { return len(op.Value) > st.limits.ValueBytes })
-	if large || len(t.Then) > st.limits.Changes || len(t.If) > st.limits.Conditions {
+func (st *store) reject(t protocol.Transaction) error {
+	large := slices.ContainsFunc(t.Operations, func(op protocol.Operation) bool { return len(op.Value) > st.limits.ValueBytes })
+	if large || len(t.Operations) > st.limits.Operations || len(t.Conditions) > st.limits.Conditions {
 		st.rejected++
 		return protocol.ErrRejected
 	}
@@ -182,7 +182,7 @@
 
 // lower makes the limits those to come.
 func (st *store) lower() {
-	st.limits = st.s.cluster.State.Limits()
+	st.limits = st.s.cluster.KVStore.Limits()
 	st.tokens = min(st.tokens, st.limits.WriteRate)
 	st.inherited = st.oversized()
 }
@@ -230,12 +230,12 @@
 }
 
 // stateLink is a process's way to the state service.
-type stateLink struct{ p *process }
+type storeLink struct{ p *process }
 
-func (l stateLink) sent(kind string, values ...any) { l.p.h.s.trace.sent(l.p.h.name, kind, values...) }
+func (l storeLink) sent(kind string, values ...any) { l.p.h.s.trace.sent(l.p.h.name, kind, values...) }
 
 // call makes a request there and back; refused is called when it is not done.
-func (l stateLink) call(do func(st *store) func(), refused func(error)) {
+func (l storeLink) call(do func(st *store) func(), refused func(error)) {
 	s := l.p.h.s
 	s.store.requests++
 	way := s.delay()
@@ -244,7 +244,7 @@
 	}
 	s.after(way, func() {
 		if s.store.down(l.p.h) {
-			s.after(s.delay(), l.p.guard(func() { refused(protocol.ErrNotDone) }))
+			s.after(s.delay(), l.p.guard(func() { refused(protocol.ErrNotExecuted) }))
 			return
 		}
 		if back := do(s.store); back != nil {
@@ -254,26 +254,26 @@
 }
 
 // Get implements coordination.State.
-func (l stateLink) Get(key string, done func(protocol.Item, bool, error)) {
+func (l storeLink) Get(key string, done func(protocol.KeyValue, bool, error)) {
 	l.sent("get", key)
 	l.call(func(st *store) func() {
-		if strings.HasPrefix(key, bookkeeping.FinalKey("")) {
+		if strings.HasPrefix(key, storage.FinalKey("")) {
 			st.finals++
 		}
 		it := st.items[key]
 		if it == nil {
-			return func() { done(protocol.Item{}, false, nil) }
+			return func() { done(protocol.KeyValue{}, false, nil) }
 		}
 		c := *it
 		return func() { done(c, true, nil) }
-	}, func(err error) { done(protocol.Item{}, false, err) })
+	}, func(err error) { done(protocol.KeyValue{}, false, err) })
 }
 
 // List implements coordination.State. Pages are small so that paging is used.
-func (l stateLink) List(prefix, after string, done func(protocol.Page, error)) {
+func (l storeLink) List(prefix, after string, done func(protocol.KeyValuePage, error)) {
 	l.sent("list", prefix, after)
 	l.call(func(st *store) func() {
-		p := protocol.Page{Revision: st.revision}
+		p := protocol.KeyValuePage{Revision: st.revision}
 		for _, k := range st.keys(prefix) {
 			if k <= after {
 				continue
@@ -285,11 +285,11 @@
 			p.Items = append(p.Items, *st.items[k])
 		}
 		return func() { done(p, nil) }
-	}, func(err error) { done(protocol.Page{}, err) })
+	}, func(err error) { done(protocol.KeyValuePage{}, err) })
 }
 
 // Txn implements coordination.State.
-func (l stateLink) Txn(t protocol.Txn, done func(uint64, error)) {
+func (l storeLink) Commit(t protocol.Transaction, done func(uint64, error)) {
 	l.p.h.s.trace.sentJSON(l.p.h.name, "transaction", t)
 	l.call(func(st *store) func() {
 		s := st.s
@@ -306,7 +306,7 @@
 				_, _ = st.txn(t)
 			}
 			s.noteFault("lost-answer", 2*time.Second)
-			s.after(2*time.Second, l.p.guard(func() { done(0, protocol.ErrUnknown) }))
+			s.after(2*time.Second, l.p.guard(func() { done(0, protocol.ErrOutcomeUnknown) }))
 			return nil
 		}
 		rev, err := st.txn(t)
@@ -315,7 +315,7 @@
 }
 
 // NewLease implements coordination.State.
-func (l stateLink) NewLease(ttl time.Duration, done func(uint64, error)) {
+func (l storeLink) OpenLease(ttl time.Duration, done func(uint64, error)) {
 	l.sent("new lease", ttl)
 	l.call(func(st *store) func() {
 		st.nextID++
@@ -327,12 +327,12 @@
 }
 
 // Renew implements coordination.State.
-func (l stateLink) Renew(id uint64, done func(error)) {
+func (l storeLink) RenewLease(id uint64, done func(error)) {
 	l.sent("renew", id)
 	l.call(func(st *store) func() {
 		x := st.leases[id]
 		if x == nil {
-			return func() { done(protocol.ErrNoLease) }
+			return func() { done(protocol.ErrLeaseNotFound) }
 		}
 		st.extend(id, x)
 		return func() { done(nil) }
@@ -340,7 +340,7 @@
 }
 
 // EndLease implements coordination.State.
-func (l stateLink) EndLease(id uint64, done func(error)) {
+func (l storeLink) RevokeLease(id uint64, done func(error)) {
 	l.sent("end lease", id)
 	l.call(func(st *store) func() {
 		if x := st.leases[id]; x != nil {
@@ -352,7 +352,7 @@
 }
 
 // Follow implements coordination.State.
-func (l stateLink) Follow(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
+func (l storeLink) Watch(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
 	l.sent("follow", prefix, after, wait)
 	l.call(func(st *store) func() {
 		if c := st.changes(prefix, after); len(c.Events) > 0 || wait == 0 {
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -53,10 +53,10 @@
 		return
 	}
 	var unrecorded []string
-	for i := range h.Orphans {
-		unrecorded = append(unrecorded, h.Orphans[i].Machine)
+	for i := range h.UnrecordedAgents {
+		unrecorded = append(unrecorded, h.UnrecordedAgents[i].Machine)
 	}
-	t.sent(controller, "heartbeat", to, h.Node, h.Incarnation, h.SentAt, h.Term, h.FreshFor, h.Leaving, h.Machines, unrecorded, h.Shares, h.Keeps, h.Heard)
+	t.sent(controller, "heartbeat", to, h.Controller, h.Incarnation, h.SentAt, h.Term, h.StoreStaleness, h.Leaving, h.Machines, unrecorded, h.QuotaSplitVersion, h.GrantsWithinQuota, h.ShardHeardAgo)
 }
 
 // replied takes in an answer to another controller.
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -26,7 +26,7 @@
 }
 
 type userJob struct {
-	spec        protocol.Spec
+	spec        protocol.JobSpec
 	run         float64 // what a task really takes
 	runs        []float64
 	broken      bool // fails wherever it runs
@@ -49,10 +49,10 @@
 
 // ask makes a request to some node that is up; answer is called once, with
 // status 0 when no answer came.
-func (u *users) ask(call func(n *coordination.Node, reply func(coordination.Answer)), answer func(coordination.Answer)) {
+func (u *users) ask(call func(n *coordination.Controller, reply func(coordination.Answer)), answer func(coordination.Answer)) {
 	s := u.s
 	var up []*host
-	for _, h := range s.nodes {
+	for _, h := range s.hosts {
 		if h.p != nil && (!u.onlyWell || !s.store.down(h)) {
 			up = append(up, h)
 		}
@@ -65,7 +65,7 @@
 }
 
 // askNode is ask at a certain controller.
-func (u *users) askNode(p *process, call func(n *coordination.Node, reply func(coordination.Answer)), answer func(coordination.Answer)) {
+func (u *users) askNode(p *process, call func(n *coordination.Controller, reply func(coordination.Answer)), answer func(coordination.Answer)) {
 	s := u.s
 	told := false
 	once := func(a coordination.Answer) {
@@ -76,7 +76,7 @@
 	}
 	s.after(5*time.Second, func() { once(coordination.Answer{}) })
 	s.after(s.delay(), p.guard(func() {
-		call(p.node, func(a coordination.Answer) {
+		call(p.controller, func(a coordination.Answer) {
 			s.trace.answered(p.h.name, "user", a)
 			s.after(s.delay(), func() { once(a) })
 		})
@@ -114,7 +114,7 @@
 	body := u.body(j)
 	accepted, final := j.accepted, j.final // what the user knew when it asked
 	allAccepted := u.allAccepted(j)
-	u.ask(func(n *coordination.Node, reply func(coordination.Answer)) { n.Submit(body, reply) }, func(a coordination.Answer) {
+	u.ask(func(n *coordination.Controller, reply func(coordination.Answer)) { n.Submit(body, reply) }, func(a coordination.Answer) {
 		if a.Status != 0 {
 			j.status = a.Status
 		}
@@ -129,7 +129,7 @@
 					u.withdraw(j)
 				}
 			}
-			s.check.told(j.spec.ID, j, final, a.Body.(protocol.Receipt).Stage)
+			s.check.told(j.spec.ID, j, final, a.Body.(protocol.JobReceipt).Stage)
 			if j.repeats > 0 {
 				j.repeats--
 				s.after(time.Duration(s.rand.Int64N(int64(30*time.Second))), func() { u.submit(j) })
@@ -150,14 +150,14 @@
 func (u *users) poll(j *userJob) {
 	s := u.s
 	id, final := j.spec.ID, j.final
-	u.ask(func(n *coordination.Node, reply func(coordination.Answer)) { n.Status(id, reply) }, func(a coordination.Answer) {
+	u.ask(func(n *coordination.Controller, reply func(coordination.Answer)) { n.Status(id, reply) }, func(a coordination.Answer) {
 		if j.muted {
 			a = coordination.Answer{}
 		}
 		switch a.Status {
 		case http.StatusOK:
 			j.unheard, j.heard = 0, s.now
-			v := a.Body.(*protocol.View)
+			v := a.Body.(*protocol.JobStatus)
 			before := j.final
 			s.check.told(id, j, final, v.Stage)
 			if before == "" && j.final != "" {
@@ -184,10 +184,10 @@
 	s := u.s
 	j.asked = true
 	id, accepted, final := j.spec.ID, j.accepted, j.final
-	u.ask(func(n *coordination.Node, reply func(coordination.Answer)) { n.Cancel(id, reply) }, func(a coordination.Answer) {
+	u.ask(func(n *coordination.Controller, reply func(coordination.Answer)) { n.Cancel(id, reply) }, func(a coordination.Answer) {
 		switch a.Status {
 		case http.StatusOK:
-			s.check.told(id, j, final, a.Body.(protocol.Receipt).Stage)
+			s.check.told(id, j, final, a.Body.(protocol.JobReceipt).Stage)
 			if final == "" {
 				u.lookClosely(j)
 			}
@@ -203,7 +203,7 @@
 
 // takes is how long a task of the job really runs.
 func (j *userJob) takes(name string) float64 {
-	if _, task, err := protocol.SplitTask(name); err == nil && task < len(j.runs) {
+	if _, task, err := protocol.ParseTaskName(name); err == nil && task < len(j.runs) {
 		return j.runs[task]
 	}
 	return j.run
--- a/internal/scenario/users_faults.go
+++ b/internal/scenario/users_faults.go
@@ -81,7 +81,7 @@
 		"[" + body + "]",
 		strings.Repeat(" ", protocol.MaxBody) + body,
 	}[u.oddID%8]
-	u.ask(func(n *coordination.Node, reply func(coordination.Answer)) { n.Submit([]byte(bad), reply) }, func(a coordination.Answer) {
+	u.ask(func(n *coordination.Controller, reply func(coordination.Answer)) { n.Submit([]byte(bad), reply) }, func(a coordination.Answer) {
 		s.check.answeredBad(bad, a.Status)
 	})
 }
@@ -89,10 +89,10 @@
 // withdrawOver calls off a job that is over.
 func (u *users) withdrawOver(j *userJob) {
 	final := j.final
-	u.ask(func(n *coordination.Node, reply func(coordination.Answer)) { n.Cancel(j.spec.ID, reply) }, func(a coordination.Answer) {
+	u.ask(func(n *coordination.Controller, reply func(coordination.Answer)) { n.Cancel(j.spec.ID, reply) }, func(a coordination.Answer) {
 		switch a.Status {
 		case http.StatusOK:
-			u.s.check.told(j.spec.ID, j, final, a.Body.(protocol.Receipt).Stage)
+			u.s.check.told(j.spec.ID, j, final, a.Body.(protocol.JobReceipt).Stage)
 		case http.StatusNotFound:
 			u.s.check.refused(j.spec.ID, j, a.Status)
 		}
@@ -114,14 +114,14 @@
 		return
 	}
 	for range closeRounds {
-		for _, h := range s.nodes {
+		for _, h := range s.hosts {
 			s.after(time.Duration(s.rand.Int64N(int64(closePause))), func() {
 				if h.p == nil {
 					return
 				}
 				u.look(h.p, j)
 				u.repeat(h.p, j)
-				if j.final == protocol.StageWithdrawn {
+				if j.final == protocol.StageCancelled {
 					u.lookAtDependants(h.p, j)
 				}
 			})
@@ -141,11 +141,11 @@
 // look asks a controller about a job once.
 func (u *users) look(p *process, j *userJob) {
 	id, final := j.spec.ID, j.final
-	u.askNode(p, func(n *coordination.Node, reply func(coordination.Answer)) { n.Status(id, reply) }, func(a coordination.Answer) {
+	u.askNode(p, func(n *coordination.Controller, reply func(coordination.Answer)) { n.Status(id, reply) }, func(a coordination.Answer) {
 		u.looks++
 		switch a.Status {
 		case http.StatusOK:
-			u.s.check.told(id, j, final, a.Body.(*protocol.View).Stage)
+			u.s.check.told(id, j, final, a.Body.(*protocol.JobStatus).Stage)
 		case http.StatusNotFound:
 			u.s.check.refused(id, j, a.Status)
 		}
@@ -155,11 +155,11 @@
 // repeat submits a job again, at a certain controller.
 func (u *users) repeat(p *process, j *userJob) {
 	id, final, body := j.spec.ID, j.final, u.body(j)
-	u.askNode(p, func(n *coordination.Node, reply func(coordination.Answer)) { n.Submit(body, reply) }, func(a coordination.Answer) {
+	u.askNode(p, func(n *coordination.Controller, reply func(coordination.Answer)) { n.Submit(body, reply) }, func(a coordination.Answer) {
 		u.looks++
 		switch a.Status {
 		case http.StatusOK, http.StatusCreated:
-			u.s.check.told(id, j, final, a.Body.(protocol.Receipt).Stage)
+			u.s.check.told(id, j, final, a.Body.(protocol.JobReceipt).Stage)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusNotFound:
 			u.s.check.refused(id, j, a.Status)
 		}
--- a/internal/scenario/users_pipelines.go
+++ b/internal/scenario/users_pipelines.go
@@ -16,7 +16,7 @@
 
 // submitWhen submits a job once all that it needs is accepted, or over.
 func (u *users) submitWhen(j *userJob, over bool) {
-	ready := u.allAccepted(j) && !(over && slices.ContainsFunc(j.spec.Needs, func(id string) bool { return u.jobs[id].final == "" }))
+	ready := u.allAccepted(j) && !(over && slices.ContainsFunc(j.spec.Dependencies, func(id string) bool { return u.jobs[id].final == "" }))
 	if !ready {
 		u.s.after(needPause, func() { u.submitWhen(j, over) })
 		return
@@ -37,7 +37,7 @@
 
 // allAccepted reports whether all jobs that a job names are accepted.
 func (u *users) allAccepted(j *userJob) bool {
-	return !slices.ContainsFunc(j.spec.Needs, func(id string) bool {
+	return !slices.ContainsFunc(j.spec.Dependencies, func(id string) bool {
 		need := u.jobs[id]
 		return need == nil || !need.accepted
 	})
@@ -94,11 +94,11 @@
 		line.args[0] = fmt.Sprintf("run-%d", first+k)
 		j := s.job(line)
 		if k < len(shape)-1 {
-			j.spec.DeadlineS = 0
+			j.spec.DeadlineSeconds = 0
 			j.spec.Priority = "best_effort"
 		}
 		for _, need := range needs {
-			j.spec.Needs = append(j.spec.Needs, fmt.Sprintf("run-%d", first+need))
+			j.spec.Dependencies = append(j.spec.Dependencies, fmt.Sprintf("run-%d", first+need))
 		}
 		jobs[k] = j
 	}
@@ -127,7 +127,7 @@
 func expectReleasedAll(s *sim, line *statement) string {
 	for _, id := range slices.Sorted(maps.Keys(s.users.jobs)) {
 		j := s.users.jobs[id]
-		if _, cancelled := s.check.cancelledBefore(j); len(j.spec.Needs) == 0 || j.asked || cancelled || !s.check.needsDone(j) {
+		if _, cancelled := s.check.cancelledBefore(j); len(j.spec.Dependencies) == 0 || j.asked || cancelled || !s.check.needsDone(j) {
 			continue
 		}
 		if j.beganAt == 0 {
@@ -148,7 +148,7 @@
 		return "no such job"
 	case j.asked:
 		return "its own user cancelled it"
-	case j.final != protocol.StageWithdrawn:
+	case j.final != protocol.StageCancelled:
 		return fmt.Sprintf("it is %q", j.final)
 	}
 	return ""
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -10,7 +10,7 @@
 )
 
 // worker is the stand-in for a machine's worker.
-type worker struct {
+type agent struct {
 	s       *sim
 	r       *rented
 	t       *protocol.MachineType
@@ -25,7 +25,7 @@
 	seq     uint64
 	token   uint64
 	leaseAt time.Duration // when the last answered report was sent
-	tasks   []*onWorker
+	tasks   []*agentTask
 	images  map[string]bool
 	node    int
 	flying  bool
@@ -36,25 +36,25 @@
 }
 
 // onWorker is an attempt on a worker.
-type onWorker struct {
+type agentTask struct {
 	protocol.TaskStatus
-	spec  *protocol.Spec
+	spec  *protocol.JobSpec
 	round int // stale timers of an earlier state are ignored
 }
 
-func newWorker(s *sim, r *rented, t *protocol.MachineType) {
-	w := &worker{s: s, r: r, t: t, session: 1, leaseAt: s.now, images: map[string]bool{}, slow: 1, node: s.rand.IntN(len(s.nodes))}
-	s.workers[r.Name] = w
+func newAgent(s *sim, r *rented, t *protocol.MachineType) {
+	w := &agent{s: s, r: r, t: t, session: 1, leaseAt: s.now, images: map[string]bool{}, slow: 1, node: s.rand.IntN(len(s.hosts))}
+	s.agents[r.Name] = w
 	w.report()
 	w.watchLease()
 }
 
 // hangs reports whether the machine stands still now.
-func (w *worker) hangs() bool { return w.s.now < w.wakes }
+func (w *agent) hangs() bool { return w.s.now < w.wakes }
 
 // hang lets the machine stand still for a while: its tasks don't go on, it says
 // nothing, and what is sent to it is read afterwards. Its lease runs on.
-func (w *worker) hang(d time.Duration) {
+func (w *agent) hang(d time.Duration) {
 	w.wakes = w.s.now + d
 	w.s.after(d, func() {
 		if w.dead || w.hangs() {
@@ -66,17 +66,17 @@
 	})
 }
 
-func (w *worker) kill() {
+func (w *agent) kill() {
 	w.dead = true
 	for _, t := range w.tasks {
 		w.s.check.left(w, t)
 	}
 	w.tasks = nil
-	delete(w.s.workers, w.r.Name)
+	delete(w.s.agents, w.r.Name)
 }
 
-func (w *worker) watchLease() {
-	lease := w.s.cluster.Workers.Lease()
+func (w *agent) watchLease() {
+	lease := w.s.cluster.Agents.Lease()
 	w.s.after(max(w.leaseAt+lease-w.s.now, time.Millisecond), func() {
 		if w.dead {
 			return
@@ -88,15 +88,15 @@
 	})
 }
 
-func (w *worker) status() *protocol.Report {
+func (w *agent) status() *protocol.AgentHeartbeat {
 	w.seq++
-	r := &protocol.Report{
-		Machine: w.r.Name, Address: w.r.Address, Type: w.r.Type, Zone: w.r.Zone, Spot: w.r.Spot,
-		Session: w.session, Seq: w.seq, Token: w.token,
+	r := &protocol.AgentHeartbeat{
+		Machine: w.r.Name, Address: w.r.Address, MachineType: w.r.Type, Zone: w.r.Zone, Spot: w.r.Spot,
+		Epoch: w.session, Sequence: w.seq, FencingToken: w.token,
 	}
 	if w.warn > 0 {
 		left := (w.warn - w.s.now).Seconds()
-		r.NoticeS = &left
+		r.TerminationSeconds = &left
 	}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, t.TaskStatus)
@@ -105,7 +105,7 @@
 }
 
 // changed asks for a report soon.
-func (w *worker) changed() {
+func (w *agent) changed() {
 	if w.dirty || w.dead {
 		return
 	}
@@ -114,14 +114,14 @@
 }
 
 // report sends a report and sees to the next one.
-func (w *worker) report() {
+func (w *agent) report() {
 	if w.dead || w.flying || w.hangs() {
 		return
 	}
 	w.flying, w.dirty, w.last = true, false, w.s.now
 	x := &exchange{w: w, sent: w.s.now, session: w.session}
 	r := w.status()
-	h := w.s.nodes[w.node]
+	h := w.s.hosts[w.node]
 	w.s.after(answerPatience, func() { x.finish(coordination.Answer{}, false) })
 	if h.p == nil {
 		w.s.after(w.s.delay(), func() { x.finish(coordination.Answer{}, false) })
@@ -137,7 +137,7 @@
 			return
 		}
 		p.guard(func() {
-			p.node.OnReport(r, func(a coordination.Answer) {
+			p.controller.OnAgentHeartbeat(r, func(a coordination.Answer) {
 				w.s.trace.answered(p.h.name, "report", a)
 				w.s.after(w.s.delay(), func() {
 					if !w.cut && !w.deaf && w.s.reach(h, w) {
@@ -163,7 +163,7 @@
 
 // exchange is a report under way.
 type exchange struct {
-	w        *worker
+	w        *agent
 	sent     time.Duration
 	session  uint64
 	answered bool
@@ -176,14 +176,14 @@
 		return // it waits no longer for this answer
 	}
 	x.answered, w.flying = true, false
-	untilNext := time.Duration((0.75 + 0.5*s.rand.Float64()) * float64(s.cluster.Workers.Report()))
+	untilNext := time.Duration((0.75 + 0.5*s.rand.Float64()) * float64(s.cluster.Agents.HeartbeatInterval()))
 	pause := nextNodePause
 	switch {
 	case came && a.Status == http.StatusOK:
-		x.accept(a.Body.(protocol.ReportAnswer))
+		x.accept(a.Body.(protocol.AgentHeartbeatAnswer))
 		pause = untilNext
 	case came && a.Status == http.StatusMisdirectedRequest:
-		if w.redirect(a.Body.(protocol.Redirect).Boss) {
+		if w.redirect(a.Body.(protocol.Redirect).Controller) {
 			pause = redirectPause
 		}
 	default:
@@ -195,20 +195,20 @@
 	}
 	seq := w.seq
 	s.after(pause, func() {
-		if w.seq == seq || s.now-w.last >= s.cluster.Workers.Report()/2 {
+		if w.seq == seq || s.now-w.last >= s.cluster.Agents.HeartbeatInterval()/2 {
 			w.report()
 		}
 	})
 }
 
 // accept carries out an answer 200, unless it is of a lower token or session.
-func (x *exchange) accept(o protocol.ReportAnswer) {
+func (x *exchange) accept(o protocol.AgentHeartbeatAnswer) {
 	w := x.w
-	if o.Token < w.token || x.session != w.session {
+	if o.FencingToken < w.token || x.session != w.session {
 		return
 	}
-	if o.Token > w.token {
-		w.token = o.Token
+	if o.FencingToken > w.token {
+		w.token = o.FencingToken
 		w.changed()
 	}
 	w.leaseAt = x.sent
@@ -216,8 +216,8 @@
 }
 
 // redirect turns to the controller named, or to the next where that is none other.
-func (w *worker) redirect(boss string) bool {
-	i := slices.IndexFunc(w.s.nodes, func(h *host) bool { return h.name == boss })
+func (w *agent) redirect(boss string) bool {
+	i := slices.IndexFunc(w.s.hosts, func(h *host) bool { return h.name == boss })
 	if i < 0 || i == w.node {
 		w.next()
 		return false
@@ -226,10 +226,10 @@
 	return true
 }
 
-func (w *worker) next() { w.node = (w.node + 1) % len(w.s.nodes) }
+func (w *agent) next() { w.node = (w.node + 1) % len(w.s.hosts) }
 
 // heal ends a cut and delivers what was held back.
-func (w *worker) heal() {
+func (w *agent) heal() {
 	w.cut = false
 	for _, f := range w.held {
 		f()
@@ -238,7 +238,7 @@
 }
 
 // restart ends everything on the machine; its worker is back at once.
-func (w *worker) restart() {
+func (w *agent) restart() {
 	for _, t := range w.tasks {
 		w.s.check.left(w, t)
 	}
@@ -249,19 +249,19 @@
 }
 
 // direct carries out commands sent straight to the worker.
-func (w *worker) direct(o protocol.CommandRequest) (*protocol.Report, bool) {
-	if o.Token < w.token || o.Session != w.session {
+func (w *agent) direct(o protocol.CommandRequest) (*protocol.AgentHeartbeat, bool) {
+	if o.FencingToken < w.token || o.Epoch != w.session {
 		return w.status(), false
 	}
-	if o.Token > w.token {
-		w.token = o.Token
+	if o.FencingToken > w.token {
+		w.token = o.FencingToken
 		w.changed()
 	}
 	w.obey(o.Commands)
 	return w.status(), true
 }
 
-func (w *worker) find(task string, try uint64) (int, *onWorker) {
+func (w *agent) find(task string, try uint64) (int, *agentTask) {
 	for i, t := range w.tasks {
 		if t.Task == task && t.Attempt == try {
 			return i, t
@@ -270,7 +270,7 @@
 	return -1, nil
 }
 
-func (w *worker) obey(cmds []protocol.Command) {
+func (w *agent) obey(cmds []protocol.Command) {
 	for _, c := range cmds {
 		i, t := w.find(c.Task, c.Attempt)
 		switch c.Verb {
@@ -282,10 +282,10 @@
 			if t == nil || t.State == protocol.TaskEnded {
 				continue
 			}
-			if t.State == protocol.TaskRunning && t.spec.CheckpointS > 0 && c.GraceS != nil && *c.GraceS >= t.spec.SaveS {
+			if t.State == protocol.TaskRunning && t.spec.CheckpointSeconds > 0 && c.GraceSeconds != nil && *c.GraceSeconds >= t.spec.SaveSeconds {
 				w.state(t, protocol.TaskSaving)
-				w.timer(t, t.spec.SaveS, func() { t.Saved = true; w.end(t, protocol.CauseStopped) })
-			} else if t.State != protocol.TaskSaving || c.GraceS != nil && *c.GraceS == 0 {
+				w.timer(t, t.spec.SaveSeconds, func() { t.Saved = true; w.end(t, protocol.CauseStopped) })
+			} else if t.State != protocol.TaskSaving || c.GraceSeconds != nil && *c.GraceSeconds == 0 {
 				w.end(t, protocol.CauseStopped)
 			}
 		case protocol.VerbReap:
@@ -296,7 +296,7 @@
 	}
 }
 
-func (w *worker) timer(t *onWorker, s float64, f func()) {
+func (w *agent) timer(t *agentTask, s float64, f func()) {
 	t.round++
 	round, session := t.round, w.session
 	var run func()
@@ -312,12 +312,12 @@
 	w.s.after(time.Duration(s*float64(time.Second)), run)
 }
 
-func (w *worker) state(t *onWorker, state string) {
+func (w *agent) state(t *agentTask, state string) {
 	t.State = state
 	w.changed()
 }
 
-func (w *worker) end(t *onWorker, cause string) {
+func (w *agent) end(t *agentTask, cause string) {
 	if t.State == protocol.TaskRunning || t.State == protocol.TaskSaving {
 		w.s.check.left(w, t)
 	}
@@ -326,13 +326,13 @@
 	w.state(t, protocol.TaskEnded)
 }
 
-func (w *worker) start(c protocol.Command) {
-	t := &onWorker{TaskStatus: protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt}}
-	id, _, err := protocol.SplitTask(c.Task)
+func (w *agent) start(c protocol.Command) {
+	t := &agentTask{TaskStatus: protocol.TaskStatus{Task: c.Task, Attempt: c.Attempt}}
+	id, _, err := protocol.ParseTaskName(c.Task)
 	job := w.s.users.jobs[id]
 	w.tasks = append(w.tasks, t)
 	if err != nil || job == nil {
-		w.end(t, protocol.CauseNoSuch)
+		w.end(t, protocol.CauseJobUnknown)
 		return
 	}
 	t.spec = &job.spec
@@ -342,14 +342,14 @@
 			continue
 		}
 		if o.Task == c.Task {
-			w.end(t, protocol.CauseInUse)
+			w.end(t, protocol.CauseAlreadyPresent)
 			return
 		}
 		cpus += o.spec.CPUs
 		mem += o.spec.MemoryGB
 	}
 	if cpus > w.t.CPUs+1e-6 || mem > w.t.MemoryGB+1e-6 {
-		w.end(t, protocol.CauseFull)
+		w.end(t, protocol.CauseNoCapacity)
 		return
 	}
 	w.state(t, protocol.TaskFetching)
--- a/internal/scenario/worker_copies.go
+++ b/internal/scenario/worker_copies.go
@@ -9,7 +9,7 @@
 
 // copyReport lets a copy of a report arrive late, at any controller, whatever has
 // become of the machine.
-func (s *sim) copyReport(r *protocol.Report) {
+func (s *sim) copyReport(r *protocol.AgentHeartbeat) {
 	if s.keptCopies > 0 && len(s.kept) < mostKept && s.rand.Float64() < s.keptCopies {
 		s.kept = append(s.kept, r)
 	}
@@ -17,10 +17,12 @@
 		return
 	}
 	late := s.copyLeast + time.Duration(s.rand.Int64N(int64(s.copyMost-s.copyLeast)+1))
-	h := s.nodes[s.rand.IntN(len(s.nodes))]
+	h := s.hosts[s.rand.IntN(len(s.hosts))]
 	s.after(late, func() {
-		if p := h.p; p != nil && !h.noWorkers {
-			p.guard(func() { p.node.OnReport(r, func(a coordination.Answer) { s.trace.answered(p.h.name, "report", a) }) })()
+		if p := h.p; p != nil && !h.noAgents {
+			p.guard(func() {
+				p.controller.OnAgentHeartbeat(r, func(a coordination.Answer) { s.trace.answered(p.h.name, "report", a) })
+			})()
 		}
 	})
 }
@@ -35,10 +37,12 @@
 		s.noteFault("kept-copies", time.Second)
 	}
 	for _, r := range s.kept {
-		for _, h := range s.nodes {
+		for _, h := range s.hosts {
 			s.after(time.Duration(s.rand.Int64N(int64(time.Second))), func() {
-				if p := h.p; p != nil && !h.noWorkers {
-					p.guard(func() { p.node.OnReport(r, func(a coordination.Answer) { s.trace.answered(p.h.name, "report", a) }) })()
+				if p := h.p; p != nil && !h.noAgents {
+					p.guard(func() {
+						p.controller.OnAgentHeartbeat(r, func(a coordination.Answer) { s.trace.answered(p.h.name, "report", a) })
+					})()
 				}
 			})
 		}
--- a/internal/scenario/worker_link.go
+++ b/internal/scenario/worker_link.go
@@ -7,16 +7,16 @@
 )
 
 // workerLink is a process's way to the workers.
-type workerLink struct{ p *process }
+type agentLink struct{ p *process }
 
 // Command implements coordination.Workers.
-func (l workerLink) Command(addr string, o protocol.CommandRequest, done func(*protocol.Report, bool, error)) {
+func (l agentLink) Execute(addr string, o protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
 	s := l.p.h.s
 	s.trace.sentJSON(l.p.h.name, "command "+addr, o)
 	fail := func() {
-		s.after(2*time.Second, l.p.guard(func() { done(nil, false, protocol.ErrUnknown) }))
+		s.after(2*time.Second, l.p.guard(func() { done(nil, false, protocol.ErrOutcomeUnknown) }))
 	}
-	for _, w := range s.workers {
+	for _, w := range s.agents {
 		if w.r.Address != addr {
 			continue
 		}
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -34,7 +34,7 @@
 		w.zones[line.arg(0)] = line.arg(1)
 	},
 	"homes": func(w *world, line *statement) {
-		w.options.Homes = int(line.num("n", 0))
+		w.options.JobShards = int(line.num("n", 0))
 	},
 }
 
@@ -47,11 +47,11 @@
 }
 
 func declareWorkers(w *world, line *statement) {
-	w.cluster.Workers = config.Workers{ReportS: line.num("report", 3), LeaseS: line.num("lease", 30), CancelS: line.num("cancel", 60)}
+	w.cluster.Agents = config.Agents{HeartbeatSeconds: line.num("report", 3), LeaseSeconds: line.num("lease", 30), CancelSeconds: line.num("cancel", 60)}
 }
 
 func declareState(w *world, line *statement) {
-	w.cluster.State = config.State{RPS: 200, WriteRPS: line.num("writes", 80), ValueKB: line.num("value", 8), TxnOps: int(line.num("ops", 32))}
+	w.cluster.KVStore = config.KVStore{RequestsPerSecond: 200, WritesPerSecond: line.num("writes", 80), ValueKiB: line.num("value", 8), TransactionOperations: int(line.num("ops", 32))}
 }
 
 // declareNextState says what the state service will allow later. With unaware=1 the
@@ -59,18 +59,18 @@
 // not know the setting.
 func declareNextState(w *world, line *statement) {
 	writes, value, ops := line.num("writes", 80), line.num("value", 8), int(line.num("ops", 32))
-	w.cluster.State.Next = &config.Next{WriteRPS: &writes, ValueKB: &value, TxnOps: &ops}
+	w.cluster.KVStore.Announced = &config.AnnouncedLimits{WritesPerSecond: &writes, ValueKiB: &value, TransactionOperations: &ops}
 	w.unaware = line.num("unaware", 0) == 1
 }
 
 func declareTeam(w *world, line *statement) {
-	w.cluster.Teams = append(w.cluster.Teams, config.Team{Name: line.arg(0), CPUs: line.num("cpus", 0), CPUsMax: line.num("max", 0)})
+	w.cluster.Teams = append(w.cluster.Teams, config.Team{Name: line.arg(0), GuaranteedCPUs: line.num("cpus", 0), MaxCPUs: line.num("max", 0)})
 }
 
 func declareType(w *world, line *statement) {
 	w.types = append(w.types, protocol.MachineType{
 		Name: line.arg(0), CPUs: line.num("cpus", 4), MemoryGB: line.num("mem", 16), CacheGB: 100, FetchGBPS: line.num("fetch", 1),
-		Price: line.num("price", 1), SpotPrice: line.num("spot", 0.3), BootS: line.num("boot", 5),
+		HourlyPrice: line.num("price", 1), HourlySpotPrice: line.num("spot", 0.3), BootSeconds: line.num("boot", 5),
 	})
 }
 
@@ -88,9 +88,9 @@
 func buildWorld(declared []string, seed uint64, log io.Writer) (*sim, error) {
 	w := &world{
 		cluster: config.Cluster{
-			Workers: config.Workers{ReportS: 3, LeaseS: 30, CancelS: 60},
-			State:   config.State{RPS: 200, WriteRPS: 80, ValueKB: 8, TxnOps: 32},
-			Cloud:   config.Cloud{RPS: 4, ListLagS: 5},
+			Agents:  config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60},
+			KVStore: config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 80, ValueKiB: 8, TransactionOperations: 32},
+			Cloud:   config.Cloud{RequestsPerSecond: 4, ListLagSeconds: 5},
 		},
 		options: config.DefaultOptions(), nodes: 3, capacity: map[poolName]int{}, zones: map[string]string{},
 	}
@@ -109,9 +109,9 @@
 	s.cloud.capacity, s.cloud.types = w.capacity, w.types
 	for i := range w.nodes {
 		name := string(rune('a' + i))
-		s.nodes = append(s.nodes, &host{s: s, name: name, zone: w.zones[name], unaware: w.unaware})
+		s.hosts = append(s.hosts, &host{s: s, name: name, zone: w.zones[name], unaware: w.unaware})
 	}
-	for _, h := range s.nodes {
+	for _, h := range s.hosts {
 		h.start()
 	}
 	return s, nil
--- a/internal/bookkeeping/cache_test.go
+++ b/internal/storage/cache_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"encoding/json"
@@ -8,14 +8,14 @@
 )
 
 func job(id string, tasks int) json.RawMessage {
-	return Encode(JobRecord{Spec: protocol.Spec{ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: tasks, CPUs: 1}})
+	return Encode(JobRecord{Spec: protocol.JobSpec{ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: tasks, CPUs: 1}})
 }
 
 // Whoever starts reads records in the order of their keys: completed tasks and
 // intents come before the jobs they belong to, and must not be lost.
 func TestOrderOfReading(t *testing.T) {
-	b := NewCache([]Team{{Name: "red"}}, 1)
-	var done Bits
+	b := NewView([]Team{{Name: "red"}}, 1)
+	var done TaskSet
 	done.Set(0)
 	done.Set(3)
 	apply := func(key string, value json.RawMessage, version uint64) {
@@ -24,17 +24,17 @@
 			t.Fatal(err)
 		}
 	}
-	apply(DoneKey(PageID{}), Encode(DonePage{DoneName("run-1", 0): done}), 7)
-	apply(IntentKey(PageID{}), Encode(IntentPage{"run-1": {IntentEntry(1, "m-1", 5), IntentEntry(3, "m-1", 4)}}), 8)
+	apply(CompletionPageKey(PageID{}), Encode(CompletionPage{CompletionChunkName("run-1", 0): done}), 7)
+	apply(IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {IntentEntry(1, "m-1", 5), IntentEntry(3, "m-1", 4)}}), 8)
 	apply(JobKey("run-1"), job("run-1", 6), 3)
 	_, j := b.Jobs.Find("run-1")
-	if j.DoneN != 2 || !j.Done.Has(3) {
-		t.Errorf("completed tasks: %d", j.DoneN)
+	if j.CompletedCount != 2 || !j.Completed.Has(3) {
+		t.Errorf("completed tasks: %d", j.CompletedCount)
 	}
-	if j.Open() != 3 { // 0 and 3 are done, 1 is intended
-		t.Errorf("%d tasks are open", j.Open())
+	if j.OpenTasks() != 3 { // 0 and 3 are done, 1 is intended
+		t.Errorf("%d tasks are open", j.OpenTasks())
 	}
-	if b.StaleDone(PageID{}) {
+	if b.HasStaleCompletions(PageID{}) {
 		t.Error("the page of completed tasks is taken for stale")
 	}
 }
@@ -42,33 +42,33 @@
 // A job is forgotten only once nothing names it, so that no index is used for
 // two jobs at a time.
 func TestJobIsForgottenLast(t *testing.T) {
-	b := NewCache([]Team{{Name: "red"}}, 1)
+	b := NewView([]Team{{Name: "red"}}, 1)
 	for _, r := range []struct {
 		key     string
 		value   json.RawMessage
 		version uint64
 	}{
 		{JobKey("run-1"), job("run-1", 2), 1},
-		{DoneKey(PageID{}), Encode(DonePage{DoneName("run-1", 0): {1}}), 2},
-		{IntentKey(PageID{}), Encode(IntentPage{"run-1": {IntentEntry(1, "m-1", 5)}}), 3},
+		{CompletionPageKey(PageID{}), Encode(CompletionPage{CompletionChunkName("run-1", 0): {1}}), 2},
+		{IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {IntentEntry(1, "m-1", 5)}}), 3},
 	} {
 		if err := b.Apply(r.key, r.value, r.version); err != nil {
 			t.Fatal(err)
 		}
 	}
 	_, j := b.Jobs.Find("run-1")
-	j.Refs++
+	j.References++
 	b.Remove(JobKey("run-1"), 4)
-	if !j.Over() || !b.StaleDone(PageID{}) {
-		t.Fatalf("over %t, stale %t", j.Over(), b.StaleDone(PageID{}))
+	if !j.Ended() || !b.HasStaleCompletions(PageID{}) {
+		t.Fatalf("over %t, stale %t", j.Ended(), b.HasStaleCompletions(PageID{}))
 	}
-	b.Remove(DoneKey(PageID{}), 5)
-	b.Remove(IntentKey(PageID{}), 6)
+	b.Remove(CompletionPageKey(PageID{}), 5)
+	b.Remove(IntentPageKey(PageID{}), 6)
 	if _, still := b.Jobs.Find("run-1"); still != j {
 		t.Fatal("forgotten while an attempt refers to it")
 	}
-	j.Refs--
-	b.DropJob(j)
+	j.References--
+	b.ForgetJob(j)
 	if id, _ := b.Jobs.Find("run-1"); id >= 0 {
 		t.Error("never forgotten")
 	}
@@ -76,17 +76,17 @@
 
 // Events that were read already, or come twice, change nothing.
 func TestOldVersionsAreIgnored(t *testing.T) {
-	b := NewCache([]Team{{Name: "red"}}, 2)
+	b := NewView([]Team{{Name: "red"}}, 2)
 	grant := func(node string, version uint64) {
-		if err := b.Apply(GrantKey(1), Encode(GrantRecord{Node: node}), version); err != nil {
+		if err := b.Apply(GrantKey(1), Encode(GrantRecord{Controller: node}), version); err != nil {
 			t.Fatal(err)
 		}
 	}
 	grant("b", 9)
 	grant("a", 4)
 	grant("c", 9)
-	if b.Grants[1].Node != "b" {
-		t.Errorf("granted to %s", b.Grants[1].Node)
+	if b.Grants[1].Controller != "b" {
+		t.Errorf("granted to %s", b.Grants[1].Controller)
 	}
 	if err := b.Apply(GrantKey(7), Encode(GrantRecord{}), 10); err == nil {
 		t.Error("a grant of no shard was taken")
@@ -103,10 +103,10 @@
 func TestLaterAttempt(t *testing.T) {
 	old, next := PageID{Page: 5}, PageID{Page: 2}
 	for _, order := range [][]PageID{{old, next}, {next, old}} {
-		b := NewCache(nil, 1)
+		b := NewView(nil, 1)
 		apply := func(page PageID, version uint64, entries ...string) {
 			t.Helper()
-			if err := b.Apply(IntentKey(page), Encode(IntentPage{"run-1": entries}), version); err != nil {
+			if err := b.Apply(IntentPageKey(page), Encode(IntentPage{"run-1": entries}), version); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -116,11 +116,11 @@
 		_, m := b.Machines.Find("m-1")
 		j, _ := b.Jobs.Find("run-1")
 		ref := TaskRef{Job: j, Task: 3}
-		if got := m.Intents[ref]; got.Try != 9 || got.Page != next.Page {
+		if got := m.Intents[ref]; got.Attempt != 9 || got.Page != next.Page {
 			t.Errorf("order %v: %+v", order, got)
 		}
 		apply(old, 8)
-		if got := m.Intents[ref]; got.Try != 9 {
+		if got := m.Intents[ref]; got.Attempt != 9 {
 			t.Errorf("order %v, after the older is gone: %+v", order, got)
 		}
 		apply(next, 9)
--- a/internal/bookkeeping/decode_test.go
+++ b/internal/storage/decode_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"fmt"
@@ -30,7 +30,7 @@
 			}
 		}
 	})
-	c := NewCache([]Team{{Name: "red"}}, 1)
+	c := NewView([]Team{{Name: "red"}}, 1)
 	for round := range 4 {
 		for page := range pages {
 			rec := IntentPage{}
@@ -40,7 +40,7 @@
 					rec[id] = append(rec[id], entry(page, job, task))
 				}
 			}
-			if err := c.Apply(IntentKey(PageID{Page: page}), Encode(rec), uint64(round*pages+page+1)); err != nil {
+			if err := c.Apply(IntentPageKey(PageID{Page: page}), Encode(rec), uint64(round*pages+page+1)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -54,7 +54,7 @@
 				t.Fatalf("page %d, job %d: %+v", page, job, m)
 			}
 			for ref, i := range m.Intents {
-				if i.Try != uint64(ref.Task+1) || c.Jobs.Get(ref.Job).ID != fmt.Sprintf("run-%d", page*100+job) {
+				if i.Attempt != uint64(ref.Task+1) || c.Jobs.Get(ref.Job).ID != fmt.Sprintf("run-%d", page*100+job) {
 					t.Errorf("page %d, job %d: %+v is %+v", page, job, ref, i)
 				}
 			}
--- a/internal/bookkeeping/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"fmt"
@@ -13,18 +13,18 @@
 // records is a cache that is told of jobs as the state service's changes would.
 type records struct {
 	t       *testing.T
-	cache   *Cache
+	cache   *View
 	version uint64
 }
 
 func newRecords(t *testing.T) *records {
-	return &records{t: t, cache: NewCache([]Team{{Name: "red"}}, 1)}
+	return &records{t: t, cache: NewView([]Team{{Name: "red"}}, 1)}
 }
 
 func (r *records) accept(id string, needs ...string) {
 	r.t.Helper()
 	r.version++
-	rec := JobRecord{AtMS: 1000, Spec: protocol.Spec{ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, Needs: needs}}
+	rec := JobRecord{SubmittedAtMS: 1000, Spec: protocol.JobSpec{ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, Dependencies: needs}}
 	if err := r.cache.Apply(JobKey(id), Encode(rec), r.version); err != nil {
 		r.t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 }
 
 func (r *records) final(id, stage string, atMS int64) (released, cancelled []string) {
-	free, gone := r.cache.SetOutcome(id, FinalRecord{Stage: stage, AtMS: atMS})
+	free, gone := r.cache.SetOutcome(id, FinalRecord{Stage: stage, EndedAtMS: atMS})
 	return ids(free), ids(gone)
 }
 
@@ -54,11 +54,11 @@
 func (r *records) state(id string) string {
 	_, j := r.cache.Jobs.Find(id)
 	switch {
-	case j == nil || j.Over():
+	case j == nil || j.Ended():
 		return "over"
-	case j.CancelledWith() != nil:
-		return "cancelled with " + j.CancelledWith().ID
-	case j.Waits():
+	case j.CancelledBy() != nil:
+		return "cancelled with " + j.CancelledBy().ID
+	case j.AwaitsDependencies():
 		return "waits"
 	case j.Runnable():
 		return "ready"
@@ -69,7 +69,7 @@
 // TestDependencies: what follows for a job from the records of those that it needs, for
 // every state that they can be in.
 func TestDependencies(t *testing.T) {
-	const done, withdrawn = protocol.StageDone, protocol.StageWithdrawn
+	const done, withdrawn = protocol.StageDone, protocol.StageCancelled
 	for _, c := range []struct {
 		name   string
 		events func(r *records)
@@ -162,7 +162,7 @@
 	if released, _ := r.final("run-1", protocol.StageDone, 0); !slices.Equal(released, []string{"run-2"}) {
 		t.Errorf("released: %v", released)
 	}
-	if _, cancelled := r.final("run-1", protocol.StageWithdrawn, 0); len(cancelled) > 0 || r.state("run-2") != "ready" {
+	if _, cancelled := r.final("run-1", protocol.StageCancelled, 0); len(cancelled) > 0 || r.state("run-2") != "ready" {
 		t.Errorf("cancelled: %v, it %s", cancelled, r.state("run-2"))
 	}
 }
@@ -176,12 +176,12 @@
 	r.final("run-2", protocol.StageDone, 3000)
 	r.final("run-3", protocol.StageDone, 0)
 	_, j := r.cache.Jobs.Find("run-9")
-	if j.ReadyMS() != 5000 {
-		t.Errorf("ready at %d", j.ReadyMS())
+	if j.ReadyAtMS() != 5000 {
+		t.Errorf("ready at %d", j.ReadyAtMS())
 	}
 	r.accept("run-8", "run-3")
-	if _, j := r.cache.Jobs.Find("run-8"); j.ReadyMS() != j.AtMS {
-		t.Errorf("ready at %d", j.ReadyMS())
+	if _, j := r.cache.Jobs.Find("run-8"); j.ReadyAtMS() != j.SubmittedAtMS {
+		t.Errorf("ready at %d", j.ReadyAtMS())
 	}
 }
 
@@ -194,23 +194,23 @@
 	r.accept("run-3", "run-2")
 	r.accept("run-4", "run-2", "run-5")
 	_, third := r.cache.Jobs.Find("run-3")
-	if got := ids(r.cache.Unread()); !slices.Equal(got, []string{"run-5"}) {
+	if got := ids(r.cache.UnreadOutcomes()); !slices.Equal(got, []string{"run-5"}) {
 		t.Errorf("wanted: %v", got)
 	}
-	if got := r.cache.UnreadBefore(third); len(got) > 0 {
+	if got := r.cache.UnreadOutcomesUpstream(third); len(got) > 0 {
 		t.Errorf("wanted for run-3: %v", ids(got))
 	}
 	r.over("run-1")
-	if got := ids(r.cache.UnreadBefore(third)); !slices.Equal(got, []string{"run-1"}) {
+	if got := ids(r.cache.UnreadOutcomesUpstream(third)); !slices.Equal(got, []string{"run-1"}) {
 		t.Errorf("wanted for run-3: %v", got)
 	}
 	r.over("run-2")
-	if got := ids(r.cache.Unread()); !slices.Equal(got, []string{"run-2", "run-5"}) {
+	if got := ids(r.cache.UnreadOutcomes()); !slices.Equal(got, []string{"run-2", "run-5"}) {
 		t.Errorf("wanted: %v", got) // nobody needs run-1 any more
 	}
 	r.over("run-3")
 	r.over("run-4")
-	if got := ids(r.cache.Unread()); len(got) > 0 {
+	if got := ids(r.cache.UnreadOutcomes()); len(got) > 0 {
 		t.Errorf("wanted: %v", got)
 	}
 	r.cache.Jobs.All(func(_ int, j *Job) { t.Errorf("%s is still kept", j.ID) })
@@ -223,15 +223,15 @@
 	r.accept("run-1")
 	r.accept("run-2", "run-1")
 	r.accept("run-3", "run-2")
-	r.final("run-1", protocol.StageWithdrawn, 0)
-	if got := ids(r.cache.DependentCancelled()); !slices.Equal(got, []string{"run-2", "run-3"}) {
+	r.final("run-1", protocol.StageCancelled, 0)
+	if got := ids(r.cache.CancelledDependents()); !slices.Equal(got, []string{"run-2", "run-3"}) {
 		t.Errorf("final records to write: %v", got)
 	}
 	r.over("run-2")
-	if got := ids(r.cache.DependentCancelled()); !slices.Equal(got, []string{"run-3"}) {
+	if got := ids(r.cache.CancelledDependents()); !slices.Equal(got, []string{"run-3"}) {
 		t.Errorf("final records to write: %v", got)
 	}
-	if got := r.cache.Unread(); len(got) > 0 {
+	if got := r.cache.UnreadOutcomes(); len(got) > 0 {
 		t.Errorf("wanted: %v", ids(got))
 	}
 	r.accept("run-4", "run-2")
@@ -259,16 +259,16 @@
 			}
 			live.accept(name(i), needs[name(i)]...)
 			end := name(random.IntN(i + 1))
-			if _, j := live.cache.Jobs.Find(end); j == nil || j.Over() {
+			if _, j := live.cache.Jobs.Find(end); j == nil || j.Ended() {
 				continue
 			}
 			switch state := live.state(end); {
 			case strings.HasPrefix(state, "cancelled"):
-				finals[end] = protocol.StageWithdrawn
+				finals[end] = protocol.StageCancelled
 			case state == "ready" && random.IntN(3) > 0:
 				finals[end] = protocol.StageDone
 			default:
-				finals[end] = protocol.StageWithdrawn
+				finals[end] = protocol.StageCancelled
 			}
 			if random.IntN(2) == 0 { // the final record is known before or after the job leaves
 				live.final(end, finals[end], 0)
@@ -285,7 +285,7 @@
 			}
 		}
 		for _, r := range []*records{started, live} {
-			for unread := r.cache.Unread(); len(unread) > 0; unread = r.cache.Unread() {
+			for unread := r.cache.UnreadOutcomes(); len(unread) > 0; unread = r.cache.UnreadOutcomes() {
 				for _, j := range unread {
 					r.final(j.ID, finals[j.ID], 0)
 				}
--- a/internal/bookkeeping/records.go
+++ b/internal/storage/records.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"encoding/json"
@@ -13,31 +13,31 @@
 // controller follows; a job that is over leaves it, so that what a starting
 // controller reads stays as small as the work at hand.
 const (
-	Prefix         = "r/"
-	KeyLeader      = "r/leader"
-	KeyTerm        = "r/term"
-	KeyTypes       = "r/types"
-	KeyHomes       = "r/homes"
-	KeyShares      = "r/shares"
-	KeyTarget      = "r/target"
-	prefixGrant    = "r/g/"
-	prefixBlock    = "r/m/"
-	prefixIntent   = "r/i/"
-	prefixJob      = "r/j/"
-	prefixDone     = "r/d/"
-	prefixLiveness = "r/p/"
-	prefixFinal    = "f/"
+	Prefix             = "r/"
+	KeyLeader          = "r/leader"
+	KeyTerm            = "r/term"
+	KeyMachineTypes    = "r/types"
+	KeyJobShards       = "r/homes"
+	KeyQuotaSplit      = "r/shares"
+	KeyScalingTarget   = "r/target"
+	prefixGrant        = "r/g/"
+	prefixMachineGroup = "r/m/"
+	prefixIntent       = "r/i/"
+	prefixJob          = "r/j/"
+	prefixCompletion   = "r/d/"
+	prefixLiveness     = "r/p/"
+	prefixFinal        = "f/"
 )
 
 // ChunkTasks is how many tasks one entry of completed tasks covers; it stays
 // below 1.4 KiB.
-const ChunkTasks = 8192
+const TasksPerChunk = 8192
 
 // GrantKey is the key of a shard's grant.
 func GrantKey(shard int) string { return prefixGrant + strconv.Itoa(shard) }
 
 // BlockKey is the key of a block of machines.
-func BlockKey(id string) string { return prefixBlock + id }
+func MachineGroupKey(id string) string { return prefixMachineGroup + id }
 
 // PageID names a page of a shard's holder.
 type PageID struct{ Shard, Page int }
@@ -45,10 +45,10 @@
 func (p PageID) path() string { return strconv.Itoa(p.Shard) + "/" + strconv.Itoa(p.Page) }
 
 // IntentKey is the key of a page of intents.
-func IntentKey(p PageID) string { return prefixIntent + p.path() }
+func IntentPageKey(p PageID) string { return prefixIntent + p.path() }
 
 // DoneKey is the key of a page of completed tasks.
-func DoneKey(p PageID) string { return prefixDone + p.path() }
+func CompletionPageKey(p PageID) string { return prefixCompletion + p.path() }
 
 // JobKey is the key of an unfinished job.
 func JobKey(id string) string { return prefixJob + id }
@@ -61,7 +61,7 @@
 func FinalKey(id string) string { return prefixFinal + id }
 
 // splitPage takes a page's key apart.
-func splitPage(path string) (PageID, bool) {
+func parsePagePath(path string) (PageID, bool) {
 	shard, page, ok := strings.Cut(path, "/")
 	s, err1 := strconv.Atoi(shard)
 	p, err2 := strconv.Atoi(page)
@@ -70,7 +70,7 @@
 
 // LeaderRecord says who leads. It is attached to the leader's lease.
 type LeaderRecord struct {
-	Node        string `json:"node"`
+	Controller  string `json:"node"`
 	Incarnation uint64 `json:"inc"`
 	Term        uint64 `json:"term"`
 	Lease       uint64 `json:"lease"`
@@ -88,63 +88,63 @@
 }
 
 // TargetRecord is the sizer's stored target, stamped with the leader's term.
-type TargetRecord struct {
-	Term   uint64   `json:"term"`
-	Target int      `json:"target"`
-	Drain  []string `json:"drain,omitempty"`
+type ScalingTargetRecord struct {
+	Term     uint64   `json:"term"`
+	Target   int      `json:"target"`
+	Draining []string `json:"drain,omitempty"`
 }
 
 // GrantRecord says which controller holds a shard, under which token.
 type GrantRecord struct {
-	Node        string `json:"node"`
-	Incarnation uint64 `json:"inc"`
-	Token       uint64 `json:"token"`
+	Controller   string `json:"node"`
+	Incarnation  uint64 `json:"inc"`
+	FencingToken uint64 `json:"token"`
 }
 
 // Phases of a machine.
 const (
-	PhaseActive    = "active"    // takes tasks
-	PhaseDrain     = "drain"     // takes no new tasks, goes back once empty
-	PhaseReturning = "returning" // is being deleted; never undone
-	PhaseGone      = "gone"      // deleted; kept until the cloud's lists have forgotten it
+	PhaseActive          = "active"    // takes tasks
+	PhaseDraining        = "drain"     // takes no new tasks, goes back once empty
+	PhaseDecommissioning = "returning" // is being deleted; never undone
+	PhaseDeleted         = "gone"      // deleted; kept until the cloud's lists have forgotten it
 )
 
 // BlockRecord is the leader's record of a block: machines of one pool that were
 // rented together and belong to one shard. One value holds many machines, so
 // that a wave of rentals or returns takes few writes.
-type BlockRecord struct {
-	Type     string         `json:"type"`
-	Zone     string         `json:"zone"`
-	Spot     bool           `json:"spot,omitempty"`
-	Shard    int            `json:"shard"`
-	Token    uint64         `json:"token"` // the holder's token is at least this
-	AtMS     int64          `json:"at"`    // time of day when they were rented
-	Machines []BlockMachine `json:"m"`
+type MachineGroupRecord struct {
+	Type         string         `json:"type"`
+	Zone         string         `json:"zone"`
+	Spot         bool           `json:"spot,omitempty"`
+	Shard        int            `json:"shard"`
+	FencingToken uint64         `json:"token"` // the holder's token is at least this
+	RentedAtMS   int64          `json:"at"`    // time of day when they were rented
+	Machines     []MachineEntry `json:"m"`
 }
 
 // BlockMachine is what differs among the machines of a block.
-type BlockMachine struct {
-	Name   string `json:"n"`
-	Addr   string `json:"a,omitempty"`
-	Phase  string `json:"p,omitempty"` // none: active
-	Drain  uint64 `json:"d,omitempty"` // stamp of the drain: the holder's word that the machine is empty names it
-	GoneMS int64  `json:"g,omitempty"` // time of day when it was deleted
-	Yield  bool   `json:"y,omitempty"` // of a drain: what can be started elsewhere is stopped
+type MachineEntry struct {
+	Name        string `json:"n"`
+	Address     string `json:"a,omitempty"`
+	Phase       string `json:"p,omitempty"` // none: active
+	DrainStamp  uint64 `json:"d,omitempty"` // stamp of the drain: the holder's word that the machine is empty names it
+	DeletedAtMS int64  `json:"g,omitempty"` // time of day when it was deleted
+	Evict       bool   `json:"y,omitempty"` // of a drain: what can be started elsewhere is stopped
 }
 
 // HomesRecord says into how many homes the work is split. It is written once.
-type HomesRecord struct {
-	Homes int `json:"homes"`
+type JobShardsRecord struct {
+	JobShards int `json:"homes"`
 }
 
 // WholeShare is all of a team's guarantee and limit. Parts of it must be fine
 // enough that what is rounded away never keeps the last task of a limit waiting:
 // in thousandths, 13 of 16 CPUs used in one home left 2.992 to the other.
-const WholeShare = 1_000_000_000_000
+const WholeQuota = 1_000_000_000_000
 
 // SharesRecord splits each team's guarantee and limit among the homes, in parts
 // of WholeShare, which a team's shares never exceed together.
-type SharesRecord map[string][]int
+type QuotaSplitRecord map[string][]int
 
 // IntentPage lists tasks that may be on machines, by job: each entry is the
 // task's number, the machine and the attempt. One of each job's says instead what a
@@ -152,19 +152,19 @@
 type IntentPage map[string][]string
 
 // headMark begins an entry that is an IntentHead.
-const headMark = "@"
+const headerMark = "@"
 
 // IntentHead says in a page whose quota a job's tasks count against and how much
 // each takes. The job's own record is gone once it is cancelled, while its tasks
 // may still be on machines that nobody can reach.
-func IntentHead(team string, cpus, gpus, memoryGB float64) string {
+func IntentHeader(team string, cpus, gpus, memoryGB float64) string {
 	number := func(v float64) string { return " " + strconv.FormatFloat(v, 'g', -1, 64) }
-	return headMark + team + number(cpus) + number(gpus) + number(memoryGB)
+	return headerMark + team + number(cpus) + number(gpus) + number(memoryGB)
 }
 
 // splitHead takes an IntentHead apart.
-func splitHead(entry string) (team string, amounts [3]float64, err error) {
-	parts := strings.Split(strings.TrimPrefix(entry, headMark), " ")
+func parseIntentHeader(entry string) (team string, amounts [3]float64, err error) {
+	parts := strings.Split(strings.TrimPrefix(entry, headerMark), " ")
 	if len(parts) < 4 {
 		return "", amounts, fmt.Errorf("intent head %q", entry)
 	}
@@ -183,7 +183,7 @@
 }
 
 // splitIntent takes an entry of an IntentPage apart.
-func splitIntent(entry string) (task int, machine string, attempt uint64, err error) {
+func parseIntentEntry(entry string) (task int, machine string, attempt uint64, err error) {
 	num, rest, ok1 := strings.Cut(entry, " ")
 	machine, try, ok2 := strings.Cut(rest, " ")
 	task, err1 := strconv.Atoi(num)
@@ -195,22 +195,22 @@
 }
 
 // DonePage holds completed tasks of a home's jobs: bitmaps by DoneName.
-type DonePage map[string][]byte
+type CompletionPage map[string][]byte
 
 // DoneName names a chunk of a job's tasks in a DonePage.
-func DoneName(id string, chunk int) string { return id + "/" + strconv.Itoa(chunk) }
+func CompletionChunkName(id string, chunk int) string { return id + "/" + strconv.Itoa(chunk) }
 
 // JobRecord is an accepted job that is not over.
 type JobRecord struct {
-	Spec protocol.Spec `json:"spec"`
-	AtMS int64         `json:"at"` // time of day of acceptance
+	Spec          protocol.JobSpec `json:"spec"`
+	SubmittedAtMS int64            `json:"at"` // time of day of acceptance
 }
 
 // FinalRecord is a job that is over.
 type FinalRecord struct {
-	Stage string `json:"stage"`
-	Done  int    `json:"done"`
-	AtMS  int64  `json:"at,omitempty"` // time of day of the end; versions before 0.2 leave it out
+	Stage          string `json:"stage"`
+	CompletedTasks int    `json:"done"`
+	EndedAtMS      int64  `json:"at,omitempty"` // time of day of the end; versions before 0.2 leave it out
 }
 
 func (f FinalRecord) outcome() Outcome {
@@ -225,16 +225,16 @@
 func Encode(record any) json.RawMessage {
 	data, err := json.Marshal(record)
 	if err != nil {
-		panic(fmt.Sprintf("bookkeeping: encode %T: %v", record, err))
+		panic(fmt.Sprintf("storage: encode %T: %v", record, err))
 	}
 	return data
 }
 
 // splitDone takes a name in a DonePage apart.
-func splitDone(name string) (id string, chunk int, ok bool) {
+func parseCompletionChunkName(name string) (id string, chunk int, ok bool) {
 	id, num, ok := strings.Cut(name, "/")
 	chunk, err := strconv.Atoi(num)
-	return id, chunk, ok && err == nil && chunk >= 0 && chunk <= protocol.MaxTasks/ChunkTasks
+	return id, chunk, ok && err == nil && chunk >= 0 && chunk <= protocol.MaxTasks/TasksPerChunk
 }
 
 // DecodeFinal reads the record of a job that is over.
--- a/internal/bookkeeping/table.go
+++ b/internal/storage/table.go
@@ -1,8 +1,8 @@
-// Package bookkeeping keeps what a controller knows: jobs, tasks, machines,
+// Package storage keeps what a controller knows: jobs, tasks, machines,
 // teams and grants, and the durable records they are read from. It does no
 // I/O; records reach it through Cache.Apply and Cache.Remove, in the order in
 // which the state service made the changes.
-package bookkeeping
+package storage
 
 // Names gives names dense indices. It is the door through which every name
 // enters; behind it the program handles indices.
@@ -106,13 +106,13 @@
 }
 
 // Bits is a set of task numbers.
-type Bits []byte
+type TaskSet []byte
 
 // Has reports whether i is in the set.
-func (b Bits) Has(i int) bool { return i>>3 < len(b) && b[i>>3]&(1<<(i&7)) != 0 }
+func (b TaskSet) Has(i int) bool { return i>>3 < len(b) && b[i>>3]&(1<<(i&7)) != 0 }
 
 // Set adds i, growing the set.
-func (b *Bits) Set(i int) {
+func (b *TaskSet) Set(i int) {
 	for i>>3 >= len(*b) {
 		*b = append(*b, 0)
 	}
@@ -120,4 +120,4 @@
 }
 
 // Clone copies the set.
-func (b Bits) Clone() Bits { return append(Bits(nil), b...) }
+func (b TaskSet) Clone() TaskSet { return append(TaskSet(nil), b...) }
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -13,40 +13,44 @@
 	"testing"
 	"time"
 
-	"rockrun/internal/bookkeeping"
 	"rockrun/internal/config"
 	"rockrun/internal/coordination"
 	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
 )
 
 // granted is a state service and a leader that let a node hold one home with a
 // number of machines, and nothing ever changes after that.
 type granted struct {
 	loop   *Loop
-	items  []protocol.Item
+	items  []protocol.KeyValue
 	events []protocol.Event
 }
 
 func (g *granted) put(key string, record any) {
-	g.items = append(g.items, protocol.Item{Key: key, Value: bookkeeping.Encode(record), Version: uint64(len(g.items) + 1)})
+	g.items = append(g.items, protocol.KeyValue{Key: key, Value: storage.Encode(record), Version: uint64(len(g.items) + 1)})
 }
 
-func (g *granted) Get(_ string, done func(protocol.Item, bool, error)) {
-	done(protocol.Item{}, false, nil)
+func (g *granted) Get(_ string, done func(protocol.KeyValue, bool, error)) {
+	done(protocol.KeyValue{}, false, nil)
 }
 
-func (g *granted) List(_, _ string, done func(protocol.Page, error)) {
-	g.loop.After(0, func() { done(protocol.Page{Items: g.items, Revision: uint64(len(g.items))}, nil) })
+func (g *granted) List(_, _ string, done func(protocol.KeyValuePage, error)) {
+	g.loop.After(0, func() { done(protocol.KeyValuePage{Items: g.items, Revision: uint64(len(g.items))}, nil) })
 }
 
-func (g *granted) Txn(_ protocol.Txn, done func(uint64, error))       { done(0, protocol.ErrConflict) }
-func (g *granted) NewLease(_ time.Duration, done func(uint64, error)) { done(0, protocol.ErrNotDone) }
-func (g *granted) Renew(_ uint64, done func(error))                   { done(nil) }
-func (g *granted) EndLease(_ uint64, done func(error))                { done(nil) }
-func (g *granted) Catalogue(func(protocol.Catalogue, error))          {}
-func (g *granted) Rent(protocol.Rent, func([]string, error))          {}
-func (g *granted) Delete([]string, func(error))                       {}
-func (g *granted) Follow(_ string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
+func (g *granted) Commit(_ protocol.Transaction, done func(uint64, error)) {
+	done(0, protocol.ErrConflict)
+}
+func (g *granted) OpenLease(_ time.Duration, done func(uint64, error)) {
+	done(0, protocol.ErrNotExecuted)
+}
+func (g *granted) RenewLease(_ uint64, done func(error))                                { done(nil) }
+func (g *granted) RevokeLease(_ uint64, done func(error))                               { done(nil) }
+func (g *granted) MachineTypes(func(protocol.MachineTypeCatalogue, error))              {}
+func (g *granted) CreateMachines(protocol.CreateMachinesRequest, func([]string, error)) {}
+func (g *granted) DeleteMachines([]string, func(error))                                 {}
+func (g *granted) Watch(_ string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
 	if len(g.events) > 0 {
 		wait = 0
 	}
@@ -60,7 +64,8 @@
 	})
 }
 
-func (g *granted) Command(string, protocol.CommandRequest, func(*protocol.Report, bool, error)) {}
+func (g *granted) Execute(string, protocol.CommandRequest, func(*protocol.AgentHeartbeat, bool, error)) {
+}
 
 // Ask implements coordination.Peers: the first heartbeat tells the incarnation that
 // the grant must name.
@@ -69,11 +74,11 @@
 		return
 	}
 	if len(g.items) > 0 && g.items[len(g.items)-1].Key != "granted" {
-		g.items = append(g.items, protocol.Item{Key: "granted"})
-		rec := bookkeeping.GrantRecord{Node: "a", Incarnation: r.Heartbeat.Incarnation, Token: 1 << 44}
-		g.events = []protocol.Event{{Put: bookkeeping.GrantKey(0), Value: bookkeeping.Encode(rec), Version: 1000}}
+		g.items = append(g.items, protocol.KeyValue{Key: "granted"})
+		rec := storage.GrantRecord{Controller: "a", Incarnation: r.Heartbeat.Incarnation, FencingToken: 1 << 44}
+		g.events = []protocol.Event{{Put: storage.GrantKey(0), Value: storage.Encode(rec), Version: 1000}}
 	}
-	reply := &protocol.HeartbeatReply{Leader: true, Term: 1, SentAt: r.Heartbeat.SentAt, Shards: []int{0}}
+	reply := &protocol.PeerHeartbeatReply{Leader: true, Term: 1, SentAt: r.Heartbeat.SentAt, Shards: []int{0}}
 	g.loop.After(0, func() { done(protocol.PeerAnswer{Reply: reply}, nil) })
 }
 
@@ -81,24 +86,24 @@
 func holding(tb testing.TB, machines int) string {
 	loop := NewLoop()
 	g := &granted{loop: loop}
-	g.put(bookkeeping.KeyLeader, bookkeeping.LeaderRecord{Node: "b", Incarnation: 1, Term: 1})
-	g.put(bookkeeping.KeyTerm, bookkeeping.TermRecord{Term: 1})
-	g.put(bookkeeping.KeyHomes, bookkeeping.HomesRecord{Homes: 1})
-	g.put(bookkeeping.KeyTypes, protocol.Catalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 32, Zones: []string{"z"}}}})
+	g.put(storage.KeyLeader, storage.LeaderRecord{Controller: "b", Incarnation: 1, Term: 1})
+	g.put(storage.KeyTerm, storage.TermRecord{Term: 1})
+	g.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
+	g.put(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 32, Zones: []string{"z"}}}})
 	for i := 0; i < machines; i += 50 {
-		rec := bookkeeping.BlockRecord{Type: "small", Zone: "z"}
+		rec := storage.MachineGroupRecord{Type: "small", Zone: "z"}
 		for j := i; j < min(i+50, machines); j++ {
-			rec.Machines = append(rec.Machines, bookkeeping.BlockMachine{Name: machineName(j), Addr: "10.1.0.1:9000"})
+			rec.Machines = append(rec.Machines, storage.MachineEntry{Name: machineName(j), Address: "10.1.0.1:9000"})
 		}
-		g.put(bookkeeping.BlockKey(strconv.Itoa(i)), rec)
+		g.put(storage.MachineGroupKey(strconv.Itoa(i)), rec)
 	}
 	node := coordination.New(coordination.Config{
-		Settings: &config.Settings{Node: "a", Siblings: []config.Sibling{{Node: "b"}}, Cluster: config.Cluster{
+		Settings: &config.Settings{Controller: "a", Peers: []config.Peer{{Controller: "b"}}, Cluster: config.Cluster{
 			Teams:   []config.Team{{Name: "red"}},
-			Workers: config.Workers{ReportS: 6, LeaseS: 30, CancelS: 60},
-			State:   config.State{RPS: 200, WriteRPS: 80, ValueKB: 8, TxnOps: 32},
+			Agents:  config.Agents{HeartbeatSeconds: 6, LeaseSeconds: 30, CancelSeconds: 60},
+			KVStore: config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 80, ValueKiB: 8, TransactionOperations: 32},
 		}},
-		Options: config.DefaultOptions(), Clock: loop, Log: quiet, State: g, Workers: g, Peers: g,
+		Options: config.DefaultOptions(), Clock: loop, Log: quiet, Store: g, Agents: g, Peers: g,
 		Rand: rand.New(rand.NewPCG(1, 1)),
 	})
 	limiter := NewLimiter(4, 100)
@@ -121,7 +126,7 @@
 
 // reportBody is a worker's report with so many running tasks.
 func reportBody(machine string, seq, tasks int) []byte {
-	r := protocol.Report{Machine: machine, Address: "10.1.0.1:9000", Type: "small", Zone: "z", Session: 1, Seq: uint64(seq), Token: 1 << 44}
+	r := protocol.AgentHeartbeat{Machine: machine, Address: "10.1.0.1:9000", MachineType: "small", Zone: "z", Epoch: 1, Sequence: uint64(seq), FencingToken: 1 << 44}
 	for i := range tasks {
 		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: protocol.TaskName("run-000412", i), Attempt: 17<<40 + uint64(i), State: protocol.TaskRunning})
 	}
@@ -237,13 +242,13 @@
 		}
 	}()
 	grace := 0.0
-	o := protocol.CommandRequest{Token: 1 << 44, Session: 1, Commands: []protocol.Command{{Verb: protocol.VerbStop, Task: "run-1/0", Attempt: 1, GraceS: &grace}}}
+	o := protocol.CommandRequest{FencingToken: 1 << 44, Epoch: 1, Commands: []protocol.Command{{Verb: protocol.VerbStop, Task: "run-1/0", Attempt: 1, GraceSeconds: &grace}}}
 	for name, limit := range map[string]int{"open": 16, "new": 1} { // above three quarters of the limit connections are closed
 		b.Run(name, func(b *testing.B) {
-			w := protocol.WorkerClient{HTTP: NewClient(2, limit, time.Minute), Timeout: time.Second}
+			w := protocol.AgentClient{HTTP: NewClient(2, limit, time.Minute), Timeout: time.Second}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, ok, err := w.Command(ln.Addr().String(), o); err != nil || !ok {
+				if _, ok, err := w.Execute(ln.Addr().String(), o); err != nil || !ok {
 					b.Fatal(ok, err)
 				}
 			}
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -82,7 +82,7 @@
 }
 
 // Node exports a node's counts.
-func (m *Metrics) Node(stats func() coordination.Stats) {
+func (m *Metrics) Controller(stats func() coordination.Stats) {
 	counter := func(name, help string, count func(coordination.Stats) uint64) {
 		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help},
 			func() float64 { return float64(count(stats())) }))
@@ -94,13 +94,13 @@
 	counter("rockrun_passes_total", "Passes over all that the controller holds.",
 		func(s coordination.Stats) uint64 { return s.Passes })
 	counter("rockrun_jobs_released_total", "Jobs of the controller's homes that could start since all that they need was done.",
-		func(s coordination.Stats) uint64 { return s.Released })
+		func(s coordination.Stats) uint64 { return s.JobsReleased })
 	counter("rockrun_jobs_cancelled_with_another_total", "Jobs of the controller's homes that were cancelled with one that they need.",
-		func(s coordination.Stats) uint64 { return s.CancelledWith })
+		func(s coordination.Stats) uint64 { return s.JobsCancelledByDependency })
 	gauge("rockrun_jobs_waiting", "Unfinished jobs of the controller's homes that wait for others.",
-		func(s coordination.Stats) int64 { return s.Waiting })
+		func(s coordination.Stats) int64 { return s.JobsAwaitingDependencies })
 	gauge("rockrun_oversized_values", "Values the controller writes that are over the limit in force and not yet split.",
-		func(s coordination.Stats) int64 { return s.Oversized })
+		func(s coordination.Stats) int64 { return s.OversizedValues })
 }
 
 // result names how a call to the outside ended.
@@ -112,9 +112,9 @@
 		return "conflict"
 	case errors.Is(err, protocol.ErrRejected):
 		return "rejected"
-	case errors.Is(err, protocol.ErrTooMany):
+	case errors.Is(err, protocol.ErrRateLimited):
 		return "too_many"
-	case errors.Is(err, protocol.ErrNotDone):
+	case errors.Is(err, protocol.ErrNotExecuted):
 		return "refused"
 	}
 	return "unknown"
--- a/internal/transport/metrics_test.go
+++ b/internal/transport/metrics_test.go
@@ -40,18 +40,18 @@
 	defer loop.Close()
 	metrics := NewMetrics(NewLimiter(4, 100))
 	metrics.Limits(0.06, 81)
-	metrics.Node(func() coordination.Stats {
-		return coordination.Stats{Passes: 7, Released: 3, CancelledWith: 2, Waiting: 5, Oversized: 1}
+	metrics.Controller(func() coordination.Stats {
+		return coordination.Stats{Passes: 7, JobsReleased: 3, JobsCancelledByDependency: 2, JobsAwaitingDependencies: 5, OversizedValues: 1}
 	})
 	client := NewClient(4, 32, time.Second)
 	const nowhere = "127.0.0.1:1"
 	back := NewBackend(loop, SplitSockets(200, 0), metrics,
-		&protocol.StateClient{HTTP: client, Addr: nowhere, Timeout: time.Second},
+		&protocol.KVClient{HTTP: client, Addr: nowhere, Timeout: time.Second},
 		&protocol.CloudClient{HTTP: client, Addr: nowhere, Timeout: time.Second},
-		&protocol.WorkerClient{HTTP: client, Timeout: time.Second})
+		&protocol.AgentClient{HTTP: client, Timeout: time.Second})
 	ended := make(chan error, 2)
-	StateCalls{back}.Txn(protocol.Txn{}, func(_ uint64, err error) { ended <- err })
-	WorkerCalls{back}.Command(nowhere, protocol.CommandRequest{}, func(_ *protocol.Report, _ bool, err error) { ended <- err })
+	KVStoreCalls{back}.Commit(protocol.Transaction{}, func(_ uint64, err error) { ended <- err })
+	AgentCalls{back}.Execute(nowhere, protocol.CommandRequest{}, func(_ *protocol.AgentHeartbeat, _ bool, err error) { ended <- err })
 	for range 2 {
 		if err := <-ended; err == nil {
 			t.Fatal("nobody listens there")
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -60,17 +60,17 @@
 			return err
 		}
 		limit.N = peerMessage
-		var r protocol.PeerRequest
-		if err := dec.Decode(&r); err != nil {
+		var request protocol.PeerRequestWire
+		if err := dec.Decode(&request); err != nil {
 			return err
 		}
 		answer := make(chan protocol.PeerAnswer, 1)
-		if !loop.TryPost(func() { handle(r, func(a protocol.PeerAnswer) { answer <- a }) }) {
+		if !loop.TryPost(func() { handle(request.Request(), func(a protocol.PeerAnswer) { answer <- a }) }) {
 			return errors.New("too busy")
 		}
 		select {
 		case a := <-answer:
-			if err := enc.Encode(a); err != nil {
+			if err := enc.Encode(a.Wire()); err != nil {
 				return err
 			}
 		case <-time.After(4 * time.Second):
@@ -109,7 +109,7 @@
 	l := p.links[node]
 	fail := func(err error) { go p.loop.Post(func() { done(protocol.PeerAnswer{}, err) }) }
 	if l == nil {
-		fail(fmt.Errorf("%w: no controller %s", protocol.ErrNotDone, node))
+		fail(fmt.Errorf("%w: no controller %s", protocol.ErrNotExecuted, node))
 		return
 	}
 	select {
@@ -120,7 +120,7 @@
 			p.loop.Post(func() { done(a, err) })
 		}()
 	default:
-		fail(fmt.Errorf("%w: link to %s busy", protocol.ErrNotDone, node))
+		fail(fmt.Errorf("%w: link to %s busy", protocol.ErrNotExecuted, node))
 	}
 }
 
@@ -145,11 +145,12 @@
 		return a, err
 	}
 	l.lim.N = peerMessage
-	if err = l.enc.Encode(r); err != nil {
+	if err = l.enc.Encode(r.Wire()); err != nil {
 		return a, fmt.Errorf("peer: %w", err)
 	}
-	if err = l.dec.Decode(&a); err != nil {
+	var answer protocol.PeerAnswerWire
+	if err = l.dec.Decode(&answer); err != nil {
 		return a, fmt.Errorf("peer: %w", err)
 	}
-	return a, nil
+	return answer.Answer(), nil
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -21,18 +21,18 @@
 
 // Server is the HTTP interface for users, workers and operators.
 type Server struct {
-	app     *fiber.App
-	loop    *Loop
-	node    *coordination.Node
-	limiter *Limiter
-	metrics *Metrics
-	sockets int
-	public  *Listener
+	app        *fiber.App
+	loop       *Loop
+	controller *coordination.Controller
+	limiter    *Limiter
+	metrics    *Metrics
+	sockets    int
+	public     *Listener
 }
 
 // NewServer makes the interface of a node, with at most so many connections.
-func NewServer(loop *Loop, node *coordination.Node, limiter *Limiter, metrics *Metrics, sockets int) *Server {
-	s := &Server{loop: loop, node: node, limiter: limiter, metrics: metrics, sockets: sockets, public: &Listener{}}
+func NewServer(loop *Loop, node *coordination.Controller, limiter *Limiter, metrics *Metrics, sockets int) *Server {
+	s := &Server{loop: loop, controller: node, limiter: limiter, metrics: metrics, sockets: sockets, public: &Listener{}}
 	metrics.connections("public", s.public)
 	s.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
@@ -50,11 +50,11 @@
 			if status == http.StatusRequestEntityTooLarge {
 				status = http.StatusBadRequest
 			}
-			return send(c, coordination.Answer{Status: status, Body: protocol.Problem{Error: http.StatusText(status)}})
+			return send(c, coordination.Answer{Status: status, Body: protocol.ErrorBody{Error: http.StatusText(status)}})
 		},
 	})
-	s.app.Use(s.thin)
-	s.app.Post("/hello", s.hello)
+	s.app.Use(s.shedConnections)
+	s.app.Post("/hello", s.agentHeartbeat)
 	s.app.Get("/healthz", s.healthz)
 	s.app.Post("/submissions", s.limited(classSubmit, func(c *fiber.Ctx, reply func(coordination.Answer)) {
 		body := append([]byte(nil), c.Body()...)
@@ -68,8 +68,8 @@
 		id := string(append([]byte(nil), c.Params("id")...))
 		s.post(reply, func() { node.Cancel(id, reply) })
 	}))
-	s.app.Get("/autoscaler/status", s.operator(func(n *coordination.Node) any { st, _ := n.Autoscaler(); return st }))
-	s.app.Get("/autoscaler/history", s.operator(func(n *coordination.Node) any { _, h := n.Autoscaler(); return h }))
+	s.app.Get("/autoscaler/status", s.operator(func(n *coordination.Controller) any { st, _ := n.Autoscaler(); return st }))
+	s.app.Get("/autoscaler/history", s.operator(func(n *coordination.Controller) any { _, h := n.Autoscaler(); return h }))
 	s.app.Get("/metrics", s.metrics.serve)
 	return s
 }
@@ -85,7 +85,7 @@
 
 // thin closes connections after their answers while there are too many of them:
 // a controller that is left alone gets all workers and users of the others.
-func (s *Server) thin(c *fiber.Ctx) error {
+func (s *Server) shedConnections(c *fiber.Ctx) error {
 	err := c.Next()
 	if !keep(s.public.Open(), s.sockets) {
 		c.Context().SetConnectionClose()
@@ -102,7 +102,7 @@
 }
 
 func busy() coordination.Answer {
-	return coordination.Answer{Status: http.StatusServiceUnavailable, Body: protocol.Problem{Error: "busy"}, RetryAfter: 2 * time.Second}
+	return coordination.Answer{Status: http.StatusServiceUnavailable, Body: protocol.ErrorBody{Error: "busy"}, RetryAfter: 2 * time.Second}
 }
 
 // wait runs a request and waits for its answer.
@@ -147,7 +147,7 @@
 		if !ok {
 			s.metrics.shed.WithLabelValues(class.String()).Inc()
 			return send(c, coordination.Answer{
-				Status: http.StatusTooManyRequests, Body: protocol.Problem{Error: "too many requests in progress"}, RetryAfter: time.Second,
+				Status: http.StatusTooManyRequests, Body: protocol.ErrorBody{Error: "too many requests in progress"}, RetryAfter: time.Second,
 			})
 		}
 		began := time.Now()
@@ -158,15 +158,15 @@
 	}
 }
 
-func (s *Server) hello(c *fiber.Ctx) error {
-	r, err := protocol.ParseReport(c.Body())
+func (s *Server) agentHeartbeat(c *fiber.Ctx) error {
+	r, err := protocol.ParseAgentHeartbeat(c.Body())
 	if err != nil {
 		s.metrics.refused.Inc()
-		return send(c, coordination.Answer{Status: http.StatusBadRequest, Body: protocol.Problem{Error: err.Error()}})
+		return send(c, coordination.Answer{Status: http.StatusBadRequest, Body: protocol.ErrorBody{Error: err.Error()}})
 	}
 	began := time.Now()
 	a := wait(func(reply func(coordination.Answer)) {
-		s.post(reply, func() { s.node.OnReport(r, reply) })
+		s.post(reply, func() { s.controller.OnAgentHeartbeat(r, reply) })
 	})
 	if a.Status == http.StatusOK {
 		s.metrics.reports.Observe(time.Since(began).Seconds())
@@ -182,7 +182,7 @@
 func (s *Server) healthz(c *fiber.Ctx) error {
 	a := wait(func(reply func(coordination.Answer)) {
 		s.post(reply, func() {
-			if s.node.Healthy() {
+			if s.controller.Healthy() {
 				reply(coordination.Answer{Status: http.StatusOK})
 			} else {
 				reply(coordination.Answer{Status: http.StatusServiceUnavailable, RetryAfter: time.Second})
@@ -193,10 +193,10 @@
 }
 
 // operator answers from the node's own view.
-func (s *Server) operator(view func(*coordination.Node) any) fiber.Handler {
+func (s *Server) operator(view func(*coordination.Controller) any) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		return send(c, wait(func(reply func(coordination.Answer)) {
-			s.post(reply, func() { reply(coordination.Answer{Status: http.StatusOK, Body: view(s.node)}) })
+			s.post(reply, func() { reply(coordination.Answer{Status: http.StatusOK, Body: view(s.controller)}) })
 		}))
 	}
 }
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -13,8 +13,8 @@
 // comes to the public address.
 type Sockets struct {
 	Public  int
-	Workers int
-	State   int
+	Agents  int
+	KVStore int
 	Cloud   int
 	Peers   int // connections of other controllers; as many go out as there are peers
 }
@@ -23,11 +23,11 @@
 // A limit too small for everything still leaves each a few.
 func SplitSockets(limit, peers int) Sockets {
 	const own = 16 // listeners, standard streams, the poller
-	s := Sockets{State: 64, Cloud: 8, Peers: 4*peers + 8}
-	s.State = min(s.State, max(limit/8, 8))
-	rest := max(limit-own-s.State-s.Cloud-s.Peers-peers, 64)
-	s.Workers = max(rest/4, 16)
-	s.Public = rest - s.Workers
+	s := Sockets{KVStore: 64, Cloud: 8, Peers: 4*peers + 8}
+	s.KVStore = min(s.KVStore, max(limit/8, 8))
+	rest := max(limit-own-s.KVStore-s.Cloud-s.Peers-peers, 64)
+	s.Agents = max(rest/4, 16)
+	s.Public = rest - s.Agents
 	return s
 }
 
--- a/internal/transport/sockets_test.go
+++ b/internal/transport/sockets_test.go
@@ -20,10 +20,10 @@
 	for _, peers := range []int{0, 2, 4, 6, 20} {
 		for _, limit := range []int{400, 1290, 4233, 100_000} {
 			s := SplitSockets(limit, peers)
-			if sum := s.Public + s.Workers + s.State + s.Cloud + s.Peers + peers; sum >= limit {
+			if sum := s.Public + s.Agents + s.KVStore + s.Cloud + s.Peers + peers; sum >= limit {
 				t.Errorf("%d sockets and %d peers: %+v sums to %d", limit, peers, s, sum)
 			}
-			if s.Public < limit/3 || s.Workers < limit/10 {
+			if s.Public < limit/3 || s.Agents < limit/10 {
 				t.Errorf("%d sockets and %d peers: %+v", limit, peers, s)
 			}
 		}
@@ -39,8 +39,8 @@
 	go loop.Run()
 	defer loop.Close()
 	node := coordination.New(coordination.Config{
-		Settings: &config.Settings{Node: "a", Cluster: config.Cluster{
-			Workers: config.Workers{ReportS: 3, LeaseS: 30, CancelS: 60}, State: config.State{RPS: 10, WriteRPS: 10, ValueKB: 8, TxnOps: 8},
+		Settings: &config.Settings{Controller: "a", Cluster: config.Cluster{
+			Agents: config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60}, KVStore: config.KVStore{RequestsPerSecond: 10, WritesPerSecond: 10, ValueKiB: 8, TransactionOperations: 8},
 		}},
 		Options: config.DefaultOptions(), Clock: loop, Log: quiet, Rand: rand.New(rand.NewPCG(1, 1)),
 	})
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -92,7 +92,7 @@
 			t.Fatal(err)
 		}
 		go ServePeers(ln, 8, loop, func(r protocol.PeerRequest, reply func(protocol.PeerAnswer)) {
-			reply(protocol.PeerAnswer{Reply: &protocol.HeartbeatReply{Leader: true, Term: r.Heartbeat.Term + 1, Shards: []int{2}}})
+			reply(protocol.PeerAnswer{Reply: &protocol.PeerHeartbeatReply{Leader: true, Term: r.Heartbeat.Term + 1, Shards: []int{2}}})
 		}, quiet)
 		return ln
 	}
@@ -105,7 +105,7 @@
 			err error
 		}
 		got := make(chan result, 1)
-		calls.Ask(node, protocol.PeerRequest{Heartbeat: &protocol.Heartbeat{Node: "a", Term: 6, Machines: []protocol.MachineNote{{Name: "m-1"}}}},
+		calls.Ask(node, protocol.PeerRequest{Heartbeat: &protocol.PeerHeartbeat{Controller: "a", Term: 6, Machines: []protocol.MachineStatus{{Name: "m-1"}}}},
 			func(a protocol.PeerAnswer, err error) { got <- result{a, err} })
 		r := <-got
 		return r.a, r.err
@@ -115,7 +115,7 @@
 			t.Fatalf("%+v, %v", a.Reply, err)
 		}
 	}
-	if _, err := ask("c"); !errors.Is(err, protocol.ErrNotDone) {
+	if _, err := ask("c"); !errors.Is(err, protocol.ErrNotExecuted) {
 		t.Errorf("an unknown controller: %v", err)
 	}
 	// Nonsense on the link ends that connection and nothing else.
@@ -142,17 +142,17 @@
 	limiter := NewLimiter(4, 100)
 	metrics := NewMetrics(limiter)
 	back := NewBackend(loop, SplitSockets(200, 0), metrics,
-		&protocol.StateClient{HTTP: client, Addr: "127.0.0.1:1", Timeout: time.Second},
+		&protocol.KVClient{HTTP: client, Addr: "127.0.0.1:1", Timeout: time.Second},
 		&protocol.CloudClient{HTTP: client, Addr: "127.0.0.1:1", Timeout: time.Second},
-		&protocol.WorkerClient{HTTP: client, Timeout: time.Second})
+		&protocol.AgentClient{HTTP: client, Timeout: time.Second})
 	node := coordination.New(coordination.Config{
-		Settings: &config.Settings{Node: "a", Cluster: config.Cluster{
+		Settings: &config.Settings{Controller: "a", Cluster: config.Cluster{
 			Teams:   []config.Team{{Name: "red"}},
-			Workers: config.Workers{ReportS: 3, LeaseS: 30, CancelS: 60},
-			State:   config.State{WriteRPS: 10, ValueKB: 8, TxnOps: 8},
+			Agents:  config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60},
+			KVStore: config.KVStore{WritesPerSecond: 10, ValueKiB: 8, TransactionOperations: 8},
 		}},
 		Options: config.DefaultOptions(), Clock: loop, Log: quiet,
-		State: StateCalls{back}, Cloud: CloudCalls{back}, Workers: WorkerCalls{back}, Peers: NewPeerCalls(loop, nil),
+		Store: KVStoreCalls{back}, Cloud: CloudCalls{back}, Agents: AgentCalls{back}, Peers: NewPeerCalls(loop, nil),
 		Rand: rand.New(rand.NewPCG(1, 1)),
 	})
 	server := NewServer(loop, node, limiter, metrics, 100)
@@ -235,19 +235,19 @@
 		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, answer) })}
 		go func() { _ = srv.Serve(ln) }()
 		addr, client := ln.Addr().String(), NewClient(4, 32, time.Second)
-		state := &protocol.StateClient{HTTP: client, Addr: addr, Timeout: time.Second}
+		state := &protocol.KVClient{HTTP: client, Addr: addr, Timeout: time.Second}
 		cloud := &protocol.CloudClient{HTTP: client, Addr: addr, Timeout: time.Second}
-		worker := &protocol.WorkerClient{HTTP: client, Timeout: time.Second}
+		worker := &protocol.AgentClient{HTTP: client, Timeout: time.Second}
 		for name, call := range map[string]func() error{
 			"get":       func() error { _, _, err := state.Get("k"); return err },
 			"list":      func() error { _, err := state.List("r/", ""); return err },
-			"txn":       func() error { _, err := state.Txn(protocol.Txn{}); return err },
-			"lease":     func() error { _, err := state.NewLease(time.Second); return err },
-			"follow":    func() error { _, err := state.Follow("r/", 1, 0); return err },
-			"catalogue": func() error { _, err := cloud.Catalogue(); return err },
-			"rent":      func() error { _, err := cloud.Rent(protocol.Rent{}); return err },
-			"machines":  func() error { _, err := cloud.List(); return err },
-			"command":   func() error { _, _, err := worker.Command(addr, protocol.CommandRequest{}); return err },
+			"txn":       func() error { _, err := state.Commit(protocol.Transaction{}); return err },
+			"lease":     func() error { _, err := state.OpenLease(time.Second); return err },
+			"follow":    func() error { _, err := state.Watch("r/", 1, 0); return err },
+			"catalogue": func() error { _, err := cloud.MachineTypes(); return err },
+			"rent":      func() error { _, err := cloud.CreateMachines(protocol.CreateMachinesRequest{}); return err },
+			"machines":  func() error { _, err := cloud.ListMachines(); return err },
+			"command":   func() error { _, _, err := worker.Execute(addr, protocol.CommandRequest{}); return err },
 		} {
 			if empty := answer == `{"epoch":"x"}` && (name == "catalogue" || name == "machines"); empty {
 				continue // an empty list, as it may be
