--- a/internal/coordination/block_values.go
+++ b/internal/coordination/block_values.go
@@ -53,10 +53,10 @@
 // whole no longer fits a value. The parts come first, so that no machine is without a
 // block on the way. They keep the token, so that the holder has nothing to show anew.
 func (f *provisioner) writeGroup(id string, rec storage.MachineGroupRecord) (w groupWrite, ok bool) {
-	limits := &f.leadership.controller.storeLimits
+	limits := f.leadership.controller.committer.Limits()
 	parts := splitGroup(rec, limits.ValueBytes, limits.Operations)
 	for _, part := range parts {
-		if !f.leadership.controller.fitsValue(part) {
+		if !f.leadership.controller.committer.Fits(part) {
 			f.leadership.controller.Log.Error("block over the limit can't be split", "block", id, "machines", len(rec.Machines), "parts", len(parts))
 			return w, false
 		}
@@ -90,7 +90,7 @@
 // takes reports whether the transaction still has room for a write. A first one
 // always fits.
 func (b *groupBatch) hasRoomFor(w groupWrite) bool {
-	limits := &b.provisioner.leadership.controller.storeLimits
+	limits := b.provisioner.leadership.controller.committer.Limits()
 	const grantCond = 1
 	return len(b.groups) == 0 || len(b.transaction.Operations)+len(w.operations) <= min(limits.Operations, maxGroupOperations) &&
 		len(b.transaction.Conditions)+len(w.conditions)+grantCond <= limits.Conditions
--- a/internal/coordination/blocks.go
+++ b/internal/coordination/blocks.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -39,7 +40,7 @@
 
 // blockSize is how many machines with such names a new block takes.
 func (f *provisioner) groupSize(name string) int {
-	return machinesPerGroup(f.leadership.controller.storeLimits.ValueBytes, name)
+	return machinesPerGroup(f.leadership.controller.committer.Limits().ValueBytes, name)
 }
 
 // block makes a block of machines to be recorded.
@@ -85,17 +86,17 @@
 		return true
 	})
 	for _, b := range f.pendingGroups {
-		if b.writeInFlight || now < b.retryAt || !n.writeBudget.take(now, 1) {
+		if b.writeInFlight || now < b.retryAt || !n.committer.Budget.Take(now, 1) {
 			continue
 		}
 		b.writeInFlight = true
 		key := storage.MachineGroupKey(b.id)
-		n.commit(protocol.Transaction{
+		n.committer.Commit(protocol.Transaction{
 			Conditions: []protocol.Condition{f.leadership.leaderCondition(), {Key: key}},
 			Operations: []protocol.Operation{{Put: key, Value: storage.Encode(b.record)}},
 		}, func(_ uint64, err error) {
 			b.writeInFlight = false
-			b.retryAt = n.now() + retryPause
+			b.retryAt = n.now() + kv.RetryPause
 			if err == nil {
 				b.retryAt = n.now() + time.Second // it comes with the changes
 			}
@@ -116,7 +117,7 @@
 
 // pending reports whether a machine's entry is being changed already.
 func (f *provisioner) changePending(m *storage.Machine) bool {
-	return f.groupWritesInFlight[m.Group] || f.leadership.controller.revision < f.groupWrittenRevision[m.Group] ||
+	return f.groupWritesInFlight[m.Group] || f.leadership.controller.replica.Revision() < f.groupWrittenRevision[m.Group] ||
 		slices.ContainsFunc(f.changes[m.Group], func(o machineChange) bool { return o.machine == m })
 }
 
@@ -126,7 +127,7 @@
 	n := f.leadership.controller
 	var ids []string
 	for _, id := range slices.Sorted(maps.Keys(f.changes)) {
-		if !f.groupWritesInFlight[id] && n.revision >= f.groupWrittenRevision[id] && n.view.MachineGroups[id] != nil {
+		if !f.groupWritesInFlight[id] && n.replica.Revision() >= f.groupWrittenRevision[id] && n.view.MachineGroups[id] != nil {
 			ids = append(ids, id)
 		}
 	}
@@ -145,7 +146,7 @@
 		if !ok {
 			continue
 		}
-		if !n.writeBudget.take(now, len(w.operations)) {
+		if !n.committer.Budget.Take(now, len(w.operations)) {
 			break
 		}
 		if !batch.hasRoomFor(w) {
@@ -195,7 +196,7 @@
 	for _, id := range blocks {
 		f.groupWritesInFlight[id] = true
 	}
-	n.commit(t, func(revision uint64, err error) {
+	n.committer.Commit(t, func(revision uint64, err error) {
 		for _, id := range blocks {
 			delete(f.groupWritesInFlight, id)
 			if err == nil {
@@ -266,7 +267,7 @@
 		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.toShard, b.toShard))
 	}) {
 		b := n.view.MachineGroups[k.group]
-		if b == nil || f.groupWritesInFlight[k.group] || n.revision < f.groupWrittenRevision[k.group] || !n.writeBudget.take(n.now(), 2) {
+		if b == nil || f.groupWritesInFlight[k.group] || n.replica.Revision() < f.groupWrittenRevision[k.group] || !n.committer.Budget.Take(n.now(), 2) {
 			continue
 		}
 		to := storage.MachineGroupRecord{Type: b.Type, Zone: b.Zone, Spot: b.Spot, Shard: k.toShard, FencingToken: f.leadership.nextFencingToken(), RentedAtMS: b.RentedAtMS}
@@ -281,7 +282,7 @@
 		if !ok {
 			continue
 		}
-		if len(from.operations) >= n.storeLimits.Operations { // so large that it must be split before anything leaves it
+		if len(from.operations) >= n.committer.Limits().Operations { // so large that it must be split before anything leaves it
 			if from, ok = f.writeGroup(k.group, b.MachineGroupRecord); ok {
 				f.commitGroups([]string{k.group}, protocol.Transaction{Conditions: append(from.conditions, f.leadership.leaderCondition()), Operations: from.operations})
 			}
--- a/internal/coordination/cancellations_test.go
+++ b/internal/coordination/cancellations_test.go
@@ -116,7 +116,7 @@
 	b.apply(storage.JobKey("run-5"), storage.JobRecord{Spec: protocol.JobSpec{
 		ID: "run-5", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2, CPUs: 4, MemoryGB: 1,
 	}})
-	l.peers["a"] = &peerState{incarnation: b.controller.incarnation, grantsWithinQuota: []uint64{grantToken}}
+	l.peers["a"] = &peerState{incarnation: b.controller.replica.Incarnation, grantsWithinQuota: []uint64{grantToken}}
 	l.peers["b"] = &peerState{incarnation: 3} // it pinged before it was granted the home
 	b.controller.leadership = l
 	b.transactions = nil
@@ -150,15 +150,3 @@
 		t.Errorf("silent for %s", s)
 	}
 }
-
-// The time of day may step back between the end of a process and its start: the
-// new incarnation is still above the former one.
-func TestIncarnationAboveFormer(t *testing.T) {
-	b := newTestController(t)
-	former := b.controller.incarnation + 5
-	b.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: former, FencingToken: grantToken})
-	b.controller.raiseIncarnation()
-	if b.controller.incarnation <= former || b.controller.holdsShard(0) {
-		t.Errorf("incarnation %d after %d", b.controller.incarnation, former)
-	}
-}
--- a/internal/coordination/cloud_list.go
+++ b/internal/coordination/cloud_list.go
@@ -36,7 +36,7 @@
 		}
 		if err != nil {
 			n.Log.Debug("machines not listed", "err", err)
-			f.nextListAt = n.now() + n.jitter(time.Second)
+			f.nextListAt = n.now() + n.generation.Jitter(time.Second)
 			return
 		}
 		listed := f.adoptListed(list)
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -155,7 +155,7 @@
 		if err != nil {
 			// Whether it was carried out is open; the next report will tell.
 			n.Log.Debug("no answer to commands", "machine", x.machine.Name, "err", err)
-			x.noCommandsBefore = n.now() + n.jitter(time.Second)
+			x.noCommandsBefore = n.now() + n.generation.Jitter(time.Second)
 			return
 		}
 		if r.Machine != x.machine.Name || r.FencingToken > x.currentToken {
--- a/internal/coordination/completion.go
+++ b/internal/coordination/completion.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -74,7 +75,7 @@
 // mayFinish reports whether the end of a job may be written now.
 func (h *reconciler) mayWriteJobEnd(p *jobProgress) bool {
 	n := h.controller
-	return !p.endInFlight && n.revision >= p.endWrittenRevision && n.now() >= p.retryAt && n.mayActFor(p.job.Shard) && h.jobEndsInFlight < maxJobEndsInFlight
+	return !p.endInFlight && n.replica.Revision() >= p.endWrittenRevision && n.now() >= p.retryAt && n.mayActFor(p.job.Shard) && h.jobEndsInFlight < maxJobEndsInFlight
 }
 
 // finishJob writes that a job is done. Users wait for it and there are few jobs beside
@@ -82,11 +83,11 @@
 func (h *reconciler) writeJobEnd(p *jobProgress) {
 	n := h.controller
 	j := p.job
-	n.writeBudget.force(n.now(), 2)
+	n.committer.Budget.TakeAnyway(n.now(), 2)
 	p.endInFlight = true
 	h.jobEndsInFlight++
 	f := storage.FinalRecord{Stage: protocol.StageDone, CompletedTasks: j.Tasks, EndedAtMS: n.Clock.Wall().UnixMilli()}
-	n.commit(protocol.Transaction{
+	n.committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{
 			{Key: storage.JobKey(j.ID), Version: j.Version},
 			{Key: storage.GrantKey(j.Shard), Version: n.view.Grants[j.Shard].Version},
@@ -100,7 +101,7 @@
 		}
 		if err != nil {
 			n.Log.Debug("completed job not written", "job", j.ID, "err", err)
-			p.retryAt = n.now() + n.jitter(retryPause/2)
+			p.retryAt = n.now() + n.generation.Jitter(kv.RetryPause/2)
 			return
 		}
 		p.endWrittenRevision = revision
--- a/internal/coordination/node.go
+++ b/internal/coordination/controller.go
@@ -15,28 +15,13 @@
 	"time"
 
 	"rockrun/internal/config"
+	"rockrun/internal/coordination/kv"
+	"rockrun/internal/coordination/loop"
+	"rockrun/internal/coordination/replica"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
 
-// Clock tells the time and calls back later, on the node's goroutine.
-type Clock interface {
-	Now() time.Duration // steady
-	Wall() time.Time    // time of day
-	After(d time.Duration, f func())
-}
-
-// State is the state service.
-type KVStore interface {
-	Get(key string, done func(protocol.KeyValue, bool, error))
-	List(prefix, after string, done func(protocol.KeyValuePage, error))
-	Commit(t protocol.Transaction, done func(uint64, error))
-	OpenLease(ttl time.Duration, done func(uint64, error))
-	RenewLease(lease uint64, done func(error))
-	RevokeLease(lease uint64, done func(error))
-	Watch(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error))
-}
-
 // Cloud rents machines.
 type Cloud interface {
 	MachineTypes(done func(protocol.MachineTypeCatalogue, error))
@@ -55,12 +40,12 @@
 	Ask(node string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
 }
 
-// Config is all that a Node is made of.
+// Config is all that a Controller is made of.
 type Config struct {
 	Settings *config.Settings
 	Options  config.Options
-	Clock    Clock
-	Store    KVStore
+	Clock    loop.Clock
+	Store    kv.Store
 	Cloud    Cloud
 	Agents   Agents
 	Peers    Peers
@@ -68,41 +53,29 @@
 	Log      *slog.Logger
 }
 
-// Times of the node's own loops. They follow from nothing in the settings; all
-// are far below the leases they serve.
+// Times of the controller's own loops. They follow from nothing in the settings; all are
+// far below the leases they serve.
 const (
 	tickInterval          = 250 * time.Millisecond
 	peerHeartbeatInterval = 500 * time.Millisecond
-	watchTimeout          = time.Second
-	retryPause            = 200 * time.Millisecond
 	leaderLeaseTTL        = 4 * time.Second
 	leaderRenewInterval   = time.Second
 	peerTimeout           = 3 * time.Second // a heartbeat younger than this shows a live controller
 )
 
-// Node is one controller.
+// Controller is one process of the service.
 type Controller struct {
 	Config
 	index       int      // among all controllers, by name
 	controllers []string // all controllers, by name
 	shardCount  int
 
-	incarnation  uint64
-	generation   int // counts incarnations within this process; callbacks of earlier ones are dropped
+	generation   *loop.Generation
 	view         *storage.View
-	revision     uint64        // the cache holds all changes up to here
-	ready        bool          // the cache has been read whole
-	freshAt      time.Duration // the cache held everything that was durable at this time
+	replica      *replica.Replica
+	committer    *kv.Committer
+	watchPause   time.Duration
 	finalRecords map[string]storage.FinalRecord
-	writeBudget  tokenBucket
-	storeLimits  config.StoreLimits // that writes keep to
-
-	watchPause time.Duration // between two reads of the changes; twice that between two that questions ask for
-
-	syncWaiters   []func(error) // questions that wait for the cache to be as new as they are
-	syncInFlight  bool
-	nextSyncAt    time.Duration
-	syncScheduled bool
 
 	candidacyInFlight bool
 	candidacyAt       time.Duration
@@ -113,7 +86,7 @@
 	maxStaleness     time.Duration
 	shardLeaseExpiry []time.Duration // by shard
 	grantSeenAt      []time.Duration // by shard: when the grant in force was first seen
-	shardHeardAt     []time.Duration // by shard: when one of its machines last reported here; 0: never
+	shardHeardAt     []time.Duration // by shard: when one of its agents last sent a heartbeat here; 0: never
 	leaderAnsweredAt time.Duration   // when the leader's last answer that counts came
 	healthyPeerCount int             // what it said of the others then
 	nextLivenessAt   time.Duration   // no liveness record is written before
@@ -121,18 +94,17 @@
 	notices              map[string]*cancellationNotices // by controller
 	reconciler           *reconciler
 	unrecordedHeartbeats map[string]protocol.AgentHeartbeat
-	stopped              bool
 	outcomes             *outcomeReader
 	recentlyAccepted     recentSubmissions
 	stats                stats
 }
 
-// New makes a node; Start sets it going.
+// New makes a controller; Start sets it going.
 func New(c Config) *Controller {
 	n := &Controller{Config: c}
 	n.controllers = []string{c.Settings.Controller}
-	for _, s := range c.Settings.Peers {
-		n.controllers = append(n.controllers, s.Controller)
+	for _, peer := range c.Settings.Peers {
+		n.controllers = append(n.controllers, peer.Controller)
 	}
 	slices.Sort(n.controllers)
 	n.index = slices.Index(n.controllers, c.Settings.Controller)
@@ -140,19 +112,28 @@
 	n.shardLease = c.Options.ShardLease(c.Settings.Cluster.Agents)
 	n.maxStaleness = c.Settings.Cluster.Agents.MaxStaleness()
 	n.finalRecords = map[string]storage.FinalRecord{}
-	// All controllers together read with a quarter of the requests allowed.
-	n.storeLimits = c.Settings.Cluster.KVStore.Limits()
-	n.watchPause = max(20*time.Millisecond, time.Duration(4*float64(len(n.controllers))/n.storeLimits.RequestRate*float64(time.Second)))
-	n.writeBudget = newTokenBucket(n.storeLimits.WriteRate / 4)
+	limits := c.Settings.Cluster.KVStore.Limits()
+	n.committer = kv.NewCommitter(c.Store, limits, c.Log)
+	n.watchPause = watchPause(len(n.controllers), limits)
 	return n
 }
 
+// watchPause is the pause between two reads of the changes with which all controllers
+// together use a quarter of the requests that the store allows.
+func watchPause(controllers int, limits config.StoreLimits) time.Duration {
+	const (
+		shareDivisor = 4
+		minPause     = 20 * time.Millisecond
+	)
+	return max(minPause, time.Duration(shareDivisor*float64(controllers)/limits.RequestRate*float64(time.Second)))
+}
+
 // Start begins the node's loops. It must be called on the node's goroutine.
 func (n *Controller) Start() {
 	n.begin()
 	var tick func()
 	tick = func() {
-		if n.stopped {
+		if n.generation.Stopping() {
 			return
 		}
 		n.tick()
@@ -161,7 +142,7 @@
 	tick()
 	var heartbeat func()
 	heartbeat = func() {
-		if n.stopped {
+		if n.generation.Stopping() {
 			return
 		}
 		n.sendPeerHeartbeat()
@@ -170,11 +151,11 @@
 	n.Clock.After(peerHeartbeatInterval, heartbeat)
 }
 
-// Stop ends the node's part in the service: it acts for no shard any more, tells
-// the leader so, or gives up the leadership. done is called once that is known,
-// or got no answer.
+// Stop ends the controller's part in the service: it acts for no shard any more, tells
+// the leader so, or gives up the leadership. done is called once that is known, or got
+// no answer.
 func (n *Controller) Stop(done func()) {
-	n.stopped = true
+	n.generation.Stop()
 	if n.leadership == nil {
 		n.sendPeerHeartbeat()
 		n.Clock.After(300*time.Millisecond, done)
@@ -185,21 +166,24 @@
 	n.Store.RevokeLease(lease, func(error) { done() })
 }
 
-// begin starts a new incarnation with an empty cache. It is used at the start
-// and whenever the node has lost track of the state service's changes; what an
-// earlier incarnation held is granted anew under a higher token, which fences
-// whatever it left behind.
+// begin starts a new generation with an empty view. It is used at the start and whenever
+// the controller has lost track of the store's changes; what an earlier generation held
+// is granted anew under a higher token, which fences whatever it left behind.
 func (n *Controller) begin() {
-	n.generation++
-	// Later incarnations have higher numbers: the time of day in the high bits,
-	// chance in the low ones.
-	n.incarnation = max(n.incarnation+1, uint64(n.Clock.Wall().UnixMilli())<<20|n.Rand.Uint64N(1<<20))
-	teams := make([]storage.Team, 0, len(n.Settings.Cluster.Teams))
-	for _, t := range n.Settings.Cluster.Teams {
-		teams = append(teams, storage.Team{Name: t.Name, GuaranteedCPUs: t.GuaranteedCPUs, MaxCPUs: t.MaxCPUs, GuaranteedGPUs: t.GuaranteedGPUs, MaxGPUs: t.MaxGPUs})
+	var former replica.Replica
+	stopping := false
+	if n.replica != nil {
+		former = *n.replica
+		stopping = n.generation.Stopping()
+		n.generation.End()
 	}
-	n.view = storage.NewView(teams, n.shardCount)
-	n.ready, n.revision, n.leadership, n.candidacyInFlight = false, 0, nil, false
+	n.generation = loop.NewGeneration(n.Clock, n.Rand)
+	if stopping {
+		n.generation.Stop()
+	}
+	n.committer.BeginGeneration(n.generation)
+	n.beginReplica(&former)
+	n.leadership, n.candidacyInFlight = nil, false
 	n.candidateLeases = map[uint64]bool{}
 	n.shardLeaseExpiry = make([]time.Duration, n.shardCount)
 	n.grantSeenAt = make([]time.Duration, n.shardCount)
@@ -212,38 +196,44 @@
 		n.outcomes.abandon()
 	}
 	n.outcomes = newOutcomeReader(n)
-	waits := n.syncWaiters
-	n.syncWaiters, n.syncInFlight, n.syncScheduled = nil, false, false
-	for _, f := range waits {
-		f(protocol.ErrNotExecuted)
+	for _, done := range former.Abandon() {
+		done(protocol.ErrNotExecuted)
 	}
-	n.readRecords("", 0, 0)
+	n.replica.Start()
 }
 
-// later runs f after d, unless a new incarnation has begun by then.
-func (n *Controller) later(d time.Duration, f func()) {
-	era := n.generation
-	n.Clock.After(d, func() {
-		if era == n.generation && !n.stopped {
-			f()
-		}
+// beginReplica makes the replica of a new generation, after the former one.
+func (n *Controller) beginReplica(former *replica.Replica) {
+	teams := make([]storage.Team, 0, len(n.Settings.Cluster.Teams))
+	for _, t := range n.Settings.Cluster.Teams {
+		teams = append(teams, storage.Team{
+			Name: t.Name, GuaranteedCPUs: t.GuaranteedCPUs, MaxCPUs: t.MaxCPUs, GuaranteedGPUs: t.GuaranteedGPUs, MaxGPUs: t.MaxGPUs,
+		})
+	}
+	n.view = storage.NewView(teams, n.shardCount)
+	n.replica = replica.New(replica.Config{
+		Generation: n.generation, Store: n.Store, View: n.view, Controller: n.Settings.Controller,
+		Incarnation: n.nextIncarnation(former.Incarnation), WatchPause: n.watchPause, SyncNotBefore: former.NextSyncAt(), Log: n.Log,
+		OnChange: n.recordsChanged, OnCompacted: n.begin,
 	})
 }
 
-func (n *Controller) now() time.Duration { return n.Clock.Now() }
-
-// jitter returns a time between d and 2d.
-func (n *Controller) jitter(d time.Duration) time.Duration {
-	return d + time.Duration(n.Rand.Int64N(int64(d)+1))
+// nextIncarnation draws an incarnation above the former one: the time of day in the high
+// bits, chance in the low ones.
+func (n *Controller) nextIncarnation(former uint64) uint64 {
+	const randomBits = 20
+	return max(former+1, uint64(n.Clock.Wall().UnixMilli())<<randomBits|n.Rand.Uint64N(1<<randomBits))
 }
 
+func (n *Controller) now() time.Duration { return n.Clock.Now() }
+
 // holds reports whether the cache grants a shard to this incarnation.
 func (n *Controller) holdsShard(shard int) bool {
 	if shard < 0 || shard >= n.shardCount {
 		return false
 	}
 	g := &n.view.Grants[shard]
-	return g.Version > 0 && g.Controller == n.Settings.Controller && g.Incarnation == n.incarnation
+	return g.Version > 0 && g.Controller == n.Settings.Controller && g.Incarnation == n.replica.Incarnation
 }
 
 // entitled reports whether this node may act for a shard now: the grant is its
@@ -251,11 +241,11 @@
 // that renewing a worker's lease can't outlast the time for cancelling.
 func (n *Controller) mayActFor(shard int) bool {
 	now := n.now()
-	return n.ready && !n.stopped && n.holdsShard(shard) && now < n.shardLeaseExpiry[shard] && now-n.freshAt < n.maxStaleness
+	return n.replica.Ready() && !n.generation.Stopping() && n.holdsShard(shard) && now < n.shardLeaseExpiry[shard] && n.replica.Staleness() < n.maxStaleness
 }
 
 func (n *Controller) tick() {
-	if !n.ready {
+	if !n.replica.Ready() {
 		return
 	}
 	if n.reconciler.attemptCounter >= maxAttemptCounter {
@@ -274,3 +264,27 @@
 	}
 	n.reconciler.tick()
 }
+
+// recordsChanged works out what follows from new records.
+func (n *Controller) recordsChanged(changed bool) {
+	if !n.replica.Ready() {
+		return
+	}
+	n.checkLeadership()
+	if !changed {
+		return
+	}
+	for s := range n.shardCount {
+		if !n.holdsShard(s) {
+			n.grantSeenAt[s] = 0
+		} else if n.grantSeenAt[s] == 0 {
+			n.grantSeenAt[s] = n.now()
+			// The grant is fresh: its lease begins with it. The leader made it no
+			// earlier than the request that brought it.
+			n.shardLeaseExpiry[s] = max(n.shardLeaseExpiry[s], n.replica.FreshAt()+n.shardLease)
+		}
+	}
+	n.outcomes.readWanted()
+	n.reconciler.syncWithRecords()
+	n.reconciler.schedulePass()
+}
--- a/internal/coordination/dependents.go
+++ b/internal/coordination/dependents.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -30,14 +31,14 @@
 	}
 	for _, j := range n.view.CancelledDependents() {
 		w := h.cancelledDependentWrites[j]
-		if !h.controller.holdsShard(j.Shard) || !n.mayActFor(j.Shard) || w != nil && (w.inFlight || n.revision < w.writtenRevision || now < w.retryAt) {
+		if !h.controller.holdsShard(j.Shard) || !n.mayActFor(j.Shard) || w != nil && (w.inFlight || n.replica.Revision() < w.writtenRevision || now < w.retryAt) {
 			continue
 		}
-		if !n.writeBudget.take(now, 2) {
+		if !n.committer.Budget.Take(now, 2) {
 			break
 		}
 		batch = append(batch, j)
-		if len(batch) >= n.storeLimits.Operations/2 {
+		if len(batch) >= n.committer.Limits().Operations/2 {
 			send()
 		}
 	}
@@ -63,7 +64,7 @@
 		}
 		w.inFlight = true
 	}
-	n.commit(t, func(revision uint64, err error) {
+	n.committer.Commit(t, func(revision uint64, err error) {
 		if n.reconciler != h {
 			return
 		}
@@ -77,7 +78,7 @@
 				w.writtenRevision = revision
 				n.rememberFinal(j.ID, f)
 			} else {
-				w.retryAt = n.now() + n.jitter(retryPause)
+				w.retryAt = n.now() + n.generation.Jitter(kv.RetryPause)
 			}
 		}
 		if err != nil {
--- a/internal/coordination/election.go
+++ b/internal/coordination/election.go
@@ -4,6 +4,8 @@
 	"errors"
 	"time"
 
+	"rockrun/internal/coordination/kv"
+	"rockrun/internal/coordination/replica"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -63,25 +65,25 @@
 // vacant reports whether nobody leads, or a former incarnation of this node.
 func (n *Controller) leaderVacant() bool {
 	return n.view.LeaderVersion == 0 ||
-		n.view.Leader.Controller == n.Settings.Controller && n.view.Leader.Incarnation != n.incarnation
+		n.view.Leader.Controller == n.Settings.Controller && n.view.Leader.Incarnation != n.replica.Incarnation
 }
 
 // runForLeader opens a lease and tries to take the leader's key and the next term in
 // one transaction. Winning shows when the record comes back with the changes.
 func (n *Controller) campaign() {
 	n.candidacyInFlight = true
-	era := n.generation
+	generation := n.generation
 	over := func() {
-		if era == n.generation {
+		if !generation.Ended() {
 			n.candidacyInFlight, n.candidacyAt = false, 0
 		}
 	}
 	n.Store.OpenLease(leaderLeaseTTL, func(lease uint64, err error) {
-		if era != n.generation || n.stopped {
+		if !generation.Active() {
 			return
 		}
 		if err != nil {
-			n.later(n.jitter(retryPause), over)
+			n.generation.Later(n.generation.Jitter(kv.RetryPause), over)
 			return
 		}
 		if !n.leaderVacant() {
@@ -92,8 +94,8 @@
 		}
 		n.candidateLeases[lease] = true
 		term := n.view.Term + 1
-		rec := storage.LeaderRecord{Controller: n.Settings.Controller, Incarnation: n.incarnation, Term: term, Lease: lease}
-		n.commit(protocol.Transaction{
+		rec := storage.LeaderRecord{Controller: n.Settings.Controller, Incarnation: n.replica.Incarnation, Term: term, Lease: lease}
+		n.committer.Commit(protocol.Transaction{
 			Conditions: []protocol.Condition{{Key: storage.KeyLeader, Version: n.view.LeaderVersion}, {Key: storage.KeyTerm, Version: n.view.TermVersion}},
 			Operations: []protocol.Operation{
 				{Put: storage.KeyLeader, Value: storage.Encode(rec), Lease: lease},
@@ -102,11 +104,11 @@
 		}, func(_ uint64, err error) {
 			// With no answer the transaction may still be applied; its record
 			// then arrives with the changes and is recognised by the lease.
-			pause := n.jitter(retryPause)
+			pause := n.generation.Jitter(kv.RetryPause)
 			if errors.Is(err, protocol.ErrOutcomeUnknown) {
-				pause = n.jitter(leaderRenewInterval)
+				pause = n.generation.Jitter(leaderRenewInterval)
 			}
-			n.later(pause, over)
+			n.generation.Later(pause, over)
 		})
 	})
 }
@@ -114,12 +116,12 @@
 // checkLeadership compares the leader's record with what this node is.
 func (n *Controller) checkLeadership() {
 	r := &n.view.Leader
-	mine := n.view.LeaderVersion != 0 && r.Controller == n.Settings.Controller && r.Incarnation == n.incarnation && n.candidateLeases[r.Lease]
+	mine := n.view.LeaderVersion != 0 && r.Controller == n.Settings.Controller && r.Incarnation == n.replica.Incarnation && n.candidateLeases[r.Lease]
 	switch {
 	case mine && (n.leadership == nil || n.leadership.term != r.Term):
 		now := n.now()
 		n.leadership = &leadership{
-			controller: n, term: r.Term, lease: r.Lease, since: now, renewedAt: n.freshAt, freshSince: now,
+			controller: n, term: r.Term, lease: r.Lease, since: now, renewedAt: n.replica.FreshAt(), freshSince: now,
 			peers:               map[string]*peerState{},
 			appliedLiveness:     map[string]uint64{},
 			lastConfirmedStatus: map[string]protocol.MachineStatus{},
@@ -156,7 +158,7 @@
 			n.Log.Info("lease lost, no longer leading", "term", l.term)
 			l.resign()
 		default:
-			l.nextRenewalAt = n.now() + n.jitter(retryPause)
+			l.nextRenewalAt = n.now() + n.generation.Jitter(kv.RetryPause)
 		}
 	})
 }
@@ -195,7 +197,7 @@
 }
 
 func (l *leadership) tick() {
-	if now := l.controller.now(); now-l.controller.freshAt > 2*watchTimeout {
+	if now := l.controller.now(); now-l.controller.replica.FreshAt() > 2*replica.WatchTimeout {
 		l.freshSince = now
 	}
 	// One whose lease may have run out starts nothing: another may lead by now,
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -120,7 +121,7 @@
 		f.typesCallInFlight = true
 		n.Cloud.MachineTypes(func(c protocol.MachineTypeCatalogue, err error) {
 			f.typesCallInFlight = false
-			f.nextTypesCallAt = n.now() + n.jitter(time.Second)
+			f.nextTypesCallAt = n.now() + n.generation.Jitter(time.Second)
 			if err != nil || len(c.Types) == 0 {
 				n.Log.Debug("machine types not read", "err", err)
 				return
@@ -133,12 +134,12 @@
 		return
 	}
 	f.typesWriteInFlight = true
-	n.writeBudget.force(now, 1)
-	n.commit(protocol.Transaction{
+	n.committer.Budget.TakeAnyway(now, 1)
+	n.committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{f.leadership.leaderCondition(), {Key: storage.KeyMachineTypes, Version: n.view.MachineTypesVersion}},
 		Operations: []protocol.Operation{{Put: storage.KeyMachineTypes, Value: storage.Encode(f.catalogue)}},
 	}, func(uint64, error) {
-		n.later(retryPause, func() { f.typesWriteInFlight = false })
+		n.generation.Later(kv.RetryPause, func() { f.typesWriteInFlight = false })
 	})
 }
 
@@ -215,7 +216,7 @@
 				f.dropScaleOut(a)
 				f.nextCycleAt = 0 // the demand goes to the next pool at once
 			case errors.Is(err, protocol.ErrOutcomeUnknown):
-				a.retryAt = n.now() + n.jitter(500*time.Millisecond)
+				a.retryAt = n.now() + n.generation.Jitter(500*time.Millisecond)
 			default:
 				n.Log.Debug("rental refused", "err", err)
 				f.dropScaleOut(a)
@@ -306,7 +307,7 @@
 	n := f.leadership.controller
 	f.scaleOutCount++
 	a := &scaleOutCall{shard: r.shard, CreateMachinesRequest: protocol.CreateMachinesRequest{
-		Request: fmt.Sprintf("r-%d-%d-%d", f.leadership.term, n.incarnation, f.scaleOutCount),
+		Request: fmt.Sprintf("r-%d-%d-%d", f.leadership.term, n.replica.Incarnation, f.scaleOutCount),
 		Type:    n.view.MachineTypeNames.Name(r.machineType), Zone: n.view.ZoneNames.Name(r.zone), Spot: r.spot, Count: r.count,
 	}}
 	f.scaleOutCalls = append(f.scaleOutCalls, a)
@@ -330,11 +331,11 @@
 	}
 	old := n.view.ScalingTarget
 	same := old.Term == rec.Term && old.Target == rec.Target && slices.Equal(old.Draining, rec.Draining)
-	if same || f.targetWriteInFlight || now < f.nextTargetWriteAt || !n.writeBudget.take(now, 1) {
+	if same || f.targetWriteInFlight || now < f.nextTargetWriteAt || !n.committer.Budget.Take(now, 1) {
 		return
 	}
 	f.targetWriteInFlight = true
-	n.commit(protocol.Transaction{
+	n.committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{f.leadership.leaderCondition(), {Key: storage.KeyScalingTarget, Version: n.view.ScalingTargetVersion}},
 		Operations: []protocol.Operation{{Put: storage.KeyScalingTarget, Value: storage.Encode(rec)}},
 	}, func(uint64, error) {
@@ -378,7 +379,7 @@
 
 // Autoscaler describes the sizer's state and, on the leader, its decisions.
 func (n *Controller) Autoscaler() (Status, []Decision) {
-	s := Status{Node: n.Settings.Controller, Leader: n.view.Leader.Controller, Term: n.view.Term, Leading: n.leadership != nil, Ready: n.ready, Target: n.view.ScalingTarget.Target}
+	s := Status{Node: n.Settings.Controller, Leader: n.view.Leader.Controller, Term: n.view.Term, Leading: n.leadership != nil, Ready: n.replica.Ready(), Target: n.view.ScalingTarget.Target}
 	n.view.Machines.All(func(_ int, m *storage.Machine) {
 		if m.Exists() {
 			s.Fleet++
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -55,7 +55,7 @@
 	}
 	changes := 0
 	for range leaving {
-		b.now += b.controller.writeBudget.timeUntil(maxGroupOperations)
+		b.now += b.controller.committer.Budget.TimeUntil(maxGroupOperations)
 		f.flushChanges(b.now)
 	}
 	for _, txn := range b.transactions {
--- a/internal/coordination/grant.go
+++ b/internal/coordination/grant.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -238,13 +239,13 @@
 	rec := storage.GrantRecord{Controller: node, Incarnation: l.peers[node].incarnation, FencingToken: l.nextFencingToken()}
 	n.Log.Info("grant", "shard", shard, "to", node, "token", rec.FencingToken, "term", l.term)
 	l.grantInFlight[shard] = true
-	n.writeBudget.force(n.now(), 1)
-	n.commit(protocol.Transaction{
+	n.committer.Budget.TakeAnyway(n.now(), 1)
+	n.committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{l.leaderCondition(), {Key: storage.GrantKey(shard), Version: g.Version}},
 		Operations: []protocol.Operation{{Put: storage.GrantKey(shard), Value: storage.Encode(rec)}},
 	}, func(_ uint64, err error) {
 		l.grantInFlight[shard] = false
-		l.nextGrantAt[shard] = n.now() + retryPause
+		l.nextGrantAt[shard] = n.now() + kv.RetryPause
 		if err != nil {
 			n.Log.Debug("grant not made", "shard", shard, "err", err)
 		}
@@ -266,11 +267,11 @@
 	}
 	rec := storage.JobShardsRecord{JobShards: max(1, min(homes, n.shardCount))}
 	l.jobShardsInFlight = true
-	n.commit(protocol.Transaction{
+	n.committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{l.leaderCondition(), {Key: storage.KeyJobShards, Version: n.view.JobShardsVersion}},
 		Operations: []protocol.Operation{{Put: storage.KeyJobShards, Value: storage.Encode(rec)}},
 	}, func(uint64, error) {
 		l.jobShardsInFlight = false
-		l.nextJobShardsAt = n.now() + retryPause
+		l.nextJobShardsAt = n.now() + kv.RetryPause
 	})
 }
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -27,12 +28,12 @@
 
 // sendHeartbeat tells the leader about this node. The leader tells itself.
 func (n *Controller) sendPeerHeartbeat() {
-	if !n.ready || n.view.LeaderVersion == 0 {
+	if !n.replica.Ready() || n.view.LeaderVersion == 0 {
 		return
 	}
 	p := &protocol.PeerHeartbeat{
-		Controller: n.Settings.Controller, Incarnation: n.incarnation, SentAt: n.now(), Term: n.view.Leader.Term,
-		StoreStaleness: n.now() - n.freshAt, Leaving: n.stopped, Machines: n.reconciler.machineStatuses(),
+		Controller: n.Settings.Controller, Incarnation: n.replica.Incarnation, SentAt: n.now(), Term: n.view.Leader.Term,
+		StoreStaleness: n.now() - n.replica.FreshAt(), Leaving: n.generation.Stopping(), Machines: n.reconciler.machineStatuses(),
 		QuotaSplitVersion: n.view.QuotaSplitVersion, GrantsWithinQuota: n.reconciler.grantsWithinQuota(),
 	}
 	for _, at := range n.shardHeardAt {
@@ -50,9 +51,9 @@
 		n.onPeerHeartbeatReply(n.leadership.onPeerHeartbeat(p))
 		return
 	}
-	era := n.generation
+	generation := n.generation
 	n.Peers.Ask(n.view.Leader.Controller, protocol.PeerRequest{Heartbeat: p}, func(a protocol.PeerAnswer, err error) {
-		if err == nil && a.Reply != nil && era == n.generation {
+		if err == nil && a.Reply != nil && !generation.Ended() {
 			n.onPeerHeartbeatReply(a.Reply)
 		}
 	})
@@ -100,11 +101,11 @@
 	key := storage.LivenessKey(n.Settings.Controller)
 	t := protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: key, Version: n.view.Liveness[n.Settings.Controller].Version}},
-		Operations: []protocol.Operation{{Put: key, Value: storage.Encode(storage.LivenessRecord{Incarnation: n.incarnation})}},
+		Operations: []protocol.Operation{{Put: key, Value: storage.Encode(storage.LivenessRecord{Incarnation: n.replica.Incarnation})}},
 	}
 	var homes []int
 	for s := range n.view.JobShards {
-		if n.holdsShard(s) && len(t.Conditions) < n.storeLimits.Conditions {
+		if n.holdsShard(s) && len(t.Conditions) < n.committer.Limits().Conditions {
 			homes = append(homes, s)
 			t.Conditions = append(t.Conditions, protocol.Condition{Key: storage.GrantKey(s), Version: n.view.Grants[s].Version})
 		}
@@ -113,15 +114,15 @@
 		return
 	}
 	n.nextLivenessAt = now + every
-	n.writeBudget.force(now, 1)
-	era := n.generation
-	n.commit(t, func(_ uint64, err error) {
-		if era != n.generation {
+	n.committer.Budget.TakeAnyway(now, 1)
+	generation := n.generation
+	n.committer.Commit(t, func(_ uint64, err error) {
+		if generation.Ended() {
 			return
 		}
 		if err != nil {
 			n.Log.Debug("liveness record not written", "err", err)
-			n.nextLivenessAt = n.now() + n.jitter(retryPause)
+			n.nextLivenessAt = n.now() + n.generation.Jitter(kv.RetryPause)
 			return
 		}
 		for _, s := range homes {
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -273,7 +273,7 @@
 		return
 	}
 	h.passScheduled = true
-	h.controller.later(max(5*time.Millisecond, h.nextPassAt-h.controller.now()), func() {
+	h.controller.generation.Later(max(5*time.Millisecond, h.nextPassAt-h.controller.now()), func() {
 		h.passScheduled = false
 		h.pass()
 	})
@@ -319,7 +319,7 @@
 // pass places what waits, writes what must be durable and sends what follows.
 func (h *reconciler) pass() {
 	n := h.controller
-	if !n.ready {
+	if !n.replica.Ready() {
 		return
 	}
 	n.stats.passes.Add(1)
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"rockrun/internal/config"
+	"rockrun/internal/coordination/kv"
+	"rockrun/internal/coordination/loop"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -21,22 +23,33 @@
 	transactions    []protocol.Transaction
 	commandRequests []protocol.CommandRequest
 	revision        uint64
+	watched         bool              // the changes have been read
+	store           *storeSwitch      // what the controller takes for the key-value store
 	values          map[string][]byte // what the state service holds
 }
 
-func (b *testController) Now() time.Duration                                      { return b.now }
-func (b *testController) Wall() time.Time                                         { return time.Unix(1_800_000_000, 0).Add(b.now) }
-func (b *testController) After(_ time.Duration, f func())                         { b.timers = append(b.timers, f) }
-func (b *testController) Get(string, func(protocol.KeyValue, bool, error))        {}
-func (b *testController) List(string, string, func(protocol.KeyValuePage, error)) {}
+func (b *testController) Now() time.Duration                               { return b.now }
+func (b *testController) Wall() time.Time                                  { return time.Unix(1_800_000_000, 0).Add(b.now) }
+func (b *testController) After(_ time.Duration, f func())                  { b.timers = append(b.timers, f) }
+func (b *testController) Get(string, func(protocol.KeyValue, bool, error)) {}
+func (b *testController) List(_, _ string, done func(protocol.KeyValuePage, error)) {
+	done(protocol.KeyValuePage{}, nil)
+}
 func (b *testController) Commit(t protocol.Transaction, _ func(uint64, error)) {
 	b.transactions = append(b.transactions, t)
 }
 func (b *testController) OpenLease(time.Duration, func(uint64, error)) {}
 func (b *testController) RenewLease(uint64, func(error))               {}
 func (b *testController) RevokeLease(uint64, func(error))              {}
-func (b *testController) Watch(string, uint64, time.Duration, func(protocol.Changes, error)) {
+
+// Watch answers the first read of the changes, so that the records count as read.
+func (b *testController) Watch(_ string, _ uint64, _ time.Duration, done func(protocol.Changes, error)) {
+	if !b.watched {
+		b.watched = true
+		done(protocol.Changes{}, nil)
+	}
 }
+
 func (b *testController) Execute(_ string, o protocol.CommandRequest, _ func(*protocol.AgentHeartbeat, bool, error)) {
 	b.commandRequests = append(b.commandRequests, o)
 }
@@ -56,21 +69,24 @@
 
 const grantToken = 5<<44 | 1<<24
 
-// newBench makes a node that holds one machine under a fresh grant; the record
+// storeSwitch is a key-value store that a test can replace by another.
+type storeSwitch struct{ kv.Store }
+
+// newTestController makes a controller that holds one machine under a fresh grant; the record
 // of an earlier holder says that run-1/0 may be on it.
 func newTestController(t testing.TB, intents ...string) *testController {
 	b := &testController{t: t, now: time.Minute, values: map[string][]byte{}}
+	b.store = &storeSwitch{b}
 	b.controller = New(Config{
 		Settings: &config.Settings{Controller: "a", Cluster: config.Cluster{
 			Teams:   []config.Team{{Name: "red", MaxCPUs: 8}},
 			Agents:  config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60},
 			KVStore: config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 100, ValueKiB: 8, TransactionOperations: 8},
 		}},
-		Options: config.DefaultOptions(), Clock: b, Store: b, Agents: b, Peers: b,
+		Options: config.DefaultOptions(), Clock: b, Store: b.store, Agents: b, Peers: b,
 		Rand: rand.New(rand.NewPCG(1, 2)), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	b.controller.begin()
-	b.controller.ready = true
 	b.refreshKnowledge()
 	b.apply(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}})
 	b.apply(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
@@ -79,16 +95,38 @@
 	}})
 	b.apply(storage.MachineGroupKey("b"), storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-1", Address: "w"}}})
 	b.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": intents})
-	b.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: b.controller.incarnation, FencingToken: grantToken})
+	b.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: b.controller.replica.Incarnation, FencingToken: grantToken})
 	b.controller.recordsChanged(true)
 	return b
 }
 
+// limitStore lets the store's limits be lower from now on.
+func (b *testController) limitStore(valueBytes, operations, conditions int) {
+	limits := b.controller.committer.Limits()
+	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
+	limits.Operations = min(limits.Operations, operations)
+	limits.Conditions = min(limits.Conditions, conditions)
+	b.controller.committer.SetLimits(limits)
+}
+
+// limitWrites lets the writes of this controller arrive at a rate, of which one is there.
+func (b *testController) limitWrites(rate float64) {
+	budget := &b.controller.committer.Budget
+	*budget = loop.NewTokenBucket(1)
+	budget.Fill(b.now)
+	budget.SetRate(rate)
+}
+
 func (b *testController) apply(key string, record any) {
 	b.t.Helper()
 	b.revision++
 	b.put(key, storage.Encode(record))
-	b.controller.revision = b.revision
+	b.advance(b.revision)
+}
+
+// advance lets the view have reached a revision, without making it any fresher.
+func (b *testController) advance(revision uint64) {
+	b.controller.replica.Apply(protocol.Changes{Revision: revision}, 0)
 }
 
 func (b *testController) put(key string, value []byte) {
@@ -116,22 +154,22 @@
 			delete(b.values, op.Delete)
 			b.controller.view.Remove(op.Delete, b.revision)
 		}
-		b.controller.revision = b.revision
+		b.advance(b.revision)
 	}
 }
 
 // withinLimits fails where a transaction is over the limits in force.
 func (b *testController) withinLimits(t protocol.Transaction) {
 	b.t.Helper()
-	l := b.controller.storeLimits
-	if largest := largestValue(t); largest > l.ValueBytes || len(t.Operations) > l.Operations || len(t.Conditions) > l.Conditions {
+	l := b.controller.committer.Limits()
+	if largest := kv.LargestValue(t); largest > l.ValueBytes || len(t.Operations) > l.Operations || len(t.Conditions) > l.Conditions {
 		b.t.Errorf("over the limits %+v: largest value %d, %d changes, %d conditions", l, largest, len(t.Operations), len(t.Conditions))
 	}
 }
 
 // fresh renews what the node knows and holds.
 func (b *testController) refreshKnowledge() {
-	b.controller.freshAt = b.now
+	b.controller.replica.Apply(protocol.Changes{}, b.now)
 	for s := range b.controller.shardLeaseExpiry {
 		b.controller.shardLeaseExpiry[s] = b.now + time.Minute
 	}
@@ -302,28 +340,6 @@
 	}
 }
 
-// Two reads of the changes may be answered in the wrong order. What the cache has
-// seen removed must not come back with the older answer.
-func TestAnswersOutOfOrder(t *testing.T) {
-	b := newTestController(t)
-	rec := storage.Encode(storage.JobRecord{Spec: protocol.JobSpec{ID: "run-7", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 1, CPUs: 1}})
-	put := protocol.Event{Put: storage.JobKey("run-7"), Value: rec, Version: b.revision + 1}
-	gone := protocol.Event{Remove: storage.JobKey("run-7"), Version: b.revision + 2}
-	b.controller.applyChanges(protocol.Changes{Revision: b.revision + 2, Events: []protocol.Event{put, gone}}, b.now)
-	b.controller.applyChanges(protocol.Changes{Revision: b.revision + 1, Events: []protocol.Event{put}}, b.now)
-	if _, j := b.controller.view.Jobs.Find("run-7"); j != nil && !j.Ended() {
-		t.Error("a removed job came back")
-	}
-	block := storage.MachineGroupKey("c")
-	in := protocol.Event{Put: block, Value: storage.Encode(storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-9"}}}), Version: b.revision + 3}
-	out := protocol.Event{Remove: block, Version: b.revision + 4}
-	b.controller.applyChanges(protocol.Changes{Revision: b.revision + 4, Events: []protocol.Event{in, out}}, b.now)
-	b.controller.applyChanges(protocol.Changes{Revision: b.revision + 3, Events: []protocol.Event{in}}, b.now)
-	if _, m := b.controller.view.Machines.Find("m-9"); m != nil && m.Exists() {
-		t.Error("a machine whose block was removed came back")
-	}
-}
-
 // A late copy of the transaction that made a block must find its key there for
 // as long as its leader leads, or machines that have moved on would come back.
 func TestEmptyBlocksStayForTheirTerm(t *testing.T) {
@@ -384,7 +400,7 @@
 // A process that is back at once does not act under the grant of its former self.
 func TestFormerIncarnationHoldsNothing(t *testing.T) {
 	b := newTestController(t)
-	b.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: b.controller.incarnation - 1, FencingToken: grantToken})
+	b.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: b.controller.replica.Incarnation - 1, FencingToken: grantToken})
 	if b.controller.holdsShard(0) {
 		t.Error("it holds what its former self was granted")
 	}
@@ -426,7 +442,7 @@
 func TestLastToken(t *testing.T) {
 	b := newTestController(t)
 	b.controller.candidateLeases[7] = true
-	b.apply(storage.KeyLeader, storage.LeaderRecord{Controller: "a", Incarnation: b.controller.incarnation, Term: 5, Lease: 7})
+	b.apply(storage.KeyLeader, storage.LeaderRecord{Controller: "a", Incarnation: b.controller.replica.Incarnation, Term: 5, Lease: 7})
 	b.controller.recordsChanged(true)
 	l := b.controller.leadership
 	if l == nil {
@@ -450,13 +466,13 @@
 func TestLastTry(t *testing.T) {
 	b := newTestController(t)
 	b.controller.reconciler.attemptCounter = maxAttemptCounter - 1
-	before, last := b.controller.incarnation, b.controller.reconciler.nextAttemptNumber(b.agentUnderTest())
+	before, last := b.controller.replica.Incarnation, b.controller.reconciler.nextAttemptNumber(b.agentUnderTest())
 	if last>>counterShift != grantToken>>counterShift || last&(1<<counterShift-1) != maxAttemptCounter {
 		t.Errorf("attempt %x under grant %x", last, uint64(grantToken))
 	}
 	b.controller.tick()
-	if b.controller.incarnation <= before || b.controller.ready || b.controller.reconciler.attemptCounter != 0 {
-		t.Errorf("incarnation %d after %d, ready %v, %d tries", b.controller.incarnation, before, b.controller.ready, b.controller.reconciler.attemptCounter)
+	if b.controller.replica.Incarnation <= before || b.controller.replica.Ready() || b.controller.reconciler.attemptCounter != 0 {
+		t.Errorf("incarnation %d after %d, ready %v, %d tries", b.controller.replica.Incarnation, before, b.controller.replica.Ready(), b.controller.reconciler.attemptCounter)
 	}
 	if b.controller.holdsShard(0) {
 		t.Error("it still holds what its former incarnation was granted")
--- a/internal/coordination/needs.go
+++ b/internal/coordination/needs.go
@@ -34,7 +34,7 @@
 		return
 	}
 	// What other controllers have accepted comes with the changes, with one read.
-	n.sync(func(err error) {
+	n.replica.Sync(func(err error) {
 		if err != nil {
 			done(dependencyUndecided)
 			return
--- a/internal/coordination/needs_test.go
+++ b/internal/coordination/needs_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"math"
 	"net/http"
 	"slices"
 	"strings"
@@ -23,7 +24,7 @@
 
 func newFakeStore(t *testing.T) *fakeStore {
 	k := &fakeStore{testController: newTestController(t)}
-	k.controller.Store = k
+	k.store.Store = k
 	return k
 }
 
@@ -57,7 +58,7 @@
 	for _, op := range t.Operations {
 		k.put(op.Put, op.Value)
 	}
-	k.controller.revision = k.revision
+	k.advance(k.revision)
 	done(k.revision, nil)
 }
 
@@ -185,7 +186,7 @@
 	for i := range 60 {
 		k.elsewhere(fmt.Sprintf("run-5%d", i), protocol.KindArray)
 	}
-	k.controller.storeLimits.ValueBytes = 512
+	k.limitStore(512, math.MaxInt, math.MaxInt)
 	if a := k.submit("run-9", manyNeeds(60)...); a.Status != http.StatusBadRequest {
 		t.Errorf("status %d for a record that does not fit", a.Status)
 	}
@@ -211,7 +212,7 @@
 	}
 	k.controller.recordsChanged(true)
 	atOnce := len(k.reads)
-	if most := int(outcomeReadShare * k.controller.storeLimits.RequestRate); atOnce > most {
+	if most := int(outcomeReadShare * k.controller.committer.Limits().RequestRate); atOnce > most {
 		t.Errorf("%d reads at once, at most %d", atOnce, most)
 	}
 	for range 20 {
@@ -235,7 +236,7 @@
 // root are written a few to a transaction, however many there are.
 func TestDependentsAreWrittenWithinLimits(t *testing.T) {
 	b := newTestController(t)
-	b.controller.storeLimits.Operations = 5
+	b.limitStore(math.MaxInt, 5, math.MaxInt)
 	for i := range 30 {
 		id := fmt.Sprintf("run-2%02d", i)
 		b.apply(storage.JobKey(id), storage.JobRecord{Spec: protocol.JobSpec{
--- a/internal/coordination/outcomes.go
+++ b/internal/coordination/outcomes.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"rockrun/internal/coordination/loop"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -16,7 +17,7 @@
 type outcomeReader struct {
 	controller *Controller
 	waiting    map[string][]func(error) // by job: who waits for its final record
-	readBudget tokenBucket
+	readBudget loop.TokenBucket
 }
 
 // outcomeReadShare is the part of the requests to the state service that one
@@ -25,7 +26,7 @@
 const outcomeReadShare = 0.125
 
 func newOutcomeReader(n *Controller) *outcomeReader {
-	return &outcomeReader{controller: n, waiting: map[string][]func(error){}, readBudget: newTokenBucket(max(1, outcomeReadShare*n.storeLimits.RequestRate))}
+	return &outcomeReader{controller: n, waiting: map[string][]func(error){}, readBudget: loop.NewTokenBucket(max(1, outcomeReadShare*n.committer.Limits().RequestRate))}
 }
 
 // read calls done once the final record of a job is known, or could not be read.
@@ -46,13 +47,13 @@
 func (r *outcomeReader) readOrDefer(id string) {
 	n := r.controller
 	now := n.now()
-	if !r.readBudget.take(now, 1) {
-		n.later(r.readBudget.timeUntil(1), func() { r.readOrDefer(id) })
+	if !r.readBudget.Take(now, 1) {
+		n.generation.Later(r.readBudget.TimeUntil(1), func() { r.readOrDefer(id) })
 		return
 	}
-	era := n.generation
+	generation := n.generation
 	n.readFinal(id, func(_ storage.FinalRecord, found bool, err error) {
-		if era != n.generation {
+		if generation.Ended() {
 			return
 		}
 		if err == nil && !found {
--- a/internal/coordination/oversized_test.go
+++ b/internal/coordination/oversized_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"math"
 	"strings"
 	"testing"
 	"time"
@@ -37,7 +38,7 @@
 // that drained kept its name on it for as long.
 func TestOversizedPagesAreEmptied(t *testing.T) {
 	b := newFleetController(t)
-	b.controller.storeLimits.ValueBytes, b.controller.storeLimits.Operations = 512, 4
+	b.limitStore(512, 4, math.MaxInt)
 	w := b.controller.reconciler.writers[0]
 	before := w.oversizedValues()
 	if before < 30 {
@@ -88,7 +89,7 @@
 		_, j := b.controller.view.Jobs.Find(id(i))
 		b.controller.reconciler.progress(j)
 	}
-	b.controller.storeLimits.ValueBytes, b.controller.storeLimits.Operations = 1024, 4
+	b.limitStore(1024, 4, math.MaxInt)
 	if w.oversizedValues() != 1 {
 		t.Fatalf("%d pages are over the limit", w.oversizedValues())
 	}
@@ -135,7 +136,7 @@
 func (b *testController) becomeLeader() *provisioner {
 	const lease = 9
 	b.controller.candidateLeases[lease] = true
-	b.apply(storage.KeyLeader, storage.LeaderRecord{Controller: "a", Incarnation: b.controller.incarnation, Term: 6, Lease: lease})
+	b.apply(storage.KeyLeader, storage.LeaderRecord{Controller: "a", Incarnation: b.controller.replica.Incarnation, Term: 6, Lease: lease})
 	b.controller.checkLeadership()
 	if b.controller.leadership == nil {
 		b.t.Fatal("it does not lead")
@@ -166,7 +167,7 @@
 		for name, x := range b.controller.reconciler.agents {
 			held[name] = x
 		}
-		b.controller.storeLimits.ValueBytes, b.controller.storeLimits.Operations, b.controller.storeLimits.Conditions = 2048, 3, 12
+		b.limitStore(2048, 3, 12)
 		_, leaving := b.controller.view.Machines.Find(fleetMachineName(5020))
 		clear(f.changes)
 		f.setPhase(leaving, storage.PhaseDraining, "idle")
@@ -201,7 +202,7 @@
 	f := b.becomeLeader()
 	b.apply(storage.MachineGroupKey("large"), largeBlock(60))
 	b.controller.recordsChanged(true)
-	b.controller.storeLimits.ValueBytes, b.controller.storeLimits.Operations, b.controller.storeLimits.Conditions = 2048, 3, 12
+	b.limitStore(2048, 3, 12)
 	moved := 0
 	for range 10 {
 		b.now += time.Second
@@ -231,29 +232,12 @@
 	}
 }
 
-// TestRejectedForGood: what the service rejects is not sent again as it is; from then
-// on values and transactions are smaller.
-func TestRejectedForGood(t *testing.T) {
-	b := newTestController(t)
-	before := b.controller.storeLimits
-	value := make([]byte, 4000)
-	large := protocol.Transaction{Operations: []protocol.Operation{{Put: "r/x", Value: value}, {Put: "r/y"}, {Put: "r/z"}, {Put: "r/u"}, {Put: "r/v"}}}
-	after := reducedLimits(before, large)
-	if after.ValueBytes >= 4000 || after.ValueBytes < minValueBytes || after.Operations >= 5 || after.Conditions != 4*after.Operations {
-		t.Errorf("%+v after %+v", after, before)
-	}
-	small := protocol.Transaction{Operations: []protocol.Operation{{Put: "r/x", Value: value[:100]}}}
-	if after := reducedLimits(before, small); after != before {
-		t.Errorf("%+v: a small transaction says nothing of the limits", after)
-	}
-}
-
 // TestGauges: pages and blocks over the limit and jobs that wait for others are counted,
 // and not counted any more once they are written smaller, or done.
 func TestGauges(t *testing.T) {
 	b := newTestController(t)
-	f := b.becomeLeader()
-	f.leadership.controller.storeLimits.ValueBytes = 2048
+	b.becomeLeader()
+	b.limitStore(2048, math.MaxInt, math.MaxInt)
 	b.apply(storage.MachineGroupKey("large"), largeBlock(60))
 	b.apply(storage.MachineGroupKey("small"), largeBlock(2))
 	b.apply(storage.JobKey("run-2"), storage.JobRecord{Spec: protocol.JobSpec{ID: "run-2", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Dependencies: []string{"run-1"}}})
--- a/internal/coordination/record_batch.go
+++ b/internal/coordination/record_batch.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -41,7 +42,7 @@
 	n := d.reconciler.controller
 	b := &pageBatch{}
 	b.transaction.Conditions = []protocol.Condition{{Key: storage.GrantKey(d.shard), Version: n.view.Grants[d.shard].Version}}
-	most := min(n.storeLimits.Operations, d.maxOperations, max(1, int(n.writeBudget.level)))
+	most := min(n.committer.Limits().Operations, d.maxOperations, max(1, int(n.committer.Budget.Level())))
 	for _, p := range d.completionPages {
 		if p.dirtyAt == 0 && n.view.HasStaleCompletions(p.id) {
 			p.dirtyAt = now
@@ -76,8 +77,8 @@
 
 // spareWrites reports whether there are writes beyond those that new tasks need.
 func (d *recordWriter) spareWrites() bool {
-	budget := &d.reconciler.controller.writeBudget
-	return budget.level > budget.rate/2
+	budget := &d.reconciler.controller.committer.Budget
+	return budget.Level() > budget.Rate()/2
 }
 
 // duePages lists the pages of intents that are to be written, those with most new
@@ -112,7 +113,7 @@
 		if err == nil {
 			s.writtenRevision = revision
 		} else {
-			s.dirty, s.dirtyAt, s.retryAt = true, max(1, n.now()-removalDelay), n.now()+n.jitter(retryPause/2)
+			s.dirty, s.dirtyAt, s.retryAt = true, max(1, n.now()-removalDelay), n.now()+n.generation.Jitter(kv.RetryPause/2)
 		}
 	}
 	if err == nil {
@@ -130,7 +131,7 @@
 	h.schedulePass()
 	// A pass over a large fleet takes long, and what is to be written need not wait
 	// for the next.
-	n.later(flushPause, d.flushSoon)
+	n.generation.Later(flushPause, d.flushSoon)
 }
 
 // flushSoon writes what is due outside of a pass.
--- a/internal/coordination/record_size_test.go
+++ b/internal/coordination/record_size_test.go
@@ -60,7 +60,7 @@
 	for range 20 {
 		b.now += time.Second
 		b.refreshKnowledge()
-		b.controller.writeBudget.rate, b.controller.writeBudget.level, b.controller.writeBudget.filledAt = 2.5, 1, b.now // never more than half of what there may be
+		b.limitWrites(2.5) // never more than half of what there may be
 		b.controller.reconciler.evictForDrains()
 		b.controller.reconciler.writers[0].flush()
 		b.applyTransactions()
@@ -108,7 +108,7 @@
 		t.Fatal("nothing new was placed")
 	}
 	b.transactions = nil
-	b.controller.writeBudget.rate, b.controller.writeBudget.level, b.controller.writeBudget.filledAt = 1, 1, b.now
+	b.limitWrites(1)
 	b.now += flushPause
 	w.flush()
 	if len(b.transactions) != 1 || len(b.transactions[0].Operations) != 1 {
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -52,7 +52,7 @@
 }
 
 func (s *pageState) idle(n *Controller) bool {
-	return !s.writeInFlight && n.revision >= s.writtenRevision && n.now() >= s.retryAt
+	return !s.writeInFlight && n.replica.Revision() >= s.writtenRevision && n.now() >= s.retryAt
 }
 
 // intentPage is a page of intents.
@@ -194,7 +194,7 @@
 }
 
 // pageCapacity is how many bytes a page holds.
-func (d *recordWriter) pageCapacity() int { return d.reconciler.controller.valueCapacity() }
+func (d *recordWriter) pageCapacity() int { return d.reconciler.controller.committer.ValueCapacity() }
 
 // completed takes in that a task of a chunk is done.
 func (d *recordWriter) markCompleted(p *jobProgress, chunk int, now time.Duration) {
@@ -240,7 +240,7 @@
 // settle forgets what writes may have named once the cache shows how they ended.
 func (d *recordWriter) resolveNamed(p *intentPage) {
 	n := d.reconciler.controller
-	if len(p.possiblyNamed) == 0 || p.writeInFlight || n.revision < p.writtenRevision {
+	if len(p.possiblyNamed) == 0 || p.writeInFlight || n.replica.Revision() < p.writtenRevision {
 		return
 	}
 	if n.view.IntentPageVersion(p.id) != p.writtenOver {
@@ -263,12 +263,12 @@
 	}
 	d.shrinkOversized(now)
 	d.assign()
-	n.writeBudget.fill(now)
-	if n.writeBudget.level < min(1, n.writeBudget.rate) {
+	n.committer.Budget.Fill(now)
+	if n.committer.Budget.Level() < min(1, n.committer.Budget.Rate()) {
 		return // nothing can be written, so nothing is encoded
 	}
 	b := d.dueWrites(now)
-	if len(b.transaction.Operations) == 0 || !n.writeBudget.take(now, len(b.transaction.Operations)) {
+	if len(b.transaction.Operations) == 0 || !n.committer.Budget.Take(now, len(b.transaction.Operations)) {
 		return
 	}
 	d.nextFlushAt = now + flushPause
@@ -282,7 +282,7 @@
 	for _, s := range b.states() {
 		s.writeInFlight, s.dirty, s.dirtyAt = true, false, 0
 	}
-	n.commit(b.transaction, func(revision uint64, err error) { d.onWritten(b, revision, err) })
+	n.committer.Commit(b.transaction, func(revision uint64, err error) { d.onWritten(b, revision, err) })
 }
 
 // assign puts new attempts on the emptiest pages that can be written now, so
--- /dev/null
+++ b/internal/coordination/replica/replica_test.go
@@ -0,0 +1,110 @@
+package replica
+
+import (
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"rockrun/internal/coordination/loop"
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+// fakeStore holds records that are read once; its changes are handed to the replica by
+// the tests.
+type fakeStore struct {
+	items []protocol.KeyValue
+	now   time.Duration
+}
+
+func (s *fakeStore) Now() time.Duration          { return s.now }
+func (s *fakeStore) Wall() time.Time             { return time.Unix(1_800_000_000, 0).Add(s.now) }
+func (s *fakeStore) After(time.Duration, func()) {}
+
+func (s *fakeStore) Get(string, func(protocol.KeyValue, bool, error)) {}
+func (s *fakeStore) List(_, _ string, done func(protocol.KeyValuePage, error)) {
+	done(protocol.KeyValuePage{Items: s.items, Revision: uint64(len(s.items))}, nil)
+}
+func (s *fakeStore) Commit(protocol.Transaction, func(uint64, error)) {}
+func (s *fakeStore) OpenLease(time.Duration, func(uint64, error))     {}
+func (s *fakeStore) RenewLease(uint64, func(error))                   {}
+func (s *fakeStore) RevokeLease(uint64, func(error))                  {}
+func (s *fakeStore) Watch(_ string, after uint64, _ time.Duration, done func(protocol.Changes, error)) {
+	done(protocol.Changes{Revision: after}, nil)
+}
+
+// newTestReplica makes a replica that has read the given records.
+func newTestReplica(t *testing.T, items ...protocol.KeyValue) *Replica {
+	t.Helper()
+	store := &fakeStore{now: time.Minute, items: items}
+	r := New(Config{
+		Generation: loop.NewGeneration(store, rand.New(rand.NewPCG(1, 2))), Store: store,
+		View: storage.NewView([]storage.Team{{Name: "red"}}, 1), Controller: "a", Incarnation: 10, WatchPause: time.Second,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), OnChange: func(bool) {},
+	})
+	r.Start()
+	if !r.Ready() {
+		t.Fatal("the records are not read")
+	}
+	return r
+}
+
+// TestAnswersOutOfOrder: two reads of the changes may be answered in the wrong order.
+// What the view has seen removed must not come back with the older answer.
+func TestAnswersOutOfOrder(t *testing.T) {
+	r := newTestReplica(t)
+	const revision = 100
+	job := storage.Encode(storage.JobRecord{Spec: protocol.JobSpec{
+		ID: "run-7", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 1, CPUs: 1,
+	}})
+	group := storage.Encode(storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-9"}}})
+	for _, c := range []struct {
+		name, key string
+		value     []byte
+		exists    func() bool
+	}{
+		{"a job", storage.JobKey("run-7"), job, func() bool {
+			_, j := r.View.Jobs.Find("run-7")
+			return j != nil && !j.Ended()
+		}},
+		{"a machine", storage.MachineGroupKey("c"), group, func() bool {
+			_, m := r.View.Machines.Find("m-9")
+			return m != nil && m.Exists()
+		}},
+	} {
+		first := r.Revision() + revision
+		put := protocol.Event{Put: c.key, Value: c.value, Version: first}
+		removed := protocol.Event{Remove: c.key, Version: first + 1}
+		r.Apply(protocol.Changes{Revision: first + 1, Events: []protocol.Event{put, removed}}, time.Minute)
+		r.Apply(protocol.Changes{Revision: first, Events: []protocol.Event{put}}, time.Minute)
+		if c.exists() {
+			t.Errorf("%s that was removed came back", c.name)
+		}
+	}
+}
+
+// TestIncarnationAboveFormer: the time of day may step back between the end of a process
+// and its start. The new incarnation is still above the former one.
+func TestIncarnationAboveFormer(t *testing.T) {
+	const former = 15
+	grant := storage.Encode(storage.GrantRecord{Controller: "a", Incarnation: former, FencingToken: 1 << 44})
+	r := newTestReplica(t, protocol.KeyValue{Key: storage.GrantKey(0), Value: grant, Version: 1})
+	if r.Incarnation <= former {
+		t.Errorf("incarnation %d after %d", r.Incarnation, former)
+	}
+}
+
+// TestSyncSharesReads: those who ask while a read is under way or scheduled wait for one
+// read together, and an end of the generation leaves nobody without an answer.
+func TestSyncSharesReads(t *testing.T) {
+	r := newTestReplica(t)
+	answers := 0
+	for range 3 {
+		r.Sync(func(error) { answers++ })
+	}
+	if waiting := r.Abandon(); len(waiting) != 3 || answers != 0 {
+		t.Errorf("%d wait, %d were answered", len(waiting), answers)
+	}
+}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -11,7 +11,7 @@
 
 // OnReport answers a worker's report.
 func (n *Controller) OnAgentHeartbeat(r *protocol.AgentHeartbeat, reply func(Answer)) {
-	if !n.ready {
+	if !n.replica.Ready() {
 		reply(retryLater("starting"))
 		return
 	}
--- a/internal/coordination/scaledown.go
+++ b/internal/coordination/scaledown.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -85,7 +86,7 @@
 		}
 		// For whoever holds it next; nothing waits for it, so it is one block a
 		// tick, and the others of the block come with it.
-		if m.Address == "" && !addressWritten && n.writeBudget.level > n.writeBudget.rate*0.9 {
+		if m.Address == "" && !addressWritten && n.committer.Budget.Level() > n.committer.Budget.Rate()*0.9 {
 			if addr := cmp.Or(note.Addr, f.addresses[m.Name]); addr != "" {
 				addressWritten = !f.changePending(m) && len(f.changes[m.Group]) == 0
 				f.addChange(machineChange{machine: m, address: addr})
@@ -156,13 +157,13 @@
 	f.deleteInFlight = true
 	n.Cloud.DeleteMachines(names, func(err error) {
 		f.deleteInFlight = false
-		f.nextDeleteAt = n.now() + retryPause
+		f.nextDeleteAt = n.now() + kv.RetryPause
 		if !f.current() {
 			return
 		}
 		if err != nil {
 			n.Log.Debug("machines not deleted", "err", err)
-			f.nextDeleteAt = n.now() + n.jitter(500*time.Millisecond)
+			f.nextDeleteAt = n.now() + n.generation.Jitter(500*time.Millisecond)
 			return
 		}
 		for _, m := range list {
--- a/internal/coordination/shares.go
+++ b/internal/coordination/shares.go
@@ -44,8 +44,8 @@
 		return
 	}
 	l.quotaSplitInFlight = true
-	n.writeBudget.force(n.now(), 1)
-	n.commit(protocol.Transaction{Conditions: conds, Operations: []protocol.Operation{{Put: storage.KeyQuotaSplit, Value: storage.Encode(rec)}}}, func(uint64, error) {
+	n.committer.Budget.TakeAnyway(n.now(), 1)
+	n.committer.Commit(protocol.Transaction{Conditions: conds, Operations: []protocol.Operation{{Put: storage.KeyQuotaSplit, Value: storage.Encode(rec)}}}, func(uint64, error) {
 		l.quotaSplitInFlight = false
 		l.nextQuotaSplitAt = n.now() + time.Second
 	})
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -69,7 +69,7 @@
 	}
 	if n.leadership != nil {
 		for _, b := range n.view.MachineGroups {
-			if !n.fitsValue(b.MachineGroupRecord) {
+			if !n.committer.Fits(b.MachineGroupRecord) {
 				count++
 			}
 		}
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -44,5 +44,5 @@
 	}
 	n.Log.Info("home", "shard", shard, "machines", machines, "usable", usable, "full", full, "waiting", waits, "dependent", dependent,
 		"unwritten", unwritten, "planned", states[taskPlanned], "fetching", states[taskFetching], "running", states[taskRunning],
-		"saving", states[taskSaving], "ended", states[taskEnded], "pages", len(h.writers[shard].intentPages), "writes", n.writeBudget.level)
+		"saving", states[taskSaving], "ended", states[taskEnded], "pages", len(h.writers[shard].intentPages), "writes", n.committer.Budget.Level())
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -59,7 +59,7 @@
 // and it is not the one whose processor nearly all of the workers' reports and
 // commands go through while others are well. Who comes all the same is served.
 func (n *Controller) Healthy() bool {
-	return n.ready && !n.stopped && n.now()-n.freshAt < n.maxStaleness && !n.prefersUsersElsewhere()
+	return n.replica.Ready() && !n.generation.Stopping() && n.now()-n.replica.FreshAt() < n.maxStaleness && !n.prefersUsersElsewhere()
 }
 
 // leavesUsersToPeers reports whether this node leaves users to others: it holds the home of
@@ -77,7 +77,7 @@
 		reply(errorAnswer(http.StatusBadRequest, err.Error()))
 		return
 	}
-	if !n.ready {
+	if !n.replica.Ready() {
 		reply(retryLater("starting"))
 		return
 	}
@@ -139,12 +139,12 @@
 		put = protocol.Operation{Put: storage.FinalKey(spec.ID), Value: storage.Encode(final)}
 		stage = protocol.StageCancelled
 	}
-	if len(put.Value) > n.valueCapacity() {
+	if len(put.Value) > n.committer.ValueCapacity() {
 		n.refuseTooLong(spec.ID, reply)
 		return
 	}
-	n.writeBudget.force(n.now(), 1)
-	n.commit(protocol.Transaction{
+	n.committer.Budget.TakeAnyway(n.now(), 1)
+	n.committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
 		Operations: []protocol.Operation{put},
 	}, func(_ uint64, err error) {
@@ -218,7 +218,7 @@
 		done(viewOfFinal(id, f), nil)
 		return
 	}
-	n.sync(func(err error) {
+	n.replica.Sync(func(err error) {
 		if err != nil {
 			done(nil, err)
 			return
@@ -276,7 +276,7 @@
 		reply(noSuchJob())
 		return
 	}
-	if !n.ready {
+	if !n.replica.Ready() {
 		reply(retryLater("starting"))
 		return
 	}
@@ -293,7 +293,7 @@
 		reply(noSuchJob())
 		return
 	}
-	if !n.ready {
+	if !n.replica.Ready() {
 		reply(retryLater("starting"))
 		return
 	}
@@ -323,8 +323,8 @@
 // cancelUnfinished ends a job under the version of its record.
 func (n *Controller) cancelUnfinished(id string, version uint64, tries int, reply func(Answer)) {
 	f := storage.FinalRecord{Stage: protocol.StageCancelled, EndedAtMS: n.Clock.Wall().UnixMilli()}
-	n.writeBudget.force(n.now(), 2)
-	n.commit(protocol.Transaction{
+	n.committer.Budget.TakeAnyway(n.now(), 2)
+	n.committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: storage.JobKey(id), Version: version}},
 		Operations: endJobOperations(id, f),
 	}, func(_ uint64, err error) {
