--- a/internal/coordination/block_values.go
+++ b/internal/coordination/block_values.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strconv"
 
+	"rockrun/internal/coordination/election"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -41,7 +42,7 @@
 }
 
 // blockID names a new block after a token that is given out once.
-func groupID(token uint64) string { return strconv.FormatUint(token>>counterShift, 36) }
+func groupID(token uint64) string { return strconv.FormatUint(election.TokenSerial(token), 36) }
 
 // blockWrite is the part of a transaction that writes a block.
 type groupWrite struct {
@@ -62,7 +63,7 @@
 		}
 	}
 	for _, part := range parts[1:] {
-		key := storage.MachineGroupKey(groupID(f.leadership.nextFencingToken()))
+		key := storage.MachineGroupKey(groupID(f.leadership.NextFencingToken()))
 		w.conditions = append(w.conditions, protocol.Condition{Key: key})
 		w.operations = append(w.operations, protocol.Operation{Put: key, Value: storage.Encode(part)})
 	}
@@ -84,7 +85,7 @@
 }
 
 func (f *provisioner) newGroupBatch() *groupBatch {
-	return &groupBatch{provisioner: f, transaction: protocol.Transaction{Conditions: []protocol.Condition{f.leadership.leaderCondition()}}, grants: map[int]bool{}}
+	return &groupBatch{provisioner: f, transaction: protocol.Transaction{Conditions: []protocol.Condition{f.leadership.Condition()}}, grants: map[int]bool{}}
 }
 
 // takes reports whether the transaction still has room for a write. A first one
--- a/internal/coordination/blocks.go
+++ b/internal/coordination/blocks.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/election"
 	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
@@ -45,7 +46,7 @@
 
 // block makes a block of machines to be recorded.
 func (f *provisioner) addPendingGroup(rec storage.MachineGroupRecord) {
-	rec.FencingToken = f.leadership.nextFencingToken()
+	rec.FencingToken = f.leadership.NextFencingToken()
 	f.pendingGroups = append(f.pendingGroups, &pendingGroup{id: groupID(rec.FencingToken), record: rec})
 	for _, e := range rec.Machines {
 		f.pendingMachines[e.Name] = true
@@ -92,7 +93,7 @@
 		b.writeInFlight = true
 		key := storage.MachineGroupKey(b.id)
 		n.committer.Commit(protocol.Transaction{
-			Conditions: []protocol.Condition{f.leadership.leaderCondition(), {Key: key}},
+			Conditions: []protocol.Condition{f.leadership.Condition(), {Key: key}},
 			Operations: []protocol.Operation{{Put: key, Value: storage.Encode(b.record)}},
 		}, func(_ uint64, err error) {
 			b.writeInFlight = false
@@ -180,7 +181,7 @@
 // under the same term could come back with machines that are elsewhere by now.
 // So an empty one is kept until a later term.
 func (l *leadership) groupOperation(id string, rec storage.MachineGroupRecord) protocol.Operation {
-	if len(rec.Machines) == 0 && rec.FencingToken>>termShift < l.term {
+	if len(rec.Machines) == 0 && election.TermOfToken(rec.FencingToken) < l.Term() {
 		return protocol.Operation{Delete: storage.MachineGroupKey(id)}
 	}
 	return protocol.Operation{Put: storage.MachineGroupKey(id), Value: storage.Encode(rec)}
@@ -217,7 +218,7 @@
 			continue
 		}
 		if c := &changes[i]; c.phase != "" {
-			f.leadership.controller.Log.Info("machine", "name", e.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "phase", c.phase, "why", c.reason, "term", f.leadership.term)
+			f.leadership.controller.Log.Info("machine", "name", e.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "phase", c.phase, "why", c.reason, "term", f.leadership.Term())
 		}
 	}
 }
@@ -243,7 +244,7 @@
 		if c.phase != "" {
 			e.Phase, e.DrainStamp, e.Evict = c.phase, c.drainStamp, c.evict
 			if c.phase == storage.PhaseDraining && c.drainStamp == 0 {
-				e.DrainStamp = f.leadership.nextFencingToken()
+				e.DrainStamp = f.leadership.NextFencingToken()
 			}
 			if c.phase == storage.PhaseActive {
 				e.Phase = ""
@@ -270,7 +271,7 @@
 		if b == nil || f.groupWritesInFlight[k.group] || n.replica.Revision() < f.groupWrittenRevision[k.group] || !n.committer.Budget.Take(n.now(), 2) {
 			continue
 		}
-		to := storage.MachineGroupRecord{Type: b.Type, Zone: b.Zone, Spot: b.Spot, Shard: k.toShard, FencingToken: f.leadership.nextFencingToken(), RentedAtMS: b.RentedAtMS}
+		to := storage.MachineGroupRecord{Type: b.Type, Zone: b.Zone, Spot: b.Spot, Shard: k.toShard, FencingToken: f.leadership.NextFencingToken(), RentedAtMS: b.RentedAtMS}
 		changes := f.changes[k.group]
 		moves := f.moves[k]
 		for _, m := range moves[:min(len(moves), f.groupSize(moves[0].Name))] { // the others with the next tick
@@ -284,17 +285,17 @@
 		}
 		if len(from.operations) >= n.committer.Limits().Operations { // so large that it must be split before anything leaves it
 			if from, ok = f.writeGroup(k.group, b.MachineGroupRecord); ok {
-				f.commitGroups([]string{k.group}, protocol.Transaction{Conditions: append(from.conditions, f.leadership.leaderCondition()), Operations: from.operations})
+				f.commitGroups([]string{k.group}, protocol.Transaction{Conditions: append(from.conditions, f.leadership.Condition()), Operations: from.operations})
 			}
 			continue
 		}
 		f.logChanges(b, changes)
 		key := storage.MachineGroupKey(groupID(to.FencingToken))
 		t := protocol.Transaction{
-			Conditions: append([]protocol.Condition{f.leadership.leaderCondition(), {Key: key}, f.grantCond(b.Shard)}, from.conditions...),
+			Conditions: append([]protocol.Condition{f.leadership.Condition(), {Key: key}, f.grantCond(b.Shard)}, from.conditions...),
 			Operations: append([]protocol.Operation{{Put: key, Value: storage.Encode(to)}}, from.operations...),
 		}
-		n.Log.Info("machines move", "count", len(to.Machines), "from", b.Shard, "to", k.toShard, "term", f.leadership.term)
+		n.Log.Info("machines move", "count", len(to.Machines), "from", b.Shard, "to", k.toShard, "term", f.leadership.Term())
 		f.commitGroups([]string{k.group}, t)
 	}
 }
--- a/internal/coordination/budget.go
+++ b/internal/coordination/budget.go
@@ -11,7 +11,7 @@
 	}
 	for s := range n.shardCount {
 		switch {
-		case s >= n.view.JobShards || !n.holdsShard(s):
+		case s >= n.view.JobShards || !n.leases.Holds(s):
 		case n.view.JobShards == 1:
 			part += 0.5
 		case s == 0:
--- a/internal/coordination/cancellations_test.go
+++ b/internal/coordination/cancellations_test.go
@@ -95,40 +95,18 @@
 	}
 }
 
-// What a controller said of the shares before it was granted a home says nothing
-// of what is on the machines there: nobody's share may be raised on that word.
-func TestSharesNeedTheHoldersWord(t *testing.T) {
+// A holder vouches for the grants under which nothing takes more than the quota split
+// allows, whatever may be on the machines counted in.
+func TestGrantsWithinQuota(t *testing.T) {
 	b := newTestController(t, inherited, storage.IntentEntry(1, "m-1", 10))
-	tokens := b.controller.reconciler.grantsWithinQuota()
+	tokens := b.controller.reconciler.GrantsWithinQuota()
 	if !slices.Equal(tokens, []uint64{grantToken}) {
 		t.Fatalf("8 of 8 CPUs: %v", tokens)
 	}
 	b.controller.view.Teams[0].MaxCPUs = 4
-	if tokens = b.controller.reconciler.grantsWithinQuota(); len(tokens) != 0 {
+	if tokens = b.controller.reconciler.GrantsWithinQuota(); len(tokens) != 0 {
 		t.Errorf("8 of 4 CPUs: %v", tokens)
 	}
-	b.controller.view.Teams[0].MaxCPUs = 8
-	l := &leadership{controller: b.controller, term: 5, peers: map[string]*peerState{}}
-	b.controller.view.JobShards = 2
-	b.controller.view.Grants[0].Controller = "a"
-	b.controller.view.Grants = append(b.controller.view.Grants, storage.Grant{GrantRecord: storage.GrantRecord{Controller: "b", Incarnation: 3, FencingToken: grantToken + 1<<24}, Version: 3})
-	b.controller.view.Teams[0].QuotaSplit = []int{wholeQuota / 4, wholeQuota / 4}
-	b.apply(storage.JobKey("run-5"), storage.JobRecord{Spec: protocol.JobSpec{
-		ID: "run-5", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2, CPUs: 4, MemoryGB: 1,
-	}})
-	l.peers["a"] = &peerState{incarnation: b.controller.replica.Incarnation, grantsWithinQuota: []uint64{grantToken}}
-	l.peers["b"] = &peerState{incarnation: 3} // it pinged before it was granted the home
-	b.controller.leadership = l
-	b.transactions = nil
-	l.updateQuotaSplit()
-	if len(b.transactions) != 0 {
-		t.Fatal("a share was raised on a word given before the grant")
-	}
-	l.peers["b"].grantsWithinQuota = []uint64{grantToken + 1<<24}
-	l.updateQuotaSplit()
-	if len(b.transactions) != 1 {
-		t.Error("no share is ever raised")
-	}
 }
 
 // A machine whose reports reach nobody is not given tasks, although commands
@@ -146,7 +124,7 @@
 	if b.controller.reconciler.schedulable(x, b.now) {
 		t.Error("it is used on the strength of an answer to a command")
 	}
-	if s := b.controller.reconciler.machineStatuses()[0].Silent; s != 8*time.Second {
+	if s := b.controller.reconciler.MachineStatuses()[0].Silent; s != 8*time.Second {
 		t.Errorf("silent for %s", s)
 	}
 }
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		f.claims[x.machine.Name] = d.shard
-		f.leadership.controller.Log.Info("machine claimed", "name", x.machine.Name, "from", x.shard, "for", d.shard, "term", f.leadership.term)
+		f.leadership.controller.Log.Info("machine claimed", "name", x.machine.Name, "from", x.shard, "for", d.shard, "term", f.leadership.Term())
 		c.toDrain = append(c.toDrain, x.machine)
 		c.fill(c.addClaimed(x.machine, d.shard), &d)
 	}
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -39,7 +39,7 @@
 	if !x.needsAttention {
 		return []protocol.Command{}
 	}
-	if !x.fenceConfirmed || !h.controller.mayActFor(x.shard) {
+	if !x.fenceConfirmed || !h.controller.leases.MayActFor(x.shard) {
 		return h.stopCommands(x)
 	}
 	cmds, reaps := h.commandsForUnexpected(x)
@@ -142,7 +142,7 @@
 	}
 	cmds := h.commandsFor(x)
 	// Without a command it still shows the token to a machine that is new here.
-	if len(cmds) == 0 && (x.fenceConfirmed || !n.mayActFor(x.shard)) {
+	if len(cmds) == 0 && (x.fenceConfirmed || !n.leases.MayActFor(x.shard)) {
 		return
 	}
 	x.commandsInFlight, x.sendAgain, x.commandsSentAt = true, false, n.now()
@@ -161,7 +161,7 @@
 		if r.Machine != x.machine.Name || r.FencingToken > x.currentToken {
 			return
 		}
-		n.shardHeardAt[x.shard] = n.now()
+		n.leases.NoteAgentHeard(x.shard)
 		stale := !done && r.Epoch != o.Epoch
 		h.onHeartbeat(x, r, false)
 		if x.sendAgain || stale {
@@ -256,7 +256,7 @@
 	// Replicas move one at a time, and only to room that is free now on a machine
 	// that has their image, so that a move costs no more than a stop and a start.
 	for _, x := range machines {
-		if moving || x.machine.Phase != storage.PhaseDraining || !h.controller.mayActFor(x.shard) || !x.fenceConfirmed {
+		if moving || x.machine.Phase != storage.PhaseDraining || !h.controller.leases.MayActFor(x.shard) || !x.fenceConfirmed {
 			continue
 		}
 		for _, ref := range sortedTasks(x.attempts) {
--- a/internal/coordination/completion.go
+++ b/internal/coordination/completion.go
@@ -75,7 +75,7 @@
 // mayFinish reports whether the end of a job may be written now.
 func (h *reconciler) mayWriteJobEnd(p *jobProgress) bool {
 	n := h.controller
-	return !p.endInFlight && n.replica.Revision() >= p.endWrittenRevision && n.now() >= p.retryAt && n.mayActFor(p.job.Shard) && h.jobEndsInFlight < maxJobEndsInFlight
+	return !p.endInFlight && n.replica.Revision() >= p.endWrittenRevision && n.now() >= p.retryAt && n.leases.MayActFor(p.job.Shard) && h.jobEndsInFlight < maxJobEndsInFlight
 }
 
 // finishJob writes that a job is done. Users wait for it and there are few jobs beside
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -15,9 +15,12 @@
 	"time"
 
 	"rockrun/internal/config"
+	"rockrun/internal/coordination/election"
 	"rockrun/internal/coordination/kv"
 	"rockrun/internal/coordination/loop"
+	"rockrun/internal/coordination/membership"
 	"rockrun/internal/coordination/replica"
+	"rockrun/internal/coordination/sharding"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -53,15 +56,9 @@
 	Log      *slog.Logger
 }
 
-// Times of the controller's own loops. They follow from nothing in the settings; all are
-// far below the leases they serve.
-const (
-	tickInterval          = 250 * time.Millisecond
-	peerHeartbeatInterval = 500 * time.Millisecond
-	leaderLeaseTTL        = 4 * time.Second
-	leaderRenewInterval   = time.Second
-	peerTimeout           = 3 * time.Second // a heartbeat younger than this shows a live controller
-)
+// tickInterval is the time between two looks at what only the passing of time changes. It
+// is far below the leases that it serves.
+const tickInterval = 250 * time.Millisecond
 
 // Controller is one process of the service.
 type Controller struct {
@@ -77,26 +74,18 @@
 	watchPause   time.Duration
 	finalRecords map[string]storage.FinalRecord
 
-	candidacyInFlight bool
-	candidacyAt       time.Duration
-	candidateLeases   map[uint64]bool // leases opened for an election
-	leadership        *leadership
-
-	shardLease       time.Duration
-	maxStaleness     time.Duration
-	shardLeaseExpiry []time.Duration // by shard
-	grantSeenAt      []time.Duration // by shard: when the grant in force was first seen
-	shardHeardAt     []time.Duration // by shard: when one of its agents last sent a heartbeat here; 0: never
-	leaderAnsweredAt time.Duration   // when the leader's last answer that counts came
-	healthyPeerCount int             // what it said of the others then
-	nextLivenessAt   time.Duration   // no liveness record is written before
+	shardLease   time.Duration
+	maxStaleness time.Duration
+	leases       *sharding.Leases
+	reporter     *membership.Reporter
+	elector      *election.Elector
+	leadership   *leadership // nil unless this controller leads
 
-	notices              map[string]*cancellationNotices // by controller
-	reconciler           *reconciler
-	unrecordedHeartbeats map[string]protocol.AgentHeartbeat
-	outcomes             *outcomeReader
-	recentlyAccepted     recentSubmissions
-	stats                stats
+	notices          map[string]*cancellationNotices // by controller
+	reconciler       *reconciler
+	outcomes         *outcomeReader
+	recentlyAccepted recentSubmissions
+	stats            stats
 }
 
 // New makes a controller; Start sets it going.
@@ -145,24 +134,26 @@
 		if n.generation.Stopping() {
 			return
 		}
-		n.sendPeerHeartbeat()
-		n.Clock.After(peerHeartbeatInterval, heartbeat)
+		n.reporter.SendHeartbeat()
+		n.Clock.After(membership.HeartbeatInterval, heartbeat)
 	}
-	n.Clock.After(peerHeartbeatInterval, heartbeat)
+	n.Clock.After(membership.HeartbeatInterval, heartbeat)
 }
 
+// farewellTime is how long a controller that ends gives the leader to hear so.
+const farewellTime = 300 * time.Millisecond
+
 // Stop ends the controller's part in the service: it acts for no shard any more, tells
 // the leader so, or gives up the leadership. done is called once that is known, or got
 // no answer.
 func (n *Controller) Stop(done func()) {
 	n.generation.Stop()
-	if n.leadership == nil {
-		n.sendPeerHeartbeat()
-		n.Clock.After(300*time.Millisecond, done)
+	lease, leading := n.elector.Stop()
+	if !leading {
+		n.reporter.SendHeartbeat()
+		n.Clock.After(farewellTime, done)
 		return
 	}
-	lease := n.leadership.lease
-	n.leadership = nil
 	n.Store.RevokeLease(lease, func(error) { done() })
 }
 
@@ -183,15 +174,13 @@
 	}
 	n.committer.BeginGeneration(n.generation)
 	n.beginReplica(&former)
-	n.leadership, n.candidacyInFlight = nil, false
-	n.candidateLeases = map[uint64]bool{}
-	n.shardLeaseExpiry = make([]time.Duration, n.shardCount)
-	n.grantSeenAt = make([]time.Duration, n.shardCount)
-	n.shardHeardAt = make([]time.Duration, n.shardCount)
-	n.leaderAnsweredAt, n.nextLivenessAt = n.now(), 0
-	n.unrecordedHeartbeats = map[string]protocol.AgentHeartbeat{}
+	n.leadership = nil
+	n.leases = sharding.NewLeases(sharding.LeasesConfig{
+		Generation: n.generation, Replica: n.replica, ShardLease: n.shardLease, MaxStaleness: n.maxStaleness,
+	})
 	n.notices = map[string]*cancellationNotices{}
 	n.reconciler = newReconciler(n)
+	n.beginMembership()
 	if n.outcomes != nil {
 		n.outcomes.abandon()
 	}
@@ -202,6 +191,23 @@
 	n.replica.Start()
 }
 
+// beginMembership makes what tells the leader about this controller, or makes this one the
+// leader.
+func (n *Controller) beginMembership() {
+	healthyPeers := 0
+	if n.reporter != nil {
+		healthyPeers = n.reporter.LastHealthyPeers()
+	}
+	n.reporter = membership.NewReporter(membership.ReporterConfig{
+		Generation: n.generation, Replica: n.replica, Committer: n.committer, Peers: n.Peers, Leases: n.leases, Holdings: n.reconciler,
+		ShardLease: n.shardLease, HealthyPeers: healthyPeers, Log: n.Log, Registry: n.registry,
+	})
+	n.elector = election.New(election.Config{
+		Generation: n.generation, Store: n.Store, Committer: n.committer, Replica: n.replica, MaxStaleness: n.maxStaleness, Log: n.Log,
+		OnElected: n.beginLeadership, OnDeposed: func() { n.leadership = nil },
+	})
+}
+
 // beginReplica makes the replica of a new generation, after the former one.
 func (n *Controller) beginReplica(former *replica.Replica) {
 	teams := make([]storage.Team, 0, len(n.Settings.Cluster.Teams))
@@ -227,23 +233,6 @@
 
 func (n *Controller) now() time.Duration { return n.Clock.Now() }
 
-// holds reports whether the cache grants a shard to this incarnation.
-func (n *Controller) holdsShard(shard int) bool {
-	if shard < 0 || shard >= n.shardCount {
-		return false
-	}
-	g := &n.view.Grants[shard]
-	return g.Version > 0 && g.Controller == n.Settings.Controller && g.Incarnation == n.replica.Incarnation
-}
-
-// entitled reports whether this node may act for a shard now: the grant is its
-// own, the block lease runs, and its knowledge of cancellations is young enough
-// that renewing a worker's lease can't outlast the time for cancelling.
-func (n *Controller) mayActFor(shard int) bool {
-	now := n.now()
-	return n.replica.Ready() && !n.generation.Stopping() && n.holdsShard(shard) && now < n.shardLeaseExpiry[shard] && n.replica.Staleness() < n.maxStaleness
-}
-
 func (n *Controller) tick() {
 	if !n.replica.Ready() {
 		return
@@ -254,11 +243,11 @@
 		return
 	}
 	n.setWriteBudget()
-	n.writeLiveness()
+	n.reporter.WriteLiveness()
 	n.sendCancellations()
 	n.outcomes.readWanted()
 	n.refreshGauges()
-	n.electionTick()
+	n.elector.Tick()
 	if n.leadership != nil {
 		n.leadership.tick()
 	}
@@ -270,20 +259,11 @@
 	if !n.replica.Ready() {
 		return
 	}
-	n.checkLeadership()
+	n.elector.ObserveRecord()
 	if !changed {
 		return
 	}
-	for s := range n.shardCount {
-		if !n.holdsShard(s) {
-			n.grantSeenAt[s] = 0
-		} else if n.grantSeenAt[s] == 0 {
-			n.grantSeenAt[s] = n.now()
-			// The grant is fresh: its lease begins with it. The leader made it no
-			// earlier than the request that brought it.
-			n.shardLeaseExpiry[s] = max(n.shardLeaseExpiry[s], n.replica.FreshAt()+n.shardLease)
-		}
-	}
+	n.leases.ObserveGrants()
 	n.outcomes.readWanted()
 	n.reconciler.syncWithRecords()
 	n.reconciler.schedulePass()
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strings"
 
+	"rockrun/internal/coordination/quota"
 	"rockrun/internal/storage"
 )
 
@@ -177,16 +178,16 @@
 }
 
 // runnable lists the jobs with tasks to place, and what each team uses already.
-func (l *leadership) runnableJobs() (list []pendingJob, used []teamUsage) {
+func (l *leadership) runnableJobs() (list []pendingJob, used []quota.Usage) {
 	n := l.controller
-	used = make([]teamUsage, len(n.view.Teams))
+	used = make([]quota.Usage, len(n.view.Teams))
 	nowMS := n.Clock.Wall().UnixMilli()
 	n.view.Jobs.All(func(_ int, j *storage.Job) {
 		if j.TeamIndex < 0 {
 			return
 		}
-		used[j.TeamIndex].cpus += j.CPUs * float64(len(j.IntendedTasks))
-		used[j.TeamIndex].gpus += j.GPUs * float64(len(j.IntendedTasks))
+		used[j.TeamIndex].CPUs += j.CPUs * float64(len(j.IntendedTasks))
+		used[j.TeamIndex].GPUs += j.GPUs * float64(len(j.IntendedTasks))
 		if j.Runnable() && j.Shard >= 0 && j.OpenTasks() > 0 {
 			w := pendingJob{job: j, rank: n.view.EffectiveRank(j)}
 			w.rate(j.Tasks-j.CompletedCount, j.RunningTasks() > 0 || j.CompletedCount > 0, n.Settings.Cluster.Objectives, nowMS)
@@ -221,16 +222,16 @@
 
 // withinLimit is how many of a job's open tasks the team's limit lets start, beside
 // what it uses; it is added to that.
-func tasksWithinLimit(j *storage.Job, t *storage.Team, used *teamUsage) int {
+func tasksWithinLimit(j *storage.Job, t *storage.Team, used *quota.Usage) int {
 	count := j.OpenTasks()
-	for _, amount := range []struct{ used, each, limit float64 }{{used.cpus, j.CPUs, t.MaxCPUs}, {used.gpus, j.GPUs, t.MaxGPUs}} {
+	for _, amount := range []struct{ used, each, limit float64 }{{used.CPUs, j.CPUs, t.MaxCPUs}, {used.GPUs, j.GPUs, t.MaxGPUs}} {
 		if amount.limit > 0 && amount.each > 0 {
 			count = min(count, int((amount.limit-amount.used)/amount.each+1e-6))
 		}
 	}
 	if count > 0 {
-		used.cpus += float64(count) * j.CPUs
-		used.gpus += float64(count) * j.GPUs
+		used.CPUs += float64(count) * j.CPUs
+		used.GPUs += float64(count) * j.GPUs
 	}
 	return count
 }
--- a/internal/coordination/dependents.go
+++ b/internal/coordination/dependents.go
@@ -31,7 +31,7 @@
 	}
 	for _, j := range n.view.CancelledDependents() {
 		w := h.cancelledDependentWrites[j]
-		if !h.controller.holdsShard(j.Shard) || !n.mayActFor(j.Shard) || w != nil && (w.inFlight || n.replica.Revision() < w.writtenRevision || now < w.retryAt) {
+		if !h.controller.leases.Holds(j.Shard) || !n.leases.MayActFor(j.Shard) || w != nil && (w.inFlight || n.replica.Revision() < w.writtenRevision || now < w.retryAt) {
 			continue
 		}
 		if !n.committer.Budget.Take(now, 2) {
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -136,7 +136,7 @@
 	f.typesWriteInFlight = true
 	n.committer.Budget.TakeAnyway(now, 1)
 	n.committer.Commit(protocol.Transaction{
-		Conditions: []protocol.Condition{f.leadership.leaderCondition(), {Key: storage.KeyMachineTypes, Version: n.view.MachineTypesVersion}},
+		Conditions: []protocol.Condition{f.leadership.Condition(), {Key: storage.KeyMachineTypes, Version: n.view.MachineTypesVersion}},
 		Operations: []protocol.Operation{{Put: storage.KeyMachineTypes, Value: storage.Encode(f.catalogue)}},
 	}, func(uint64, error) {
 		n.generation.Later(kv.RetryPause, func() { f.typesWriteInFlight = false })
@@ -193,7 +193,7 @@
 			p := machinePool{n.view.MachineTypeNames.Lookup(a.Type), n.view.ZoneNames.Lookup(a.Zone), a.Spot}
 			switch {
 			case err == nil:
-				n.Log.Info("rented", "machines", len(names), "type", a.Type, "zone", a.Zone, "spot", a.Spot, "term", f.leadership.term)
+				n.Log.Info("rented", "machines", len(names), "type", a.Type, "zone", a.Zone, "spot", a.Spot, "term", f.leadership.Term())
 				rec := storage.MachineGroupRecord{Type: a.Type, Zone: a.Zone, Spot: a.Spot, Shard: a.shard, RentedAtMS: n.Clock.Wall().UnixMilli()}
 				for part := range slices.Chunk(names, f.groupSize(names[0])) { // at least one was rented
 					rec.Machines = nil
@@ -307,7 +307,7 @@
 	n := f.leadership.controller
 	f.scaleOutCount++
 	a := &scaleOutCall{shard: r.shard, CreateMachinesRequest: protocol.CreateMachinesRequest{
-		Request: fmt.Sprintf("r-%d-%d-%d", f.leadership.term, n.replica.Incarnation, f.scaleOutCount),
+		Request: fmt.Sprintf("r-%d-%d-%d", f.leadership.Term(), n.replica.Incarnation, f.scaleOutCount),
 		Type:    n.view.MachineTypeNames.Name(r.machineType), Zone: n.view.ZoneNames.Name(r.zone), Spot: r.spot, Count: r.count,
 	}}
 	f.scaleOutCalls = append(f.scaleOutCalls, a)
@@ -318,7 +318,7 @@
 // that drain, so that the next leader carries on from there.
 func (f *provisioner) writeScalingTarget(now time.Duration, list []*machineSupply) {
 	n := f.leadership.controller
-	rec := storage.ScalingTargetRecord{Term: f.leadership.term}
+	rec := storage.ScalingTargetRecord{Term: f.leadership.Term()}
 	for _, x := range list {
 		switch {
 		case x.machine != nil && x.machine.Phase == storage.PhaseDraining:
@@ -336,7 +336,7 @@
 	}
 	f.targetWriteInFlight = true
 	n.committer.Commit(protocol.Transaction{
-		Conditions: []protocol.Condition{f.leadership.leaderCondition(), {Key: storage.KeyScalingTarget, Version: n.view.ScalingTargetVersion}},
+		Conditions: []protocol.Condition{f.leadership.Condition(), {Key: storage.KeyScalingTarget, Version: n.view.ScalingTargetVersion}},
 		Operations: []protocol.Operation{{Put: storage.KeyScalingTarget, Value: storage.Encode(rec)}},
 	}, func(uint64, error) {
 		f.targetWriteInFlight = false
@@ -354,7 +354,7 @@
 const maxHistory = 200
 
 func (f *provisioner) recordDecision(d Decision) {
-	d.Term, d.AtMS = f.leadership.term, f.leadership.controller.Clock.Wall().UnixMilli()
+	d.Term, d.AtMS = f.leadership.Term(), f.leadership.controller.Clock.Wall().UnixMilli()
 	f.leadership.controller.Log.Info("sizer", "action", d.Action, "reason", d.Reason, "pool", d.Pool, "count", d.Count,
 		"blocked", d.Blocked, "booked", d.Booked, "fleet", d.Fleet, "term", d.Term)
 	f.history = append(f.history, d)
--- a/internal/coordination/give_up.go
+++ b/internal/coordination/give_up.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"rockrun/internal/coordination/membership"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -62,14 +63,7 @@
 func (f *provisioner) awaitsZone(m *storage.Machine, note protocol.MachineStatus) bool {
 	lease := f.leadership.controller.Settings.Cluster.Agents.Lease()
 	return f.partitionedZones[m.ZoneIndex] && (note.Seen || note.Tasks > 0) && note.Silent < 4*lease &&
-		(!f.leadership.hostsReplicas(m) || note.Silent < lease-agentAnswerTimeout/2)
-}
-
-// quietLimit is how long a machine that is well and can be heard says nothing at most,
-// and a little more. One that does may have had a report lost; most of a zone's
-// have not.
-func (l *leadership) heartbeatTolerance() time.Duration {
-	return l.controller.Settings.Cluster.Agents.HeartbeatInterval()*5/4 + 2*time.Second
+		(!f.leadership.hostsReplicas(m) || note.Silent < lease-membership.AgentAnswerTimeout/2)
 }
 
 // serves reports whether replicas may be on a machine.
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -129,7 +129,7 @@
 	b.ReportAllocs()
 	size := 0
 	for b.Loop() {
-		if err := enc.Encode(protocol.PeerRequest{Heartbeat: &protocol.PeerHeartbeat{Controller: "a", Machines: g.controller.reconciler.machineStatuses()}}); err != nil {
+		if err := enc.Encode(protocol.PeerRequest{Heartbeat: &protocol.PeerHeartbeat{Controller: "a", Machines: g.controller.reconciler.MachineStatuses()}}); err != nil {
 			b.Fatal(err)
 		}
 		size = link.Len()
@@ -231,7 +231,7 @@
 		b := newFleetControllerOf(t, machines)
 		b.now += 2 * time.Second
 		var link bytes.Buffer
-		if err := gob.NewEncoder(&link).Encode(b.controller.reconciler.machineStatuses()); err != nil {
+		if err := gob.NewEncoder(&link).Encode(b.controller.reconciler.MachineStatuses()); err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("%d machines: %d bytes", machines, link.Len())
--- a/internal/coordination/holder.go
+++ b/internal/coordination/holder.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"rockrun/internal/config"
+	"rockrun/internal/coordination/quota"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -23,12 +24,12 @@
 	seenJobsAdded      uint64
 	seenJobsEnded      uint64 // of the cache, when what is held was last made to match it
 	seenFleetRevision  uint64
-	usage              map[int][]teamUsage // by home and team
-	liveAttemptsByRank [maxRank]int        // live attempts by rank
-	serviceCPUs        float64             // CPUs that replicas take
-	completedAttempts  []*attempt          // completed, waiting to be durable
-	completedJobs      []*jobProgress      // all tasks done, waiting to be durable
-	jobEndsInFlight    int                 // of those, being written
+	usage              map[int][]quota.Usage // by home and team
+	liveAttemptsByRank [maxRank]int          // live attempts by rank
+	serviceCPUs        float64               // CPUs that replicas take
+	completedAttempts  []*attempt            // completed, waiting to be durable
+	completedJobs      []*jobProgress        // all tasks done, waiting to be durable
+	jobEndsInFlight    int                   // of those, being written
 
 	cancelledDependentWrites map[*storage.Job]*cancelledDependentWrite // jobs cancelled with another, being written
 
@@ -44,8 +45,6 @@
 // maxRank bounds protocol.Spec.Rank.
 const maxRank = 8
 
-type teamUsage struct{ cpus, gpus float64 }
-
 // progress is what the home knows about a job beyond its record.
 type jobProgress struct {
 	job                *storage.Job
@@ -71,15 +70,15 @@
 func newReconciler(n *Controller) *reconciler {
 	return &reconciler{
 		controller: n, agents: map[string]*agent{}, attemptsByTask: map[storage.TaskRef]int{}, writers: map[int]*recordWriter{},
-		jobs: map[*storage.Job]*jobProgress{}, usage: map[int][]teamUsage{}, cancelledDependentWrites: map[*storage.Job]*cancelledDependentWrite{},
+		jobs: map[*storage.Job]*jobProgress{}, usage: map[int][]quota.Usage{}, cancelledDependentWrites: map[*storage.Job]*cancelledDependentWrite{},
 	}
 }
 
 // used is what a home's attempts take, by team.
-func (h *reconciler) usageOf(home int) []teamUsage {
+func (h *reconciler) usageOf(home int) []quota.Usage {
 	u := h.usage[home]
 	if u == nil {
-		u = make([]teamUsage, len(h.controller.Settings.Cluster.Teams))
+		u = make([]quota.Usage, len(h.controller.Settings.Cluster.Teams))
 		h.usage[home] = u
 	}
 	return u
@@ -111,10 +110,10 @@
 	n := h.controller
 	now := n.now()
 	for s := range n.shardCount {
-		if h.writers[s] != nil && !n.holdsShard(s) {
+		if h.writers[s] != nil && !n.leases.Holds(s) {
 			delete(h.writers, s)
 		}
-		if h.writers[s] == nil && n.holdsShard(s) && s < n.view.JobShards {
+		if h.writers[s] == nil && n.leases.Holds(s) && s < n.view.JobShards {
 			h.writers[s] = newRecordWriter(h, s)
 		}
 	}
@@ -226,8 +225,8 @@
 	a.progress.attemptsByZone[x.machine.ZoneIndex] += int(sign)
 	if t := a.job.TeamIndex; t >= 0 {
 		u := &h.usageOf(x.shard)[t]
-		u.cpus += sign * a.job.CPUs
-		u.gpus += sign * a.job.GPUs
+		u.CPUs += sign * a.job.CPUs
+		u.GPUs += sign * a.job.GPUs
 	}
 }
 
@@ -327,7 +326,7 @@
 	h.evictForDrains()
 	h.place()
 	for s := range n.shardCount {
-		if d := h.writers[s]; d != nil && n.mayActFor(s) {
+		if d := h.writers[s]; d != nil && n.leases.MayActFor(s) {
 			d.flush()
 		}
 	}
@@ -335,7 +334,7 @@
 		if !x.needsAttention {
 			continue
 		}
-		if !n.mayActFor(x.shard) || !x.fenceConfirmed {
+		if !n.leases.MayActFor(x.shard) || !x.fenceConfirmed {
 			if h.hasDueStops(x) {
 				h.sendCommands(x)
 			}
@@ -361,13 +360,13 @@
 	})
 }
 
-// notes tells the leader about the machines held.
-func (h *reconciler) machineStatuses() []protocol.MachineStatus {
+// MachineStatuses tells the leader about the machines held.
+func (h *reconciler) MachineStatuses() []protocol.MachineStatus {
 	n := h.controller
 	now := n.now()
 	notes := make([]protocol.MachineStatus, 0, len(h.sortedAgents))
 	for _, x := range h.sortedAgents {
-		if !n.holdsShard(x.shard) {
+		if !n.leases.Holds(x.shard) {
 			continue
 		}
 		note := protocol.MachineStatus{
@@ -383,3 +382,22 @@
 	}
 	return notes
 }
+
+// GrantsWithinQuota lists the grants under which this controller holds job shards of which
+// nothing takes more than the quota split allows. It names the grants, not itself: a
+// controller that has just been granted a shard may not know yet what is on the machines
+// there, and what it said before says nothing of them.
+func (h *reconciler) GrantsWithinQuota() []uint64 {
+	b := h.controller.view
+	var out []uint64
+	for s := range h.writers {
+		within := true
+		for i, u := range h.usageOf(s) {
+			within = within && quota.ShardWithin(b, &b.Teams[i], s, u)
+		}
+		if within {
+			out = append(out, b.Grants[s].FencingToken)
+		}
+	}
+	return out
+}
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -8,8 +8,10 @@
 	"time"
 
 	"rockrun/internal/config"
+	"rockrun/internal/coordination/election"
 	"rockrun/internal/coordination/kv"
 	"rockrun/internal/coordination/loop"
+	"rockrun/internal/coordination/membership"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -24,6 +26,7 @@
 	commandRequests []protocol.CommandRequest
 	revision        uint64
 	watched         bool              // the changes have been read
+	elected         bool              // leases are opened for campaigns
 	store           *storeSwitch      // what the controller takes for the key-value store
 	values          map[string][]byte // what the state service holds
 }
@@ -38,9 +41,13 @@
 func (b *testController) Commit(t protocol.Transaction, _ func(uint64, error)) {
 	b.transactions = append(b.transactions, t)
 }
-func (b *testController) OpenLease(time.Duration, func(uint64, error)) {}
-func (b *testController) RenewLease(uint64, func(error))               {}
-func (b *testController) RevokeLease(uint64, func(error))              {}
+func (b *testController) OpenLease(_ time.Duration, done func(uint64, error)) {
+	if b.elected {
+		done(9, nil)
+	}
+}
+func (b *testController) RenewLease(uint64, func(error))  {}
+func (b *testController) RevokeLease(uint64, func(error)) {}
 
 // Watch answers the first read of the changes, so that the records count as read.
 func (b *testController) Watch(_ string, _ uint64, _ time.Duration, done func(protocol.Changes, error)) {
@@ -170,8 +177,16 @@
 // fresh renews what the node knows and holds.
 func (b *testController) refreshKnowledge() {
 	b.controller.replica.Apply(protocol.Changes{}, b.now)
-	for s := range b.controller.shardLeaseExpiry {
-		b.controller.shardLeaseExpiry[s] = b.now + time.Minute
+	b.extendLeases(testLease)
+}
+
+// testLease is for how long the controller may act once its leases are extended.
+const testLease = time.Minute
+
+// extendLeases lets the controller act for all its shards for so long.
+func (b *testController) extendLeases(d time.Duration) {
+	for shard := range b.controller.view.Grants {
+		b.controller.leases.Extend(shard, b.now+d-b.controller.shardLease)
 	}
 }
 
@@ -303,11 +318,11 @@
 // Whatever may be on a machine counts against the team's limit, seen or not.
 func TestUnprovenAttemptsCount(t *testing.T) {
 	b := newTestController(t, inherited)
-	if got := b.controller.reconciler.usageOf(0)[0].cpus; got != 4 {
+	if got := b.controller.reconciler.usageOf(0)[0].CPUs; got != 4 {
 		t.Errorf("an inherited attempt counts as %v CPUs", got)
 	}
 	b.report(1, grantToken)
-	if got := b.controller.reconciler.usageOf(0)[0].cpus; got != 0 {
+	if got := b.controller.reconciler.usageOf(0)[0].CPUs; got != 0 {
 		t.Errorf("once settled it counts as %v CPUs", got)
 	}
 }
@@ -320,9 +335,7 @@
 		t.Fatalf("status %d while entitled", a.Status)
 	}
 	b.now += b.controller.maxStaleness + time.Second
-	for s := range b.controller.shardLeaseExpiry {
-		b.controller.shardLeaseExpiry[s] = b.now + time.Minute
-	}
+	b.extendLeases(testLease)
 	if a := b.report(2, grantToken); a.Status != 503 {
 		t.Errorf("status %d with old knowledge", a.Status)
 	}
@@ -330,7 +343,8 @@
 	if a := b.report(3, grantToken); a.Status != 200 {
 		t.Errorf("status %d with fresh knowledge", a.Status)
 	}
-	b.controller.shardLeaseExpiry[0] = b.now
+	b.now += testLease
+	b.controller.replica.Apply(protocol.Changes{}, b.now)
 	if a := b.report(4, grantToken); a.Status != 503 {
 		t.Errorf("status %d without a block lease", a.Status)
 	}
@@ -343,12 +357,12 @@
 // A late copy of the transaction that made a block must find its key there for
 // as long as its leader leads, or machines that have moved on would come back.
 func TestEmptyBlocksStayForTheirTerm(t *testing.T) {
-	l := &leadership{term: 5}
-	empty := storage.MachineGroupRecord{FencingToken: 5<<termShift | 1}
+	l := newTestController(t).becomeLeader().leadership
+	empty := storage.MachineGroupRecord{FencingToken: l.NextFencingToken()}
 	if op := l.groupOperation("x", empty); op.Delete != "" {
 		t.Error("an empty block of this term is removed")
 	}
-	empty.FencingToken = 4<<termShift | 1
+	empty.FencingToken = grantToken // of the term before
 	if op := l.groupOperation("x", empty); op.Delete == "" {
 		t.Error("an empty block of an earlier term stays")
 	}
@@ -360,7 +374,7 @@
 	b := newTestController(t)
 	b.report(5, grantToken)
 	answered := b.agentUnderTest().lastAnsweredAt
-	b.now += agentAnswerTimeout + time.Second
+	b.now += membership.AgentAnswerTimeout + time.Second
 	b.refreshKnowledge()
 	if a := b.report(5, grantToken); a.Status != 503 {
 		t.Errorf("status %d to a late copy", a.Status)
@@ -397,15 +411,6 @@
 	}
 }
 
-// A process that is back at once does not act under the grant of its former self.
-func TestFormerIncarnationHoldsNothing(t *testing.T) {
-	b := newTestController(t)
-	b.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: b.controller.replica.Incarnation - 1, FencingToken: grantToken})
-	if b.controller.holdsShard(0) {
-		t.Error("it holds what its former self was granted")
-	}
-}
-
 // listed is a cloud that only lists.
 type fakeCloudList []protocol.CloudMachine
 
@@ -419,15 +424,13 @@
 func TestGoneMachinesAreRemembered(t *testing.T) {
 	b := newTestController(t)
 	b.controller.Cloud = fakeCloudList{}
-	l := &leadership{controller: b.controller, term: 5}
-	l.provisioner = newProvisioner(l)
-	b.controller.leadership = l
+	f := b.becomeLeader()
 	gone := func(ago time.Duration) map[string]bool {
 		at := b.Wall().Add(-ago).UnixMilli()
 		b.apply(storage.MachineGroupKey("b"), storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-1", Phase: storage.PhaseDeleted, DeletedAtMS: at}}})
-		l.provisioner.nextListAt = 0
-		l.provisioner.listMachines(b.now)
-		return l.provisioner.forgettable
+		f.nextListAt = 0
+		f.listMachines(b.now)
+		return f.forgettable
 	}
 	if old := gone(5 * time.Minute); len(old) != 0 {
 		t.Errorf("forgotten after five minutes: %v", old)
@@ -437,29 +440,6 @@
 	}
 }
 
-// TestLastToken: a leader ends its term before its tokens run into the next
-// one's, and does not take the term up again while its record is still there.
-func TestLastToken(t *testing.T) {
-	b := newTestController(t)
-	b.controller.candidateLeases[7] = true
-	b.apply(storage.KeyLeader, storage.LeaderRecord{Controller: "a", Incarnation: b.controller.replica.Incarnation, Term: 5, Lease: 7})
-	b.controller.recordsChanged(true)
-	l := b.controller.leadership
-	if l == nil {
-		t.Fatal("not leading")
-	}
-	l.tokenCounter = maxTokenCounter - 1
-	if top := l.nextFencingToken(); top>>termShift != 5 {
-		t.Errorf("token %x is not of term 5", top)
-	}
-	l.renewedAt = b.now
-	l.tick()
-	b.controller.recordsChanged(true)
-	if b.controller.leadership != nil {
-		t.Error("leads on without tokens")
-	}
-}
-
 // TestLastTry: attempt numbers of one grant rise up to the last; a holder that has used
 // them up starts over instead of beginning anew below those that the records name, where
 // an attempt that is over would be taken for the later one.
@@ -467,14 +447,14 @@
 	b := newTestController(t)
 	b.controller.reconciler.attemptCounter = maxAttemptCounter - 1
 	before, last := b.controller.replica.Incarnation, b.controller.reconciler.nextAttemptNumber(b.agentUnderTest())
-	if last>>counterShift != grantToken>>counterShift || last&(1<<counterShift-1) != maxAttemptCounter {
+	if election.TokenSerial(last) != election.TokenSerial(grantToken) || last&(election.HolderSteps-1) != maxAttemptCounter {
 		t.Errorf("attempt %x under grant %x", last, uint64(grantToken))
 	}
 	b.controller.tick()
 	if b.controller.replica.Incarnation <= before || b.controller.replica.Ready() || b.controller.reconciler.attemptCounter != 0 {
 		t.Errorf("incarnation %d after %d, ready %v, %d tries", b.controller.replica.Incarnation, before, b.controller.replica.Ready(), b.controller.reconciler.attemptCounter)
 	}
-	if b.controller.holdsShard(0) {
+	if b.controller.leases.Holds(0) {
 		t.Error("it still holds what its former incarnation was granted")
 	}
 }
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"rockrun/internal/config"
+	"rockrun/internal/coordination/quota"
 	"rockrun/internal/storage"
 )
 
@@ -119,23 +120,23 @@
 func (h *reconciler) pendingJobs(now time.Duration) []pendingJob {
 	n := h.controller
 	var list []pendingJob
-	booked := map[int][]teamUsage{}
+	booked := map[int][]quota.Usage{}
 	nowMS := n.Clock.Wall().UnixMilli()
 	for _, j := range h.sortedActiveJobs() {
-		if !j.Runnable() || h.writers[j.Shard] == nil || !n.mayActFor(j.Shard) {
+		if !j.Runnable() || h.writers[j.Shard] == nil || !n.leases.MayActFor(j.Shard) {
 			continue
 		}
 		if booked[j.Shard] == nil {
-			booked[j.Shard] = make([]teamUsage, len(n.view.Teams))
+			booked[j.Shard] = make([]quota.Usage, len(n.view.Teams))
 		}
 		t := &n.view.Teams[j.TeamIndex]
 		p := h.progress(j)
 		open := float64(j.Tasks - p.completedCount)
 		b := &booked[j.Shard][j.TeamIndex]
-		within := t.HasGuarantee && b.cpus+open*j.CPUs <= n.view.QuotaShare(t, j.Shard, t.GuaranteedCPUs)+1e-6 &&
-			(j.GPUs == 0 || b.gpus+open*j.GPUs <= n.view.QuotaShare(t, j.Shard, t.GuaranteedGPUs)+1e-6)
-		b.cpus += open * j.CPUs
-		b.gpus += open * j.GPUs
+		within := t.HasGuarantee && b.CPUs+open*j.CPUs <= n.view.QuotaShare(t, j.Shard, t.GuaranteedCPUs)+1e-6 &&
+			(j.GPUs == 0 || b.GPUs+open*j.GPUs <= n.view.QuotaShare(t, j.Shard, t.GuaranteedGPUs)+1e-6)
+		b.CPUs += open * j.CPUs
+		b.GPUs += open * j.GPUs
 		p.withinGuarantee = within
 		if now < p.backoffUntil || h.nextOpenTask(j, p) < 0 {
 			continue
--- a/internal/coordination/needs_test.go
+++ b/internal/coordination/needs_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"rockrun/internal/coordination/quota"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -283,8 +284,8 @@
 		for _, d := range f.leadership.spareDemands(nil) {
 			spares += d.count
 		}
-		for _, n := range f.leadership.quotaDemands()[0] {
-			needs += n.waiting
+		for _, n := range quota.Demands(b.controller.view)[0] {
+			needs += n.Waiting
 		}
 		return demands, spares, len(f.leadership.soleMachineTypes()), needs
 	}
--- a/internal/coordination/outcomes.go
+++ b/internal/coordination/outcomes.go
@@ -133,7 +133,7 @@
 func (n *Controller) setOutcome(id string, f storage.FinalRecord) {
 	released, cancelled := n.view.SetOutcome(id, f)
 	for _, j := range released {
-		if n.holdsShard(j.Shard) {
+		if n.leases.Holds(j.Shard) {
 			n.stats.jobsReleased.Add(1)
 			n.Log.Info("job released", "job", j.ID, "after", id)
 		}
@@ -147,7 +147,7 @@
 // noteCancelledWith says which jobs are cancelled with another.
 func (n *Controller) noteCancelledDependents(jobs []*storage.Job) {
 	for _, j := range jobs {
-		if n.holdsShard(j.Shard) {
+		if n.leases.Holds(j.Shard) {
 			n.stats.jobsCancelledByDependency.Add(1)
 			n.Log.Info("job cancelled with another", "job", j.ID, "with", j.CancelledBy().ID)
 		}
--- a/internal/coordination/oversized_test.go
+++ b/internal/coordination/oversized_test.go
@@ -134,10 +134,13 @@
 
 // leading makes the node the leader, whose fleet knows the machine types.
 func (b *testController) becomeLeader() *provisioner {
-	const lease = 9
-	b.controller.candidateLeases[lease] = true
-	b.apply(storage.KeyLeader, storage.LeaderRecord{Controller: "a", Incarnation: b.controller.replica.Incarnation, Term: 6, Lease: lease})
-	b.controller.checkLeadership()
+	b.apply(storage.KeyTerm, storage.TermRecord{Term: 5})
+	b.elected = true
+	b.controller.elector.Tick()
+	b.now += time.Second // more than candidates wait
+	b.controller.elector.Tick()
+	b.applyTransactions()
+	b.controller.elector.ObserveRecord()
 	if b.controller.leadership == nil {
 		b.t.Fatal("it does not lead")
 	}
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/election"
+	"rockrun/internal/coordination/quota"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -183,13 +185,13 @@
 
 // lastTry is how far the counter of attempts may go: a holder that has used it up
 // starts over under another grant (see Node.tick). More than a tick can use is left.
-const maxAttemptCounter = 1<<counterShift - 1<<16
+const maxAttemptCounter = election.HolderSteps - 1<<16
 
 // nextTry returns an attempt number above every earlier one: the grant's token
 // in the high bits, a counter of this holder's in the low ones.
 func (h *reconciler) nextAttemptNumber(x *agent) uint64 {
 	h.attemptCounter++
-	return h.controller.view.Grants[x.shard].FencingToken>>counterShift<<counterShift | h.attemptCounter&(1<<counterShift-1)
+	return election.DerivedNumber(h.controller.view.Grants[x.shard].FencingToken, h.attemptCounter)
 }
 
 // plan makes a new attempt at a task.
@@ -237,12 +239,9 @@
 func (h *reconciler) underQuota(j *storage.Job) bool {
 	b := h.controller.view
 	t, u := &b.Teams[j.TeamIndex], h.usageOf(j.Shard)[j.TeamIndex]
-	return withinQuota(u.cpus+j.CPUs, t.MaxCPUs, b.QuotaShare(t, j.Shard, t.MaxCPUs)) && withinQuota(u.gpus+j.GPUs, t.MaxGPUs, b.QuotaShare(t, j.Shard, t.MaxGPUs))
+	return quota.ShardWithin(b, t, j.Shard, quota.Usage{CPUs: u.CPUs + j.CPUs, GPUs: u.GPUs + j.GPUs})
 }
 
-// keeps reports whether an amount keeps a home's share of a limit; 0 is no limit.
-func withinQuota(amount, limit, share float64) bool { return limit <= 0 || amount <= share+1e-6 }
-
 // allowed reports whether a machine is one that a job's task may start on,
 // room aside. Only machines of the home's own shard are, even for a controller
 // that holds several: the shards may part again, and whoever holds a home must
@@ -273,7 +272,7 @@
 // commands, while its own reports reach nobody, is not: its lease runs out.
 func (h *reconciler) schedulable(x *agent, now time.Duration) bool {
 	report := h.controller.Settings.Cluster.Agents.HeartbeatInterval()
-	return h.controller.mayActFor(x.shard) && x.fenceConfirmed && !x.suspect && x.machine.Phase == storage.PhaseActive && x.terminationAt == 0 &&
+	return h.controller.leases.MayActFor(x.shard) && x.fenceConfirmed && !x.suspect && x.machine.Phase == storage.PhaseActive && x.terminationAt == 0 &&
 		now >= x.quarantinedUntil && now-min(x.lastHeartbeatAt, x.lastAnsweredAt) < 2*report+time.Second
 }
 
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -25,7 +25,7 @@
 	}
 	b := h.controller.view
 	t := &b.Teams[a.job.TeamIndex]
-	return h.usageOf(a.job.Shard)[a.job.TeamIndex].cpus-a.job.CPUs >= b.QuotaShare(t, a.job.Shard, t.GuaranteedCPUs)
+	return h.usageOf(a.job.Shard)[a.job.TeamIndex].CPUs-a.job.CPUs >= b.QuotaShare(t, a.job.Shard, t.GuaranteedCPUs)
 }
 
 // mayMakeRoom reports whether there can be anything that may be stopped for a
@@ -41,7 +41,7 @@
 	}
 	b := h.controller.view
 	for i, u := range h.usageOf(w.job.Shard) {
-		if t := &b.Teams[i]; i != w.job.TeamIndex && u.cpus > b.QuotaShare(t, w.job.Shard, t.GuaranteedCPUs) {
+		if t := &b.Teams[i]; i != w.job.TeamIndex && u.CPUs > b.QuotaShare(t, w.job.Shard, t.GuaranteedCPUs) {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/coordination/quota/quota_test.go
@@ -0,0 +1,197 @@
+package quota
+
+import (
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"rockrun/internal/config"
+	"rockrun/internal/coordination/kv"
+	"rockrun/internal/coordination/loop"
+	"rockrun/internal/coordination/membership"
+	"rockrun/internal/coordination/replica"
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+// TestWithin: what is within a maximum and a share of it, at their borders.
+func TestWithin(t *testing.T) {
+	for _, c := range []struct {
+		name                   string
+		amount, maximum, share float64
+		within, exceeds        bool
+	}{
+		{"no maximum", 100, 0, 0, true, false},
+		{"at the share", 4, 8, 4, true, false},
+		{"rounded sums at the share", 0.1 + 0.2, 0.3, 0.3, true, false},
+		{"above the share", 5, 8, 4, false, false},
+		{"above the maximum", 9, 8, 8, false, true},
+	} {
+		if got := Within(c.amount, c.maximum, c.share); got != c.within {
+			t.Errorf("%s: within %t", c.name, got)
+		}
+		if got := Exceeds(c.amount, c.maximum); got != c.exceeds {
+			t.Errorf("%s: exceeds %t", c.name, got)
+		}
+	}
+}
+
+const half, quarter = storage.WholeQuota / 2, storage.WholeQuota / 4
+
+// TestSplit: how a quota is split among two job shards. Services are in the second.
+func TestSplit(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		present    []int
+		demands    []Demand
+		guaranteed int
+		settled    bool
+		check      func(next []int) bool
+	}{
+		{"a first split gives each what it uses", nil, []Demand{{Used: half}, {Used: quarter}}, storage.WholeQuota, false,
+			func(next []int) bool { return next[0] >= half && next[1] >= quarter }},
+		{"services come first where both wait for more than there is", nil,
+			[]Demand{{Waiting: storage.WholeQuota}, {Waiting: storage.WholeQuota}}, storage.WholeQuota, false,
+			func(next []int) bool { return next[1] == storage.WholeQuota && next[0] == 0 }},
+		{"nothing changes while not all keep to the present split", []int{half, half},
+			[]Demand{{Used: half, Waiting: half}, {}}, storage.WholeQuota, false,
+			func(next []int) bool { return slices.Equal(next, []int{half, half}) }},
+		{"nothing changes where nobody lacks", []int{half, half}, []Demand{{Used: quarter}, {Used: quarter}}, storage.WholeQuota, true,
+			func(next []int) bool { return slices.Equal(next, []int{half, half}) }},
+		{"what one is to get another gives up first", []int{half, half}, []Demand{{Used: half, Waiting: half}, {}}, storage.WholeQuota, true,
+			func(next []int) bool { return next[0] == half && next[1] < half }},
+		{"and then it gets it", []int{half, quarter}, []Demand{{Used: half, Waiting: half}, {}}, storage.WholeQuota, true,
+			func(next []int) bool { return next[0] > half }},
+	} {
+		next := split(c.present, c.demands, c.guaranteed, c.settled)
+		if !c.check(next) {
+			t.Errorf("%s: %v", c.name, next)
+		}
+		if sum := next[0] + next[1]; sum > storage.WholeQuota {
+			t.Errorf("%s: %v is more than there is", c.name, next)
+		}
+	}
+}
+
+// TestSplitsNeverExceedTheWhole: however demands change, the shares of a team sum to at
+// most the whole, with each step.
+func TestSplitsNeverExceedTheWhole(t *testing.T) {
+	for seed := range uint64(100) {
+		random := rand.New(rand.NewPCG(seed, 5))
+		var present []int
+		for range 50 {
+			demands := make([]Demand, 3)
+			for i := range demands {
+				demands[i] = Demand{Used: random.IntN(storage.WholeQuota / 3), Waiting: random.IntN(storage.WholeQuota)}
+			}
+			present = split(present, demands, random.IntN(storage.WholeQuota), random.IntN(2) == 0)
+			sum := 0
+			for _, share := range present {
+				sum += share
+			}
+			if sum > storage.WholeQuota {
+				t.Fatalf("seed %d: %v", seed, present)
+			}
+		}
+	}
+}
+
+// testLeader is a leader whose store records what is written.
+type testLeader struct {
+	now       time.Duration
+	committed []protocol.Transaction
+	revision  uint64
+	replica   *replica.Replica
+	members   *membership.Registry
+	splitter  *Splitter
+}
+
+func (l *testLeader) Now() time.Duration                               { return l.now }
+func (l *testLeader) Wall() time.Time                                  { return time.Unix(1_800_000_000, 0).Add(l.now) }
+func (l *testLeader) After(time.Duration, func())                      {}
+func (l *testLeader) Get(string, func(protocol.KeyValue, bool, error)) {}
+func (l *testLeader) OpenLease(time.Duration, func(uint64, error))     {}
+func (l *testLeader) RenewLease(uint64, func(error))                   {}
+func (l *testLeader) RevokeLease(uint64, func(error))                  {}
+func (l *testLeader) Term() uint64                                     { return 4 }
+func (l *testLeader) MayAnswer() bool                                  { return true }
+func (l *testLeader) StoreHeardSince() time.Duration                   { return 0 }
+func (l *testLeader) Condition() protocol.Condition {
+	return protocol.Condition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
+}
+func (l *testLeader) List(_, _ string, done func(protocol.KeyValuePage, error)) {
+	done(protocol.KeyValuePage{}, nil)
+}
+func (l *testLeader) Commit(t protocol.Transaction, done func(uint64, error)) {
+	l.committed = append(l.committed, t)
+	done(0, nil)
+}
+func (l *testLeader) Watch(_ string, after uint64, _ time.Duration, done func(protocol.Changes, error)) {
+	done(protocol.Changes{Revision: after}, nil)
+}
+
+func newTestLeader(teams ...storage.Team) *testLeader {
+	l := &testLeader{now: time.Minute}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	generation := loop.NewGeneration(l, rand.New(rand.NewPCG(1, 2)))
+	l.replica = replica.New(replica.Config{
+		Generation: generation, Store: l, View: storage.NewView(teams, 2), Controller: "a", Incarnation: 3, WatchPause: time.Second,
+		Log: log, OnChange: func(bool) {},
+	})
+	l.replica.Start()
+	limits := config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 100, ValueKiB: 8, TransactionOperations: 8}.Limits()
+	committer := kv.NewCommitter(l, limits, log)
+	committer.BeginGeneration(generation)
+	l.members = membership.NewRegistry(membership.RegistryConfig{
+		Generation: generation, Replica: l.replica, Leadership: l, Controllers: []string{"a", "b"},
+		Agents: config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60}, ShardLease: 3 * time.Second,
+		OnUnrecordedAgent: func(*protocol.AgentHeartbeat) {},
+	})
+	l.splitter = NewSplitter(SplitterConfig{Generation: generation, Replica: l.replica, Committer: committer, Leadership: l, Members: l.members})
+	return l
+}
+
+func (l *testLeader) put(key string, record any) {
+	l.revision++
+	l.replica.Apply(protocol.Changes{Revision: l.revision, Events: []protocol.Event{
+		{Put: key, Value: storage.Encode(record), Version: l.revision},
+	}}, l.now)
+}
+
+// TestSharesNeedTheHoldersWord: what a controller said of the split before it was granted
+// a shard says nothing of what is on the machines there. Nobody's share may be raised on
+// that word.
+func TestSharesNeedTheHoldersWord(t *testing.T) {
+	const tokenA, tokenB = 5 << 44, 6 << 44
+	l := newTestLeader(storage.Team{Name: "red", MaxCPUs: 8})
+	l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 2})
+	l.put(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: 3, FencingToken: tokenA})
+	l.put(storage.GrantKey(1), storage.GrantRecord{Controller: "b", Incarnation: 7, FencingToken: tokenB})
+	l.put(storage.KeyQuotaSplit, storage.QuotaSplitRecord{"red": {quarter, quarter}})
+	l.put(storage.JobKey("run-5"), storage.JobRecord{Spec: protocol.JobSpec{
+		ID: "run-5", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2, CPUs: 4, MemoryGB: 1,
+	}})
+	version := l.replica.View.QuotaSplitVersion
+	hear := func(controller string, incarnation uint64, tokens ...uint64) {
+		l.members.OnHeartbeat(&protocol.PeerHeartbeat{
+			Controller: controller, Incarnation: incarnation, QuotaSplitVersion: version, GrantsWithinQuota: tokens,
+		})
+	}
+	hear("a", 3, tokenA)
+	hear("b", 7) // before it was granted the shard
+	l.splitter.Update()
+	if len(l.committed) != 0 {
+		t.Fatal("a share was raised on a word given before the grant")
+	}
+	hear("b", 7, tokenB)
+	l.splitter.Update()
+	if len(l.committed) != 1 {
+		t.Fatal("no share is ever raised")
+	}
+	if n := len(l.committed[0].Conditions); n != 4 {
+		t.Errorf("the split depends on %d records, not on the leader, itself and both grants", n)
+	}
+}
--- a/internal/coordination/record_batch.go
+++ b/internal/coordination/record_batch.go
@@ -136,7 +136,7 @@
 
 // flushSoon writes what is due outside of a pass.
 func (d *recordWriter) flushSoon() {
-	if d.reconciler.writers[d.shard] == d && d.reconciler.controller.reconciler == d.reconciler && d.reconciler.controller.mayActFor(d.shard) {
+	if d.reconciler.writers[d.shard] == d && d.reconciler.controller.reconciler == d.reconciler && d.reconciler.controller.leases.MayActFor(d.shard) {
 		d.flush()
 	}
 }
--- a/internal/coordination/record_size_test.go
+++ b/internal/coordination/record_size_test.go
@@ -68,7 +68,7 @@
 	if len(x.machine.Intents) > 0 {
 		t.Error("the machine is still named")
 	}
-	if note := b.controller.reconciler.machineStatuses()[17]; note.Name != x.machine.Name || note.Tasks > 0 {
+	if note := b.controller.reconciler.MachineStatuses()[17]; note.Name != x.machine.Name || note.Tasks > 0 {
 		t.Errorf("%+v", note)
 	}
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/membership"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -17,9 +18,7 @@
 	}
 	_, m := n.view.Machines.Find(r.Machine)
 	if m == nil || m.Group == "" {
-		if len(n.unrecordedHeartbeats) < 200 {
-			n.unrecordedHeartbeats[r.Machine] = *r
-		}
+		n.reporter.AddUnrecorded(r)
 		reply(retryLater("machine not known yet"))
 		return
 	}
@@ -27,14 +26,14 @@
 		reply(retryLater("machine was given back"))
 		return
 	}
-	n.shardHeardAt[m.Shard] = n.now()
-	if n.holdsShard(m.Shard) {
+	n.leases.NoteAgentHeard(m.Shard)
+	if n.leases.Holds(m.Shard) {
 		x := n.reconciler.agents[m.Name]
-		if x == nil || !n.mayActFor(m.Shard) || r.FencingToken > x.currentToken {
+		if x == nil || !n.leases.MayActFor(m.Shard) || r.FencingToken > x.currentToken {
 			reply(retryLater("not entitled to this machine now"))
 			return
 		}
-		if !r.NewerThan(x.epoch, x.sequence) && n.now()-x.lastHeartbeatAt > agentAnswerTimeout {
+		if !r.NewerThan(x.epoch, x.sequence) && n.now()-x.lastHeartbeatAt > membership.AgentAnswerTimeout {
 			// A copy that was held back on its way. Nobody waits for its answer,
 			// and it must not count as the renewal of a lease.
 			reply(retryLater("an old report"))
@@ -58,9 +57,6 @@
 	reply(Answer{Status: http.StatusMisdirectedRequest, Body: protocol.Redirect{Controller: g.Controller}})
 }
 
-// workerPatience is how long a worker waits for the answer to a report.
-const agentAnswerTimeout = 4 * time.Second
-
 // report takes in what a worker says. Old news is ignored: held packets can
 // bring reports minutes late. asked is set where the worker waits for an answer;
 // otherwise the report itself answers a command and shows that those get through.
@@ -181,7 +177,7 @@
 func (h *reconciler) judgeReachability(x *agent, r *protocol.AgentHeartbeat, asked bool) {
 	now := h.controller.now()
 	w := h.controller.Settings.Cluster.Agents
-	patience := 2*w.HeartbeatInterval() + agentAnswerTimeout
+	patience := 2*w.HeartbeatInterval() + membership.AgentAnswerTimeout
 	if x.probeToken < x.grantToken {
 		x.probeToken, x.probedAt = x.grantToken, x.heldSince
 	}
--- a/internal/coordination/scaledown.go
+++ b/internal/coordination/scaledown.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/election"
 	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
@@ -25,7 +26,7 @@
 		if !m.Exists() {
 			return
 		}
-		note, known := f.leadership.machineStatus(m)
+		note, known := f.leadership.members.MachineStatus(m)
 		c.held[m.Shard]++
 		if known && note.Unresponsive {
 			c.unresponsive[m.Shard]++
@@ -34,7 +35,7 @@
 		// nothing either way.
 		switch {
 		case !known || !note.Seen && note.Tasks == 0:
-		case note.Silent > f.leadership.heartbeatTolerance():
+		case note.Silent > f.leadership.members.HeartbeatTolerance():
 			c.up[m.ZoneIndex]++
 			c.silent[m.ZoneIndex]++
 		case note.Seen:
@@ -54,7 +55,7 @@
 	n := f.leadership.controller
 	counts := f.countMachines()
 	for id, b := range n.view.MachineGroups {
-		if len(b.Machines) == 0 && b.FencingToken>>termShift < f.leadership.term {
+		if len(b.Machines) == 0 && election.TermOfToken(b.FencingToken) < f.leadership.Term() {
 			f.changes[id] = nil // it can go now
 		}
 	}
@@ -67,7 +68,7 @@
 	addressWritten := false
 	n.view.Machines.All(func(_ int, m *storage.Machine) {
 		if m.Phase == storage.PhaseDeleted {
-			delete(f.leadership.lastConfirmedStatus, m.Name)
+			f.leadership.members.ForgetMachine(m.Name)
 		}
 		if m.Group != "" && m.Phase == storage.PhaseDeleted && f.forgettable[m.Name] {
 			f.addChange(machineChange{machine: m, forget: true})
@@ -76,7 +77,7 @@
 		if !m.Exists() || m.Phase == storage.PhaseDecommissioning {
 			return
 		}
-		note, known := f.leadership.machineStatus(m)
+		note, known := f.leadership.members.MachineStatus(m)
 		if f.advanceDrained(m, note) || f.decommissionLost(m, note, known, counts) {
 			return
 		}
@@ -231,7 +232,7 @@
 		if x.machine.Phase != storage.PhaseDraining {
 			continue
 		}
-		note, known := f.leadership.machineStatus(x.machine)
+		note, known := f.leadership.members.MachineStatus(x.machine)
 		stuck := f.drainSince.heldFor(x.machine.Name, x.hostsService, now, drainStuckAfter)
 		if _, claimed := f.claims[x.machine.Name]; claimed {
 			continue
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -51,7 +51,7 @@
 func (n *Controller) countWaiting() int64 {
 	var count int64
 	n.view.Jobs.All(func(_ int, j *storage.Job) {
-		if !j.Ended() && j.AwaitsDependencies() && n.holdsShard(j.Shard) {
+		if !j.Ended() && j.AwaitsDependencies() && n.leases.Holds(j.Shard) {
 			count++
 		}
 	})
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
 
@@ -34,14 +33,14 @@
 			x.hostsService = x.hostsService || j.IsService()
 			x.reserve(t, j, 0.5)
 		}
-		note, known := l.machineStatus(m)
+		note, known := l.members.MachineStatus(m)
 		x.ready = known && note.Seen
 		if !x.ready {
 			x.bootSecondsLeft = max(0, t.BootSeconds-l.machineAge(m).Seconds())
 		}
 		patience := 3 * n.Settings.Cluster.Agents.HeartbeatInterval()
 		if l.provisioner.partitionedZones[m.ZoneIndex] {
-			patience = l.heartbeatTolerance()
+			patience = l.members.HeartbeatTolerance()
 		}
 		if known && (note.Faulty || note.Leaves || note.Unresponsive || (note.Seen || note.Tasks > 0) && note.Silent > patience) {
 			x.schedulable = false
@@ -58,17 +57,6 @@
 	return out
 }
 
-// note is what the holder of a machine last said of it.
-func (l *leadership) machineStatus(m *storage.Machine) (protocol.MachineStatus, bool) {
-	g := &l.controller.view.Grants[m.Shard]
-	p := l.peers[g.Controller]
-	if p == nil || p.incarnation != g.Incarnation {
-		return protocol.MachineStatus{}, false
-	}
-	i, ok := p.machines[m.Name]
-	return i, ok
-}
-
 // age is the time since a machine was rented.
 func (l *leadership) machineAge(m *storage.Machine) time.Duration {
 	return time.Duration(l.controller.Clock.Wall().UnixMilli()-m.RentedAtMS) * time.Millisecond
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/quota"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -66,7 +67,7 @@
 // the work that ends, beside other homes, and the leader has lately said that at
 // least two others are well. Where the leader is gone or few are left, it doesn't.
 func (n *Controller) prefersUsersElsewhere() bool {
-	return n.view.JobShards > 1 && n.holdsShard(0) && n.healthyPeerCount >= 2 && n.now()-n.leaderAnsweredAt < peerTimeout
+	return n.view.JobShards > 1 && n.leases.Holds(storage.BatchShard) && n.reporter.KnownHealthyPeers() >= 2
 }
 
 // Submit takes a job. It is accepted once its record is durable; the record's
@@ -199,15 +200,12 @@
 	if s.Kind != protocol.KindArray {
 		count = float64(s.Tasks)
 	}
-	if exceedsLimit(s.CPUs*count, t.MaxCPUs) || exceedsLimit(s.GPUs*count, t.MaxGPUs) {
+	if quota.Exceeds(s.CPUs*count, t.MaxCPUs) || quota.Exceeds(s.GPUs*count, t.MaxGPUs) {
 		return "needs more than the team's limit"
 	}
 	return ""
 }
 
-// over reports whether an amount exceeds a limit; 0 is no limit.
-func exceedsLimit(amount, limit float64) bool { return limit > 0 && amount > limit+1e-6 }
-
 // lookup finds out what has become of a job, as of now or later; nil without an
 // error means that it was never accepted. The cache is brought up to date first.
 // A job moves from the cache to its final record in one transaction, so one that
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"testing"
-	"time"
 
+	"rockrun/internal/coordination/membership"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -20,7 +20,7 @@
 		}
 	}
 	reply := func(well int) {
-		b.controller.onPeerHeartbeatReply(&protocol.PeerHeartbeatReply{Leader: true, Term: b.controller.view.Leader.Term, SentAt: b.now, HealthyPeers: well})
+		b.controller.reporter.OnReply(&protocol.PeerHeartbeatReply{Leader: true, Term: b.controller.view.Leader.Term, SentAt: b.now, HealthyPeers: well})
 	}
 	reply(4)
 	healthy(true, "with one home")
@@ -30,29 +30,10 @@
 	healthy(true, "with one other that is well")
 	reply(2)
 	healthy(false, "with two")
-	b.now += peerTimeout
+	b.now += membership.PeerTimeout
 	b.refreshKnowledge()
 	healthy(true, "without a word of the leader")
 	reply(2)
 	b.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 1, FencingToken: grantToken + 1<<24})
 	healthy(true, "once another holds the home")
 }
-
-// A leader counts as well who is alive and fresh, is not leaving, holds other work
-// and is not the one that asks.
-func TestWellControllers(t *testing.T) {
-	b := newTestController(t)
-	b.controller.controllers = []string{"a", "b", "c", "d", "e", "f"}
-	b.controller.view.Grants[0].Controller = "b"
-	at := b.now - time.Second
-	l := &leadership{controller: b.controller, peers: map[string]*peerState{
-		"a": {heardAt: at, fresh: true}, "b": {heardAt: at, fresh: true}, "c": {heardAt: at, fresh: true},
-		"d": {heardAt: at}, "e": {heardAt: b.now - 2*peerTimeout, fresh: true}, "f": {heardAt: at, fresh: true, leaving: true},
-	}}
-	if n := l.healthyControllersBesides("b"); n != 2 {
-		t.Errorf("%d are well beside the holder", n)
-	}
-	if n := l.healthyControllersBesides("a"); n != 1 {
-		t.Errorf("%d are well beside the leader", n)
-	}
-}
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 	"hash"
+	"slices"
 
 	"rockrun/internal/coordination"
 	"rockrun/internal/protocol"
@@ -56,7 +57,8 @@
 	for i := range h.UnrecordedAgents {
 		unrecorded = append(unrecorded, h.UnrecordedAgents[i].Machine)
 	}
-	t.sent(controller, "heartbeat", to, h.Controller, h.Incarnation, h.SentAt, h.Term, h.StoreStaleness, h.Leaving, h.Machines, unrecorded, h.QuotaSplitVersion, h.GrantsWithinQuota, h.ShardHeardAgo)
+	within := slices.Sorted(slices.Values(h.GrantsWithinQuota)) // a set
+	t.sent(controller, "heartbeat", to, h.Controller, h.Incarnation, h.SentAt, h.Term, h.StoreStaleness, h.Leaving, h.Machines, unrecorded, h.QuotaSplitVersion, within, h.ShardHeardAgo)
 }
 
 // replied takes in an answer to another controller.
--- a/internal/storage/cache.go
+++ b/internal/storage/cache.go
@@ -266,7 +266,12 @@
 	}
 }
 
-// TypeID returns the index of a machine type, known to the cloud or not.
+// GrantCondition makes a transaction depend on the grant of a shard as it stands.
+func (b *View) GrantCondition(shard int) protocol.Condition {
+	return protocol.Condition{Key: GrantKey(shard), Version: b.Grants[shard].Version}
+}
+
+// MachineTypeID returns the index of a machine type, known to the cloud or not.
 func (b *View) MachineTypeID(name string) int {
 	i := b.MachineTypeNames.ID(name)
 	for len(b.MachineTypes) <= i {
--- a/internal/storage/job.go
+++ b/internal/storage/job.go
@@ -6,6 +6,10 @@
 	"rockrun/internal/protocol"
 )
 
+// BatchShard is the job shard of all jobs that end by themselves. Services belong to the
+// other job shards where there are any.
+const BatchShard = 0
+
 // Job is an unfinished job, or one that is over while something still names it.
 type Job struct {
 	protocol.JobSpec
