--- a/internal/coordination/blocks.go
+++ b/internal/coordination/blocks.go
@@ -24,7 +24,7 @@
 // change is what a machine's entry is to become.
 type machineChange struct {
 	machine         *storage.Machine
-	phase           string
+	phase           storage.MachinePhase
 	reason          string
 	drainStamp      uint64 // of a drain that goes on; one that begins gets its own when it is written
 	evict           bool   // of a drain: its tasks are stopped
@@ -106,7 +106,7 @@
 }
 
 // phase moves a machine on. A return is recorded first and never undone.
-func (f *provisioner) setPhase(m *storage.Machine, phase, why string) {
+func (f *provisioner) setPhase(m *storage.Machine, phase storage.MachinePhase, why string) {
 	f.addChange(machineChange{machine: m, phase: phase, reason: why})
 }
 
--- a/internal/coordination/record_size_test.go
+++ b/internal/coordination/record_size_test.go
@@ -79,7 +79,7 @@
 func TestNewTasksAreWrittenFirst(t *testing.T) {
 	b := newFleetController(t)
 	w := b.controller.reconciler.writers[0]
-	leave := func(machine int, phase string) {
+	leave := func(machine int, phase storage.MachinePhase) {
 		x := b.controller.reconciler.agents[fleetMachineName(machine)]
 		x.machine.Phase = phase
 		for _, ref := range sortedTasks(x.attempts) {
--- a/internal/storage/machine.go
+++ b/internal/storage/machine.go
@@ -13,7 +13,7 @@
 	Spot         bool
 	Shard        int
 	FencingToken uint64
-	Phase        string
+	Phase        MachinePhase
 	DrainStamp   uint64
 	Evict        bool
 	RentedAtMS   int64 // when it was rented
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -101,12 +101,16 @@
 	FencingToken uint64 `json:"token"`
 }
 
-// Phases of a machine.
+// MachinePhase is where a machine stands between its rental and its deletion. A machine
+// entry without a phase is active.
+type MachinePhase string
+
+// Phases of a machine, as they are stored.
 const (
-	PhaseActive          = "active"    // takes tasks
-	PhaseDraining        = "drain"     // takes no new tasks, goes back once empty
-	PhaseDecommissioning = "returning" // is being deleted; never undone
-	PhaseDeleted         = "gone"      // deleted; kept until the cloud's lists have forgotten it
+	PhaseActive          MachinePhase = "active"    // takes tasks
+	PhaseDraining        MachinePhase = "drain"     // takes no new tasks, is decommissioned once empty
+	PhaseDecommissioning MachinePhase = "returning" // is being deleted at the cloud; never undone
+	PhaseDeleted         MachinePhase = "gone"      // deleted; kept until the cloud's lists have forgotten it
 )
 
 // BlockRecord is the leader's record of a block: machines of one pool that were
@@ -124,12 +128,12 @@
 
 // BlockMachine is what differs among the machines of a block.
 type MachineEntry struct {
-	Name        string `json:"n"`
-	Address     string `json:"a,omitempty"`
-	Phase       string `json:"p,omitempty"` // none: active
-	DrainStamp  uint64 `json:"d,omitempty"` // stamp of the drain: the holder's word that the machine is empty names it
-	DeletedAtMS int64  `json:"g,omitempty"` // time of day when it was deleted
-	Evict       bool   `json:"y,omitempty"` // of a drain: what can be started elsewhere is stopped
+	Name        string       `json:"n"`
+	Address     string       `json:"a,omitempty"`
+	Phase       MachinePhase `json:"p,omitempty"` // none: active
+	DrainStamp  uint64       `json:"d,omitempty"` // stamp of the drain: the holder's word that the machine is empty names it
+	DeletedAtMS int64        `json:"g,omitempty"` // time of day when it was deleted
+	Evict       bool         `json:"y,omitempty"` // of a drain: what can be started elsewhere is stopped
 }
 
 // HomesRecord says into how many homes the work is split. It is written once.
