--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/placement"
+
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -54,7 +56,7 @@
 		list = append(list, a)
 	}
 	slices.SortFunc(list, func(a, b *attempt) int {
-		return cmp.Or(compareBool(b.stopRequested, a.stopRequested), cmp.Compare(a.plannedAt, b.plannedAt), cmp.Compare(a.job.Index, b.job.Index), cmp.Compare(a.task, b.task))
+		return cmp.Or(placement.CompareBool(b.stopRequested, a.stopRequested), cmp.Compare(a.plannedAt, b.plannedAt), cmp.Compare(a.job.Index, b.job.Index), cmp.Compare(a.task, b.task))
 	})
 	for _, a := range list {
 		if c, needed := h.commandFor(x, a); needed {
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strings"
 
+	"rockrun/internal/coordination/placement"
 	"rockrun/internal/coordination/quota"
 	"rockrun/internal/storage"
 )
@@ -121,7 +122,7 @@
 	if j.DeadlineSeconds <= 0 {
 		return math.Inf(1)
 	}
-	return j.DeadlineSeconds - expectedRunSeconds(j) - float64(l.controller.Clock.Wall().UnixMilli()-j.SubmittedAtMS)/1000
+	return j.DeadlineSeconds - placement.ExpectedRunSeconds(j) - float64(l.controller.Clock.Wall().UnixMilli()-j.SubmittedAtMS)/1000
 }
 
 // shape is what makes demands alike.
@@ -160,10 +161,10 @@
 	n := l.controller
 	list, used := l.runnableJobs()
 	inZones := l.tasksInZones(list)
-	sortPendingJobs(list, false)
+	placement.Sort(list, false)
 	var out []demand
 	for _, w := range list {
-		j := w.job
+		j := w.Job
 		count := tasksWithinLimit(j, &n.view.Teams[j.TeamIndex], &used[j.TeamIndex])
 		if count <= 0 {
 			continue
@@ -178,10 +179,10 @@
 }
 
 // runnable lists the jobs with tasks to place, and what each team uses already.
-func (l *leadership) runnableJobs() (list []pendingJob, used []quota.Usage) {
+func (l *leadership) runnableJobs() (list []placement.Candidate, used []quota.Usage) {
 	n := l.controller
 	used = make([]quota.Usage, len(n.view.Teams))
-	nowMS := n.Clock.Wall().UnixMilli()
+	wall := n.Clock.Wall()
 	n.view.Jobs.All(func(_ int, j *storage.Job) {
 		if j.TeamIndex < 0 {
 			return
@@ -189,9 +190,8 @@
 		used[j.TeamIndex].CPUs += j.CPUs * float64(len(j.IntendedTasks))
 		used[j.TeamIndex].GPUs += j.GPUs * float64(len(j.IntendedTasks))
 		if j.Runnable() && j.Shard >= 0 && j.OpenTasks() > 0 {
-			w := pendingJob{job: j, rank: n.view.EffectiveRank(j)}
-			w.rate(j.Tasks-j.CompletedCount, j.RunningTasks() > 0 || j.CompletedCount > 0, n.Settings.Cluster.Objectives, nowMS)
-			list = append(list, w)
+			progress := placement.Progress{Remaining: j.Tasks - j.CompletedCount, Begun: j.RunningTasks() > 0 || j.CompletedCount > 0}
+			list = append(list, placement.NewCandidate(j, n.view.EffectiveRank(j), progress, n.Settings.Cluster.Objectives, wall))
 		}
 	})
 	return list, used
@@ -199,11 +199,11 @@
 
 // tasksInZones counts, for each job of a list to which it matters, the tasks that may
 // be in each zone.
-func (l *leadership) tasksInZones(list []pendingJob) map[int][]int {
+func (l *leadership) tasksInZones(list []placement.Candidate) map[int][]int {
 	n := l.controller
 	counts := map[int][]int{}
 	for _, w := range list {
-		if j := w.job; j.Spread && j.Tasks > 1 || j.OneZone && j.RunningTasks() > 0 {
+		if j := w.Job; j.Spread && j.Tasks > 1 || j.OneZone && j.RunningTasks() > 0 {
 			counts[j.Index] = make([]int, n.view.ZoneNames.Len())
 		}
 	}
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/placement"
+
 	"rockrun/internal/coordination/election"
 	"rockrun/internal/coordination/quota"
 	"rockrun/internal/protocol"
@@ -30,7 +32,7 @@
 	if len(list) == 0 {
 		return
 	}
-	r := &placementRound{reconciler: h, now: now, agents: h.agentsWithCapacity(smallestTask(list), now), promised: map[*agent]*resources{}}
+	r := &placementRound{reconciler: h, now: now, agents: h.agentsWithCapacity(smallestTask(list), now), promised: map[*agent]*placement.Resources{}}
 	for _, w := range list {
 		r.place(w)
 	}
@@ -39,12 +41,11 @@
 	}
 }
 
-// leastRoom is the least that any waiting task takes.
-func smallestTask(list []pendingJob) resources {
-	least := list[0].job
-	need := resources{least.CPUs, least.GPUs, least.MemoryGB}
+// smallestTask is the least that any waiting task takes.
+func smallestTask(list []pendingJob) placement.Resources {
+	need := placement.TaskNeeds(list[0].Job)
 	for _, w := range list {
-		need = resources{min(need.cpus, w.job.CPUs), min(need.gpus, w.job.GPUs), min(need.memory, w.job.MemoryGB)}
+		need = need.Min(placement.TaskNeeds(w.Job))
 	}
 	return need
 }
@@ -53,8 +54,8 @@
 type placementRound struct {
 	reconciler    *reconciler
 	now           time.Duration
-	agents        []*agent              // with room for the least of the tasks
-	promised      map[*agent]*resources // room that stops under way will leave
+	agents        []*agent                        // with room for the least of the tasks
+	promised      map[*agent]*placement.Resources // room that stops under way will leave
 	placed        bool
 	unplaceable   []*storage.Job // jobs for which there is no place; larger ones of their kind need not look
 	unpreemptable []pendingJob   // jobs for which nothing can be stopped
@@ -63,20 +64,20 @@
 // place gives the tasks of one job to machines.
 func (r *placementRound) place(w pendingJob) {
 	h := r.reconciler
-	if w.job.Kind == protocol.KindGang {
+	if w.Job.Kind == protocol.KindGang {
 		h.placeGang(r.agents, w, r.promised, r.now)
 		return
 	}
-	if w.job.OneZone && w.progress.attempts == 0 {
+	if w.Job.OneZone && w.progress.attempts == 0 {
 		if zone := h.gatheringZone(w); zone >= 0 {
 			there := slices.DeleteFunc(slices.Clone(r.agents), func(x *agent) bool { return x.machine.ZoneIndex != zone })
 			r.placed = h.placeTasks(there, w, r.now) || r.placed
 			return
 		}
 	}
-	hopeless := slices.ContainsFunc(r.unplaceable, func(j *storage.Job) bool { return dominates(w.job, j) })
-	promises, open := 0, max(1, w.job.Tasks-w.progress.completedCount-w.progress.attempts)
-	for task := h.nextOpenTask(w.job, w.progress); task >= 0 && h.underQuota(w.job); task = h.nextOpenTask(w.job, w.progress) {
+	hopeless := slices.ContainsFunc(r.unplaceable, func(j *storage.Job) bool { return placement.Dominates(w.Job, j) })
+	promises, open := 0, max(1, w.Job.Tasks-w.progress.completedCount-w.progress.attempts)
+	for task := h.nextOpenTask(w.Job, w.progress); task >= 0 && h.underQuota(w.Job); task = h.nextOpenTask(w.Job, w.progress) {
 		if !hopeless && r.placeTask(w, task) {
 			continue
 		}
@@ -91,15 +92,15 @@
 // placeTask gives a task to a machine, if there is one for it.
 func (r *placementRound) placeTask(w pendingJob, task int) bool {
 	h := r.reconciler
-	x := h.chooseAgent(r.agents, w.job, task, r.now)
+	x := h.chooseAgent(r.agents, w.Job, task, r.now)
 	if x == nil {
-		if !w.job.OneZone && !w.job.Spread {
-			r.unplaceable = append(r.unplaceable, w.job)
+		if !w.Job.OneZone && !w.Job.Spread {
+			r.unplaceable = append(r.unplaceable, w.Job)
 		}
 		return false
 	}
 	r.placed = true
-	h.planAttempt(w.job, task, x, h.nextAttemptNumber(x), r.now)
+	h.planAttempt(w.Job, task, x, h.nextAttemptNumber(x), r.now)
 	return true
 }
 
@@ -118,13 +119,13 @@
 
 // placeTasks gives as many tasks of a job to machines as these take.
 func (h *reconciler) placeTasks(machines []*agent, w pendingJob, now time.Duration) (placed bool) {
-	for task := h.nextOpenTask(w.job, w.progress); task >= 0 && h.underQuota(w.job); task = h.nextOpenTask(w.job, w.progress) {
-		x := h.chooseAgent(machines, w.job, task, now)
+	for task := h.nextOpenTask(w.Job, w.progress); task >= 0 && h.underQuota(w.Job); task = h.nextOpenTask(w.Job, w.progress) {
+		x := h.chooseAgent(machines, w.Job, task, now)
 		if x == nil {
 			break
 		}
 		placed = true
-		h.planAttempt(w.job, task, x, h.nextAttemptNumber(x), now)
+		h.planAttempt(w.Job, task, x, h.nextAttemptNumber(x), now)
 	}
 	return placed
 }
@@ -140,15 +141,15 @@
 // would come up for nothing. It is -1 where no machine can take any.
 func (h *reconciler) gatheringZone(w pendingJob) int {
 	rooms, ready := map[int]int{}, map[int]int{}
-	open := w.job.Tasks - w.progress.completedCount
-	waited := time.Duration(h.controller.Clock.Wall().UnixMilli()-w.job.ReadyAtMS()) * time.Millisecond
+	open := w.Job.Tasks - w.progress.completedCount
+	waited := time.Duration(h.controller.Clock.Wall().UnixMilli()-w.Job.ReadyAtMS()) * time.Millisecond
 	best := -1
 	for _, x := range h.sortedAgents {
 		booting := x.sequence == 0 && len(x.machine.Intents) == 0 && waited < gatherPatience
-		if x.shard != w.job.Shard || x.machine.Phase != storage.PhaseActive || !h.controller.view.Eligible(w.job, x.machine) || !booting && !h.schedulable(x, h.controller.now()) {
+		if x.shard != w.Job.Shard || x.machine.Phase != storage.PhaseActive || !h.controller.view.Eligible(w.Job, x.machine) || !booting && !h.schedulable(x, h.controller.now()) {
 			continue
 		}
-		count := h.freeCapacity(x).count(w.job)
+		count := h.freeCapacity(x).Count(w.Job)
 		rooms[x.machine.ZoneIndex] += count
 		if !booting {
 			ready[x.machine.ZoneIndex] += count
@@ -166,17 +167,11 @@
 	return best
 }
 
-// harder reports whether a place for a would also be one for b.
-func dominates(a, b *storage.Job) bool {
-	return a.Shard == b.Shard && a.CPUs >= b.CPUs && a.GPUs >= b.GPUs && a.MemoryGB >= b.MemoryGB && (b.Spot || !a.Spot) &&
-		(b.ZoneIndex < 0 || a.ZoneIndex == b.ZoneIndex) && (len(b.MachineTypeIndices) == 0 || slices.Equal(a.MachineTypeIndices, b.MachineTypeIndices))
-}
-
 // roomy lists the machines that take new tasks now and have some room.
-func (h *reconciler) agentsWithCapacity(need resources, now time.Duration) []*agent {
+func (h *reconciler) agentsWithCapacity(need placement.Resources, now time.Duration) []*agent {
 	var list []*agent
 	for _, x := range h.sortedAgents {
-		if r := h.freeCapacity(x); r.cpus+1e-6 >= need.cpus && r.gpus+1e-6 >= need.gpus && r.memory+1e-6 >= need.memory && h.schedulable(x, now) {
+		if h.freeCapacity(x).Covers(need) && h.schedulable(x, now) {
 			list = append(list, x)
 		}
 	}
@@ -209,8 +204,8 @@
 
 // placeGang places all open tasks of a gang or none, and only once no attempt
 // of an earlier round is left: a gang that has lost a task starts over.
-func (h *reconciler) placeGang(machines []*agent, w pendingJob, promised map[*agent]*resources, now time.Duration) {
-	j := w.job
+func (h *reconciler) placeGang(machines []*agent, w pendingJob, promised map[*agent]*placement.Resources, now time.Duration) {
+	j := w.Job
 	if slices.ContainsFunc(w.progress.attemptsByZone, func(n int) bool { return n > 0 }) {
 		return
 	}
@@ -276,40 +271,10 @@
 		now >= x.quarantinedUntil && now-min(x.lastHeartbeatAt, x.lastAnsweredAt) < 2*report+time.Second
 }
 
-// room is what is left on a machine.
-type resources struct{ cpus, gpus, memory float64 }
-
-func (r resources) fits(j *storage.Job) bool {
-	return j.CPUs <= r.cpus+1e-6 && j.GPUs <= r.gpus+1e-6 && j.MemoryGB <= r.memory+1e-6
-}
-
-// count is how many tasks of a job fit.
-func (r resources) count(j *storage.Job) int {
-	n := 0
-	for r.fits(j) && n < j.Tasks {
-		r.subtract(j)
-		n++
-	}
-	return n
-}
-
-// take takes off what a task of a job needs.
-func (r *resources) subtract(j *storage.Job) {
-	r.cpus -= j.CPUs
-	r.gpus -= j.GPUs
-	r.memory -= j.MemoryGB
-}
-
-// leave adds what a task of a job will leave.
-func (r *resources) add(j *storage.Job) {
-	r.cpus += j.CPUs
-	r.gpus += j.GPUs
-	r.memory += j.MemoryGB
-}
-
-func (h *reconciler) freeCapacity(x *agent) resources {
+// freeCapacity is what is left on a machine.
+func (h *reconciler) freeCapacity(x *agent) placement.Resources {
 	t := &h.controller.view.MachineTypes[x.machine.TypeIndex]
-	return resources{t.CPUs - x.cpus, t.GPUs - x.gpus, t.MemoryGB - x.memory}
+	return placement.Resources{CPUs: t.CPUs - x.cpus, GPUs: t.GPUs - x.gpus, MemoryGB: t.MemoryGB - x.memory}
 }
 
 // choose picks the machine for a task among usable ones: spot before ordinary
@@ -320,7 +285,7 @@
 	var bestScore float64
 	p := h.progress(j)
 	for _, x := range machines {
-		if !h.freeCapacity(x).fits(j) || !h.placementAllowed(x, j, p) || listsTask(x, j, task) || !h.schedulable(x, now) {
+		if !h.freeCapacity(x).Fits(j) || !h.placementAllowed(x, j, p) || listsTask(x, j, task) || !h.schedulable(x, now) {
 			continue
 		}
 		score := 0.0
--- /dev/null
+++ b/internal/coordination/placement/order_test.go
@@ -0,0 +1,114 @@
+package placement
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"rockrun/internal/config"
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+// testCandidate is a job of an identifier that was submitted at a time, with all else
+// equal to every other.
+func testCandidate(id string, submittedAtMS int64) Candidate {
+	return Candidate{Job: &storage.Job{JobSpec: protocol.JobSpec{ID: id}, SubmittedAtMS: submittedAtMS}, Rank: 2, Weight: 1}
+}
+
+// TestCompare: each rule of the order alone. The job "first" differs from "second" by the
+// rule, and by every later rule in the other direction.
+func TestCompare(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		longLateFirst bool
+		change        func(first, second *Candidate)
+	}{
+		{"priority", false, func(first, second *Candidate) {
+			first.Rank, second.Starved, second.WithinGuarantee = 1, true, true
+		}},
+		{"starved", false, func(first, second *Candidate) { first.Starved, second.WithinGuarantee = true, true }},
+		{"within the guarantee", false, func(first, second *Candidate) { first.WithinGuarantee, first.LongLate = true, true }},
+		{"late for long goes last", false, func(first, second *Candidate) { second.LongLate, second.Weight = true, 0 }},
+		{"late for long goes first at its turn", true, func(first, second *Candidate) { first.LongLate, first.Late = true, true }},
+		{"in time before late", false, func(first, second *Candidate) { second.Late, first.Weight = true, 9 }},
+		{"less work for the time waited", false, func(first, second *Candidate) { first.Weight, first.Job.SubmittedAtMS = 0.5, 900 }},
+		{"arrival", false, func(first, second *Candidate) { first.Job.SubmittedAtMS, first.Job.ID = 100, "z" }},
+		{"identifier", false, func(first, second *Candidate) {}},
+	} {
+		first, second := testCandidate("a", 500), testCandidate("b", 500)
+		c.change(&first, &second)
+		if Compare(&first, &second, c.longLateFirst) != -1 || Compare(&second, &first, c.longLateFirst) != 1 {
+			t.Errorf("%s: the order is %d and %d", c.name, Compare(&first, &second, c.longLateFirst), Compare(&second, &first, c.longLateFirst))
+		}
+		list := []Candidate{second, first}
+		if Sort(list, c.longLateFirst); list[0].Job != first.Job {
+			t.Errorf("%s: the other comes first", c.name)
+		}
+	}
+}
+
+// TestSortIsTotal: whatever the order in which jobs are looked at, they are sorted alike.
+func TestSortIsTotal(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
+	var list []Candidate
+	for i := range 200 {
+		c := testCandidate(string(rune('A'+i)), int64(random.IntN(3)))
+		c.Rank, c.Starved, c.WithinGuarantee = random.IntN(2), random.IntN(2) == 0, random.IntN(2) == 0
+		c.Late, c.LongLate, c.Weight = random.IntN(2) == 0, random.IntN(2) == 0, float64(random.IntN(2))
+		list = append(list, c)
+	}
+	Sort(list, false)
+	shuffled := slices.Clone(list)
+	random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+	Sort(shuffled, false)
+	if !slices.Equal(list, shuffled) {
+		t.Error("another order from another start")
+	}
+}
+
+// TestNewCandidate: weight, lateness and starvation of a job by its age. It was submitted
+// at 0 s and takes 20 s a task.
+func TestNewCandidate(t *testing.T) {
+	objectives := []config.Objective{
+		{Kind: "finished", Class: "report", WithinSeconds: 60},
+		{Kind: "deadline", Class: "report", DeadlineFactor: 2},
+		{Kind: "finished", Class: "other", WithinSeconds: 1},
+	}
+	for _, c := range []struct {
+		name       string
+		ageSeconds float64
+		progress   Progress
+		change     func(*storage.Job)
+		want       Candidate
+	}{
+		{"new", 0, Progress{Remaining: 10}, nil, Candidate{Weight: 20}},
+		{"less is left", 0, Progress{Remaining: 5, Begun: true}, nil, Candidate{Weight: 10}},
+		{"half as heavy once it has waited a run", 20, Progress{Remaining: 10}, nil, Candidate{Weight: 10}},
+		{"takes next to no CPU", 0, Progress{Remaining: 10}, func(j *storage.Job) { j.CPUs = 0 }, Candidate{Weight: 1}},
+		{"just in time for its objective", 40, Progress{Remaining: 3}, nil, Candidate{Weight: 2}},
+		{"too late for its objective", 60, Progress{Remaining: 4}, nil, Candidate{Weight: 2, Late: true}},
+		{"its deadline and not the other objective", 60, Progress{Remaining: 4}, func(j *storage.Job) { j.DeadlineSeconds = 40 }, Candidate{Weight: 2}},
+		{"too late for twice its deadline", 80, Progress{Remaining: 5}, func(j *storage.Job) { j.DeadlineSeconds = 40 }, Candidate{Weight: 2, Late: true}},
+		{"a class without objectives", 80, Progress{Remaining: 5}, func(j *storage.Job) { j.Class = "none" }, Candidate{Weight: 2}},
+		{"starved", 101, Progress{Remaining: 10}, func(j *storage.Job) { j.Class = "none" }, Candidate{Weight: 400.0 / 121, Starved: true}},
+		{"not starved: some has begun", 101, Progress{Remaining: 10, Begun: true}, func(j *storage.Job) { j.Class = "none" }, Candidate{Weight: 400.0 / 121}},
+		{"late for long goes by arrival", 161, Progress{Remaining: 10, Begun: true}, nil, Candidate{Late: true, LongLate: true}},
+		{"a service has neither weight nor limit", 161, Progress{Remaining: 10}, func(j *storage.Job) { j.Kind = protocol.KindService }, Candidate{Starved: true}},
+	} {
+		j := &storage.Job{JobSpec: protocol.JobSpec{ID: "run-1", Class: "report", Kind: protocol.KindArray, Tasks: 10, CPUs: 2, EstimateSeconds: 20}}
+		if c.change != nil {
+			c.change(j)
+		}
+		c.want.Job, c.want.Rank = j, 3
+		got := NewCandidate(j, 3, c.progress, objectives, time.UnixMilli(int64(c.ageSeconds*1000)))
+		if difference := got.Weight - c.want.Weight; difference > 1e-9 || difference < -1e-9 {
+			t.Errorf("%s: weight %v, not %v", c.name, got.Weight, c.want.Weight)
+		}
+		got.Weight = c.want.Weight
+		if got != c.want {
+			t.Errorf("%s: %+v, not %+v", c.name, got, c.want)
+		}
+	}
+}
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 	"time"
+
+	"rockrun/internal/coordination/placement"
 )
 
 // mayStop reports whether work may be stopped to make room for a waiting job.
@@ -11,7 +13,7 @@
 	// What waits has its own priority, what may be stopped the highest of those that
 	// need it: a cheap first stage of a pipeline stops nothing and isn't stopped.
 	rank := h.controller.view.EffectiveRank(a.job)
-	if rank > w.job.Rank() {
+	if rank > w.Job.Rank() {
 		return true
 	}
 	// Guaranteed share comes before what another team has borrowed. A service is
@@ -20,7 +22,7 @@
 	// Nor is what goes before the waiting job in order, or is within its own team's
 	// guarantee, or has starved before: it would take the room back, and the two would
 	// stop each other for ever.
-	if !w.withinGuarantee || a.job.TeamIndex == w.job.TeamIndex || a.job.IsService() || a.progress.withinGuarantee || a.progress.starved || rank < w.rank {
+	if !w.WithinGuarantee || a.job.TeamIndex == w.Job.TeamIndex || a.job.IsService() || a.progress.withinGuarantee || a.progress.starved || rank < w.Rank {
 		return false
 	}
 	b := h.controller.view
@@ -31,17 +33,17 @@
 // mayMakeRoom reports whether there can be anything that may be stopped for a
 // job, before every machine is looked at.
 func (h *reconciler) preemptionPossible(w pendingJob) bool {
-	for rank := w.job.Rank() + 1; rank < maxRank; rank++ {
+	for rank := w.Job.Rank() + 1; rank < maxRank; rank++ {
 		if h.liveAttemptsByRank[rank] > 0 {
 			return true
 		}
 	}
-	if !w.withinGuarantee {
+	if !w.WithinGuarantee {
 		return false
 	}
 	b := h.controller.view
-	for i, u := range h.usageOf(w.job.Shard) {
-		if t := &b.Teams[i]; i != w.job.TeamIndex && u.CPUs > b.QuotaShare(t, w.job.Shard, t.GuaranteedCPUs) {
+	for i, u := range h.usageOf(w.Job.Shard) {
+		if t := &b.Teams[i]; i != w.Job.TeamIndex && u.CPUs > b.QuotaShare(t, w.Job.Shard, t.GuaranteedCPUs) {
 			return true
 		}
 	}
@@ -52,16 +54,16 @@
 // too, and a place for w would do for it. Looking costs a look at everything that runs,
 // so where it was in vain for one job it is left out for those like it.
 func (w pendingJob) preemptsNoMoreThan(other pendingJob) bool {
-	return dominates(w.job, other.job) && w.job.Rank() >= other.job.Rank() && w.rank >= other.rank && !w.job.Spread && !other.job.Spread && !other.job.OneZone &&
-		(!w.withinGuarantee || other.withinGuarantee && w.job.TeamIndex == other.job.TeamIndex)
+	return placement.Dominates(w.Job, other.Job) && w.Job.Rank() >= other.Job.Rank() && w.Rank >= other.Rank && !w.Job.Spread && !other.Job.Spread && !other.Job.OneZone &&
+		(!w.WithinGuarantee || other.WithinGuarantee && w.Job.TeamIndex == other.Job.TeamIndex)
 }
 
 // makeRoom stops the least work that lets one task of a job start; false when
 // nothing can be done.
-func (h *reconciler) preemptFor(w pendingJob, promised map[*agent]*resources, now time.Duration) bool {
+func (h *reconciler) preemptFor(w pendingJob, promised map[*agent]*placement.Resources, now time.Duration) bool {
 	var best *preemption
 	for _, x := range h.sortedAgents {
-		if !h.schedulable(x, now) || !h.placementAllowed(x, w.job, w.progress) {
+		if !h.schedulable(x, now) || !h.placementAllowed(x, w.Job, w.progress) {
 			continue
 		}
 		if e := h.preemptionOn(x, w, promised[x], now); e != nil && (best == nil || e.cost < best.cost) {
@@ -76,9 +78,9 @@
 		if a.job.CheckpointSeconds > 0 {
 			a.graceSeconds = a.job.SaveSeconds
 		}
-		h.controller.Log.Info("preempt", "job", a.job.ID, "task", a.task, "machine", best.agent.machine.Name, "for", w.job.ID)
+		h.controller.Log.Info("preempt", "job", a.job.ID, "task", a.task, "machine", best.agent.machine.Name, "for", w.Job.ID)
 	}
-	best.remaining.subtract(w.job)
+	best.remaining.Subtract(w.Job)
 	promised[best.agent] = &best.remaining
 	return true
 }
@@ -87,14 +89,14 @@
 type preemption struct {
 	agent     *agent
 	victims   []*attempt
-	remaining resources // on the machine, with the victims gone
+	remaining placement.Resources // on the machine, with the victims gone
 	cost      float64
 }
 
 // evictionOn works out what must be stopped on a machine so that a task fits, or nil
 // where that is not enough. promised is the room that stops under way will leave there,
 // after what it was promised to; nil where it was promised to nobody.
-func (h *reconciler) preemptionOn(x *agent, w pendingJob, promised *resources, now time.Duration) *preemption {
+func (h *reconciler) preemptionOn(x *agent, w pendingJob, promised *placement.Resources, now time.Duration) *preemption {
 	e := &preemption{agent: x, remaining: h.freeCapacity(x)}
 	if promised != nil {
 		e.remaining = *promised
@@ -105,7 +107,7 @@
 		case !a.live():
 		case a.stopRequested:
 			if promised == nil {
-				e.remaining.add(a.job)
+				e.remaining.Add(a.job)
 			}
 		case h.mayPreempt(w, a):
 			list = append(list, a)
@@ -115,14 +117,14 @@
 		return cmp.Or(cmp.Compare(b.job.Rank(), a.job.Rank()), cmp.Compare(b.plannedAt, a.plannedAt), cmp.Compare(a.number, b.number), cmp.Compare(a.task, b.task))
 	})
 	for _, a := range list {
-		if e.remaining.fits(w.job) {
+		if e.remaining.Fits(w.Job) {
 			break
 		}
-		e.remaining.add(a.job)
+		e.remaining.Add(a.job)
 		e.cost += 1 + a.job.CPUs*(now-a.plannedAt).Seconds()
 		e.victims = append(e.victims, a)
 	}
-	if !e.remaining.fits(w.job) {
+	if !e.remaining.Fits(w.Job) {
 		return nil
 	}
 	return e
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/record_writer.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/placement"
+
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -301,7 +303,7 @@
 	}
 	slices.SortStableFunc(free, func(a, b *intentPage) int {
 		// One that is to be written soonest, or anyway, comes first.
-		return cmp.Or(cmp.Compare(b.newAttempts, a.newAttempts), compareBool(b.dirty, a.dirty), cmp.Compare(a.bytes, b.bytes))
+		return cmp.Or(cmp.Compare(b.newAttempts, a.newAttempts), placement.CompareBool(b.dirty, a.dirty), cmp.Compare(a.bytes, b.bytes))
 	})
 	// A write costs the same however much of a page is new. Among full pages each
 	// would carry the few entries that have just ended there, and where writes are
--- a/internal/coordination/sizing.go
+++ b/internal/coordination/sizing.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 
+	"rockrun/internal/coordination/placement"
+
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -53,8 +55,8 @@
 	zone               int
 	spot               bool
 	shard              int
-	free               resources
-	freeBesideServices resources // what is left beside services: other work gives way to them
+	free               placement.Resources
+	freeBesideServices placement.Resources // what is left beside services: other work gives way to them
 	hostsService       bool
 	ready              bool // up and under its holder's grant
 	schedulable        bool // may take new tasks
@@ -81,13 +83,10 @@
 	if j.IsService() {
 		x.serviceShare += machineShare(t, j)
 	} else {
-		x.reservedSeconds += machineShare(t, j) * expectedRunSeconds(j) * part
+		x.reservedSeconds += machineShare(t, j) * placement.ExpectedRunSeconds(j) * part
 	}
 }
 
-// runS is how long a task of a job is expected to run.
-func expectedRunSeconds(j *storage.Job) float64 { return max(j.EstimateSeconds, 1) }
-
 // rent is a decision to rent machines.
 type scaleOut struct {
 	machinePool
@@ -182,10 +181,10 @@
 	for _, x := range s.supply {
 		// Beside the services there must be room for one: a machine that always has
 		// a replica on it never serves a task that takes all of it.
-		if !x.schedulable || x.shard != d.shard || d.allowedIn(x.zone) < 1 || !s.eligible(x, d.job) || !x.freeBesideServices.fits(d.job) {
+		if !x.schedulable || x.shard != d.shard || d.allowedIn(x.zone) < 1 || !s.eligible(x, d.job) || !x.freeBesideServices.Fits(d.job) {
 			continue
 		}
-		each := machineShare(&s.types[x.machineType], d.job) * expectedRunSeconds(d.job)
+		each := machineShare(&s.types[x.machineType], d.job) * placement.ExpectedRunSeconds(d.job)
 		time := (horizon-x.bootSecondsLeft)*(1-x.serviceShare) - x.reservedSeconds
 		if time <= 0 {
 			continue
@@ -206,7 +205,7 @@
 	if j.IsService() {
 		r = x.freeBesideServices
 	}
-	return r.fits(j) && s.eligible(x, j)
+	return r.Fits(j) && s.eligible(x, j)
 }
 
 func (s *scalingInput) eligible(x *machineSupply, j *storage.Job) bool {
@@ -266,16 +265,16 @@
 
 // newSupply is a machine that is not there yet.
 func newMachineSupply(t *protocol.MachineType, p machinePool, shard int) *machineSupply {
-	r := resources{t.CPUs, t.GPUs, t.MemoryGB}
+	r := placement.MachineCapacity(t)
 	return &machineSupply{machineType: p.machineType, zone: p.zone, spot: p.spot, shard: shard, schedulable: true, free: r, freeBesideServices: r, bootSecondsLeft: t.BootSeconds}
 }
 
 // fill gives a machine as much of a demand as it takes.
 func (s *scalingInput) fill(x *machineSupply, d *demand) {
 	for x.schedulable && x.shard == d.shard && d.allowedIn(x.zone) > 0 && s.hasRoomFor(x, d.job) {
-		x.free.subtract(d.job)
+		x.free.Subtract(d.job)
 		if d.job.IsService() {
-			x.freeBesideServices.subtract(d.job)
+			x.freeBesideServices.Subtract(d.job)
 		}
 		x.reserve(&s.types[x.machineType], d.job, 1)
 		d.take(x.zone)
@@ -377,8 +376,8 @@
 		return 0
 	}
 	n := 0
-	for r := x.freeBesideServices; r.fits(d.job); n++ {
-		r.subtract(d.job)
+	for r := x.freeBesideServices; r.Fits(d.job); n++ {
+		r.Subtract(d.job)
 	}
 	return n
 }
--- a/internal/coordination/sizing_test.go
+++ b/internal/coordination/sizing_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"rockrun/internal/coordination/placement"
+
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -138,7 +140,7 @@
 		{"and has time for all", protocol.KindArray, func(s *scalingInput) { s.supply = []*machineSupply{up(s)} }, 0},
 		{"a machine that is busy beyond that", protocol.KindArray, func(s *scalingInput) {
 			x := up(s)
-			x.free, x.reservedSeconds = resources{}, 60
+			x.free, x.reservedSeconds = placement.Resources{}, 60
 			s.supply = []*machineSupply{x}
 		}, 10},
 	} {
@@ -218,7 +220,7 @@
 		{"not up", false, 1, func(x *machineSupply) { x.ready = false }, false},
 		{"silent, draining or faulty", false, 1, func(x *machineSupply) { x.schedulable = false }, false},
 		{"a replica is on it", false, 1, func(x *machineSupply) { x.hostsService = true }, false},
-		{"booked by half", false, 1, func(x *machineSupply) { x.free.cpus /= 2 }, false},
+		{"booked by half", false, 1, func(x *machineSupply) { x.free.CPUs /= 2 }, false},
 	} {
 		b := newTestController(t)
 		f := b.becomeLeader()
--- a/internal/coordination/spare_room.go
+++ b/internal/coordination/spare_room.go
@@ -93,7 +93,7 @@
 	for _, x := range list {
 		if x.schedulable {
 			total += types[x.machineType].CPUs
-			free += max(x.free.cpus, 0)
+			free += max(x.free.CPUs, 0)
 		}
 	}
 	if total == 0 {
@@ -104,5 +104,5 @@
 
 // booked is the booked part of a machine's CPUs.
 func (x *machineSupply) booked(types []protocol.MachineType) float64 {
-	return 1 - x.free.cpus/max(types[x.machineType].CPUs, 1e-9)
+	return 1 - x.free.CPUs/max(types[x.machineType].CPUs, 1e-9)
 }
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -15,7 +15,7 @@
 		machines++
 		if h.schedulable(x, n.now()) {
 			usable++
-			if h.freeCapacity(x).cpus < 1 {
+			if h.freeCapacity(x).CPUs < 1 {
 				full++
 			}
 		}
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -5,6 +5,8 @@
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/placement"
+
 	"rockrun/internal/storage"
 )
 
@@ -19,16 +21,16 @@
 		t := &n.view.MachineTypes[m.TypeIndex]
 		x := &machineSupply{
 			machine: m, machineType: m.TypeIndex, zone: m.ZoneIndex, spot: m.Spot, shard: m.Shard,
-			free: resources{t.CPUs, t.GPUs, t.MemoryGB}, freeBesideServices: resources{t.CPUs, t.GPUs, t.MemoryGB}, schedulable: m.Phase == storage.PhaseActive,
+			free: placement.MachineCapacity(t), freeBesideServices: placement.MachineCapacity(t), schedulable: m.Phase == storage.PhaseActive,
 		}
 		for ref := range m.Intents {
 			j := n.view.Jobs.Get(ref.Job)
 			if j.Ended() || j.Completed.Has(ref.Task) {
 				continue // about to leave
 			}
-			x.free.subtract(j)
+			x.free.Subtract(j)
 			if j.IsService() {
-				x.freeBesideServices.subtract(j)
+				x.freeBesideServices.Subtract(j)
 			}
 			x.hostsService = x.hostsService || j.IsService()
 			x.reserve(t, j, 0.5)
