--- a/internal/coordination/allocs_test.go
+++ b/internal/coordination/allocs_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -21,7 +22,7 @@
 // boundReportAllocations asserts what a report without news allocates.
 func (b *testController) boundReportAllocations(r *protocol.AgentHeartbeat) {
 	b.t.Helper()
-	reply := func(a Answer) {
+	reply := func(a api.Answer) {
 		if a.Status != 200 {
 			b.t.Fatalf("status %d", a.Status)
 		}
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -71,7 +72,7 @@
 func newFleetControllerOf(tb testing.TB, machines int) *testController {
 	b := newUnreportedFleetController(tb, machines)
 	for i := range machines {
-		b.controller.OnAgentHeartbeat(fleetHeartbeat(i, 1), func(a Answer) {
+		b.controller.OnAgentHeartbeat(fleetHeartbeat(i, 1), func(a api.Answer) {
 			if a.Status != 200 {
 				tb.Fatalf("status %d: %v", a.Status, a.Body)
 			}
@@ -162,7 +163,7 @@
 func BenchmarkTakenIn(b *testing.B) {
 	g := newFleetController(b)
 	r := fleetHeartbeat(7, 2)
-	reply := func(Answer) {}
+	reply := func(api.Answer) {}
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Sequence++
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"rockrun/internal/config"
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/coordination/election"
 	"rockrun/internal/coordination/kv"
 	"rockrun/internal/coordination/loop"
@@ -191,11 +192,11 @@
 }
 
 // report hands a report to the node and returns the answer.
-func (b *testController) report(seq, token uint64, tasks ...protocol.TaskStatus) Answer {
+func (b *testController) report(seq, token uint64, tasks ...protocol.TaskStatus) api.Answer {
 	b.t.Helper()
-	var got Answer
+	var got api.Answer
 	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: seq, FencingToken: token, Tasks: tasks}
-	b.controller.OnAgentHeartbeat(r, func(a Answer) { got = a })
+	b.controller.OnAgentHeartbeat(r, func(a api.Answer) { got = a })
 	return got
 }
 
--- a/internal/coordination/needs_test.go
+++ b/internal/coordination/needs_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/coordination/quota"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
@@ -88,7 +89,7 @@
 }
 
 // submit submits a job that needs others and returns the answer.
-func (k *fakeStore) submit(id string, needs ...string) Answer {
+func (k *fakeStore) submit(id string, needs ...string) api.Answer {
 	k.t.Helper()
 	body, err := json.Marshal(map[string]any{
 		"id": id, "lane": "c", "crew": "red", "shape": "sweep", "rank": "normal", "pieces": 1, "vcpus": 1, "gpus": 0, "ramGb": 1,
@@ -97,8 +98,8 @@
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	var got *Answer
-	k.controller.Submit(body, func(a Answer) { got = &a })
+	var got *api.Answer
+	k.controller.Submit(body, func(a api.Answer) { got = &a })
 	for range 100 {
 		if got != nil {
 			return *got
@@ -106,7 +107,7 @@
 		k.passSecond()
 	}
 	k.t.Fatal("no answer")
-	return Answer{}
+	return api.Answer{}
 }
 
 // TestSubmissionsThatNameOthers: what a submission is answered for everything that the
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -1,48 +1,53 @@
 package coordination
 
 import (
-	"net/http"
 	"slices"
 	"time"
 
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/coordination/membership"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
 
+// refuseHeartbeat asks an agent to come back, for a reason.
+func refuseHeartbeat(r *protocol.AgentHeartbeat, reason api.RetryReason) api.Answer {
+	return api.FromError(&api.RetryLaterError{Reason: reason, Machine: r.Machine})
+}
+
 // OnReport answers a worker's report.
-func (n *Controller) OnAgentHeartbeat(r *protocol.AgentHeartbeat, reply func(Answer)) {
+func (n *Controller) OnAgentHeartbeat(r *protocol.AgentHeartbeat, reply func(api.Answer)) {
 	if !n.replica.Ready() {
-		reply(retryLater("starting"))
+		reply(refuseHeartbeat(r, api.ErrStarting))
 		return
 	}
 	_, m := n.view.Machines.Find(r.Machine)
 	if m == nil || m.Group == "" {
 		n.reporter.AddUnrecorded(r)
-		reply(retryLater("machine not known yet"))
+		reply(refuseHeartbeat(r, api.ErrMachineUnknown))
 		return
 	}
 	if !m.Exists() || m.Shard < 0 || m.Shard >= n.shardCount {
-		reply(retryLater("machine was given back"))
+		reply(refuseHeartbeat(r, api.ErrMachineGone))
 		return
 	}
 	n.leases.NoteAgentHeard(m.Shard)
 	if n.leases.Holds(m.Shard) {
 		x := n.reconciler.agents[m.Name]
 		if x == nil || !n.leases.MayActFor(m.Shard) || r.FencingToken > x.currentToken {
-			reply(retryLater("not entitled to this machine now"))
+			reply(refuseHeartbeat(r, api.ErrNotEntitled))
 			return
 		}
 		if !r.NewerThan(x.epoch, x.sequence) && n.now()-x.lastHeartbeatAt > membership.AgentAnswerTimeout {
 			// A copy that was held back on its way. Nobody waits for its answer,
 			// and it must not count as the renewal of a lease.
-			reply(retryLater("an old report"))
+			reply(refuseHeartbeat(r, api.ErrOldHeartbeat))
 			return
 		}
 		n.reconciler.onHeartbeat(x, r, true)
 		x.lastAnsweredAt = n.now()
 		cmds := n.reconciler.commandsFor(x)
-		reply(Answer{Status: http.StatusOK, Body: protocol.AgentHeartbeatAnswer{FencingToken: x.currentToken, Commands: cmds}})
+		reply(api.OK(protocol.AgentHeartbeatAnswer{FencingToken: x.currentToken, Commands: cmds}))
 		if !x.fenceConfirmed {
 			n.reconciler.sendCommands(x)
 		}
@@ -50,11 +55,11 @@
 	}
 	g := &n.view.Grants[m.Shard]
 	if g.Version == 0 || g.Controller == n.Settings.Controller {
-		reply(retryLater("no holder yet"))
+		reply(refuseHeartbeat(r, api.ErrNoHolder))
 		return
 	}
 	n.Log.Debug("redirect", "machine", r.Machine, "to", g.Controller)
-	reply(Answer{Status: http.StatusMisdirectedRequest, Body: protocol.Redirect{Controller: g.Controller}})
+	reply(api.FromError(&api.ElsewhereError{Machine: r.Machine, Controller: g.Controller}))
 }
 
 // report takes in what a worker says. Old news is ignored: held packets can
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -2,44 +2,34 @@
 
 import (
 	"errors"
-	"net/http"
 	"slices"
-	"time"
 
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/coordination/quota"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
 
-// Answer is what a request over HTTP gets.
-type Answer struct {
-	Status     int
-	Body       any           // nil: none
-	RetryAfter time.Duration // 0: not said
+// undecided asks the user to come back, for a reason.
+func undecided(id string, reason api.RetryReason, cause error) api.Answer {
+	return api.FromError(&api.RetryLaterError{Reason: reason, Job: id, Cause: cause})
 }
 
-func errorAnswer(status int, what string) Answer {
-	return Answer{Status: status, Body: protocol.ErrorBody{Error: what}}
+// unsatisfiable refuses a job that can never run.
+func unsatisfiable(id string, reason api.UnsatisfiableReason) api.Answer {
+	return api.FromError(&api.UnsatisfiableError{Job: id, Reason: reason})
 }
 
-// retryLater asks the user to come back; nothing was decided.
-func retryLater(what string) Answer {
-	return Answer{Status: http.StatusServiceUnavailable, Body: protocol.ErrorBody{Error: what}, RetryAfter: time.Second}
-}
-
-// stateAway is the answer while the state service can't be asked.
-func storeUnavailable() Answer { return retryLater("state service does not answer") }
-
 // noSuchJob is the answer about a job that was never accepted.
-func noSuchJob() Answer { return errorAnswer(http.StatusNotFound, "no such job") }
+func noSuchJob(id string) api.Answer { return api.FromError(&api.NotFoundError{Job: id}) }
 
 // receipt is the answer about a job that is known.
-func receipt(id, stage string) Answer {
-	return Answer{Status: http.StatusOK, Body: protocol.JobReceipt{ID: id, Stage: stage}}
+func receipt(id, stage string) api.Answer {
+	return api.OK(protocol.JobReceipt{ID: id, Stage: stage})
 }
 
 // receiptOf is the answer about a job that was looked up.
-func receiptOf(v *protocol.JobStatus) Answer { return receipt(v.ID, v.Stage) }
+func receiptOf(v *protocol.JobStatus) api.Answer { return receipt(v.ID, v.Stage) }
 
 // maxFinals is how many final states are remembered; others are read when asked
 // for.
@@ -72,14 +62,14 @@
 
 // Submit takes a job. It is accepted once its record is durable; the record's
 // key, which must not exist yet, makes a repeat harmless.
-func (n *Controller) Submit(body []byte, reply func(Answer)) {
+func (n *Controller) Submit(body []byte, reply func(api.Answer)) {
 	spec, err := protocol.ParseSubmission(body)
 	if err != nil {
-		reply(errorAnswer(http.StatusBadRequest, err.Error()))
+		reply(api.FromError(err))
 		return
 	}
 	if !n.replica.Ready() {
-		reply(retryLater("starting"))
+		reply(undecided(spec.ID, api.ErrStarting, nil))
 		return
 	}
 	// A repeat of a known job is answered before anything else is checked: what
@@ -90,19 +80,19 @@
 		return
 	}
 	if n.view.MachineTypesVersion == 0 {
-		reply(retryLater("machine types not known yet"))
+		reply(undecided(spec.ID, api.ErrMachineTypesUnknown, nil))
 		return
 	}
 	if why := n.unsatisfiableReason(spec); why != "" {
-		reply(errorAnswer(http.StatusUnprocessableEntity, why))
+		reply(unsatisfiable(spec.ID, why))
 		return
 	}
 	n.checkDependencies(spec.Dependencies, func(verdict dependencyVerdict) {
 		switch verdict {
 		case dependencyImpossible:
-			reply(errorAnswer(http.StatusUnprocessableEntity, "waitsOn: names a job that was never accepted, or a service"))
+			reply(unsatisfiable(spec.ID, api.ErrImpossibleDependency))
 		case dependencyUndecided:
-			reply(storeUnavailable())
+			reply(undecided(spec.ID, api.ErrStoreUnavailable, nil))
 		default:
 			n.accept(spec, verdict == dependencyCancelled, reply)
 		}
@@ -111,11 +101,11 @@
 
 // answerJob looks a job up and answers with what is said of it, or with absent where it
 // was never accepted.
-func (n *Controller) answerJob(id string, absent Answer, known func(*protocol.JobStatus) Answer, reply func(Answer)) {
+func (n *Controller) answerJob(id string, absent api.Answer, known func(*protocol.JobStatus) api.Answer, reply func(api.Answer)) {
 	n.lookup(id, func(v *protocol.JobStatus, err error) {
 		switch {
 		case err != nil:
-			reply(storeUnavailable())
+			reply(undecided(id, api.ErrStoreUnavailable, err))
 		case v == nil:
 			reply(absent)
 		default:
@@ -125,13 +115,13 @@
 }
 
 // answerKnown answers a repeated submission with what has become of the job.
-func (n *Controller) answerKnown(id string, reply func(Answer)) {
-	n.answerJob(id, retryLater("undecided"), receiptOf, reply)
+func (n *Controller) answerKnown(id string, reply func(api.Answer)) {
+	n.answerJob(id, undecided(id, api.ErrUndecided, nil), receiptOf, reply)
 }
 
 // accept makes a job durable. One that needs a cancelled job is accepted as
 // cancelled: its final record is all there ever is of it.
-func (n *Controller) accept(spec *protocol.JobSpec, cancelled bool, reply func(Answer)) {
+func (n *Controller) accept(spec *protocol.JobSpec, cancelled bool, reply func(api.Answer)) {
 	now := n.Clock.Wall().UnixMilli()
 	put := protocol.Operation{Put: storage.JobKey(spec.ID), Value: storage.Encode(storage.JobRecord{Spec: *spec, SubmittedAtMS: now})}
 	final := storage.FinalRecord{Stage: protocol.StageCancelled, EndedAtMS: now}
@@ -155,31 +145,31 @@
 			if cancelled {
 				n.rememberFinal(spec.ID, final)
 			}
-			reply(Answer{Status: http.StatusCreated, Body: protocol.JobReceipt{ID: spec.ID, Stage: stage}})
+			reply(api.Created(protocol.JobReceipt{ID: spec.ID, Stage: stage}))
 		case errors.Is(err, protocol.ErrConflict):
 			n.answerKnown(spec.ID, reply)
 		case errors.Is(err, protocol.ErrRejected):
 			n.refuseTooLong(spec.ID, reply)
 		default:
-			reply(storeUnavailable())
+			reply(undecided(spec.ID, api.ErrStoreUnavailable, err))
 		}
 	})
 }
 
 // refuseTooLong refuses a job whose record does not fit a value, unless it was accepted
 // when longer values fitted.
-func (n *Controller) refuseTooLong(id string, reply func(Answer)) {
-	n.answerJob(id, errorAnswer(http.StatusBadRequest, "malformed: description too long to be kept"), receiptOf, reply)
+func (n *Controller) refuseTooLong(id string, reply func(api.Answer)) {
+	n.answerJob(id, api.FromError(&api.TooLongError{Job: id}), receiptOf, reply)
 }
 
 // impossible tells why a job can never run, or "".
-func (n *Controller) unsatisfiableReason(s *protocol.JobSpec) string {
+func (n *Controller) unsatisfiableReason(s *protocol.JobSpec) api.UnsatisfiableReason {
 	if slices.Contains(s.Dependencies, s.ID) {
-		return "waitsOn: names the job itself"
+		return api.ErrDependsOnItself
 	}
 	team := n.view.TeamNames.Lookup(s.Team)
 	if team < 0 {
-		return "unknown team"
+		return api.ErrUnknownTeam
 	}
 	fits := false
 	for i := range n.view.MachineTypes {
@@ -193,7 +183,7 @@
 		fits = true
 	}
 	if !fits {
-		return "a task fits no allowed machine type"
+		return api.ErrNoFittingMachineType
 	}
 	t := &n.view.Teams[team]
 	count := 1.0
@@ -201,7 +191,7 @@
 		count = float64(s.Tasks)
 	}
 	if quota.Exceeds(s.CPUs*count, t.MaxCPUs) || quota.Exceeds(s.GPUs*count, t.MaxGPUs) {
-		return "needs more than the team's limit"
+		return api.ErrMoreThanTeamsMaximums
 	}
 	return ""
 }
@@ -269,30 +259,30 @@
 }
 
 // Status answers a user's question about a job.
-func (n *Controller) Status(id string, reply func(Answer)) {
+func (n *Controller) Status(id string, reply func(api.Answer)) {
 	if !protocol.ValidJobID(id) {
-		reply(noSuchJob())
+		reply(noSuchJob(id))
 		return
 	}
 	if !n.replica.Ready() {
-		reply(retryLater("starting"))
+		reply(undecided(id, api.ErrStarting, nil))
 		return
 	}
-	n.answerJob(id, noSuchJob(), func(v *protocol.JobStatus) Answer {
-		return Answer{Status: http.StatusOK, Body: v}
+	n.answerJob(id, noSuchJob(id), func(v *protocol.JobStatus) api.Answer {
+		return api.OK(v)
 	}, reply)
 }
 
 // Cancel cancels a job. Removing the record of the unfinished job under its
 // version and writing the final one is a single transaction, as it is for a
 // job that completes, so only one of the two can ever happen.
-func (n *Controller) Cancel(id string, reply func(Answer)) {
+func (n *Controller) Cancel(id string, reply func(api.Answer)) {
 	if !protocol.ValidJobID(id) {
-		reply(noSuchJob())
+		reply(noSuchJob(id))
 		return
 	}
 	if !n.replica.Ready() {
-		reply(retryLater("starting"))
+		reply(undecided(id, api.ErrStarting, nil))
 		return
 	}
 	n.cancel(id, cancelAttempts, reply)
@@ -301,7 +291,7 @@
 // cancelTries is how often a cancellation is tried where the job changes meanwhile.
 const cancelAttempts = 3
 
-func (n *Controller) cancel(id string, tries int, reply func(Answer)) {
+func (n *Controller) cancel(id string, tries int, reply func(api.Answer)) {
 	if f, ok := n.finalRecords[id]; ok {
 		reply(receipt(id, f.Stage))
 		return
@@ -309,7 +299,7 @@
 	n.Store.Get(storage.JobKey(id), func(it protocol.KeyValue, found bool, err error) {
 		switch {
 		case err != nil:
-			reply(storeUnavailable())
+			reply(undecided(id, api.ErrStoreUnavailable, err))
 		case found:
 			n.cancelUnfinished(id, it.Version, tries, reply)
 		default:
@@ -319,7 +309,7 @@
 }
 
 // cancelUnfinished ends a job under the version of its record.
-func (n *Controller) cancelUnfinished(id string, version uint64, tries int, reply func(Answer)) {
+func (n *Controller) cancelUnfinished(id string, version uint64, tries int, reply func(api.Answer)) {
 	f := storage.FinalRecord{Stage: protocol.StageCancelled, EndedAtMS: n.Clock.Wall().UnixMilli()}
 	n.committer.Budget.TakeAnyway(n.now(), 2)
 	n.committer.Commit(protocol.Transaction{
@@ -334,14 +324,14 @@
 		case errors.Is(err, protocol.ErrConflict) && tries > 1:
 			n.cancel(id, tries-1, reply)
 		default:
-			reply(storeUnavailable())
+			reply(undecided(id, api.ErrStoreUnavailable, err))
 		}
 	})
 }
 
 // answerCancelOfEnded answers a cancellation of a job that has no unfinished record.
-func (n *Controller) answerCancelOfEnded(id string, reply func(Answer)) {
-	n.answerJob(id, noSuchJob(), func(v *protocol.JobStatus) Answer {
+func (n *Controller) answerCancelOfEnded(id string, reply func(api.Answer)) {
+	n.answerJob(id, noSuchJob(id), func(v *protocol.JobStatus) api.Answer {
 		switch v.Stage {
 		case protocol.StageDone:
 		case protocol.StageCancelled:
@@ -349,7 +339,7 @@
 			// it ended.
 			n.cancellationConfirmed(id)
 		default:
-			return retryLater("undecided")
+			return undecided(id, api.ErrUndecided, nil)
 		}
 		return receipt(id, v.Stage)
 	}, reply)
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -8,7 +8,7 @@
 	"hash"
 	"slices"
 
-	"rockrun/internal/coordination"
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/protocol"
 )
 
@@ -41,7 +41,7 @@
 }
 
 // answered takes in a controller's answer to an agent or a user.
-func (t *trace) answered(controller, kind string, a coordination.Answer) {
+func (t *trace) answered(controller, kind string, a api.Answer) {
 	t.sentJSON(controller, kind, []any{a.Status, a.RetryAfter, a.Body})
 }
 
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"rockrun/internal/coordination"
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/protocol"
 )
 
@@ -49,7 +50,7 @@
 
 // ask makes a request to some node that is up; answer is called once, with
 // status 0 when no answer came.
-func (u *users) ask(call func(n *coordination.Controller, reply func(coordination.Answer)), answer func(coordination.Answer)) {
+func (u *users) ask(call func(n *coordination.Controller, reply func(api.Answer)), answer func(api.Answer)) {
 	s := u.s
 	var up []*host
 	for _, h := range s.hosts {
@@ -58,25 +59,25 @@
 		}
 	}
 	if len(up) == 0 {
-		s.after(time.Millisecond, func() { answer(coordination.Answer{}) })
+		s.after(time.Millisecond, func() { answer(api.Answer{}) })
 		return
 	}
 	u.askNode(up[s.rand.IntN(len(up))].p, call, answer)
 }
 
 // askNode is ask at a certain controller.
-func (u *users) askNode(p *process, call func(n *coordination.Controller, reply func(coordination.Answer)), answer func(coordination.Answer)) {
+func (u *users) askNode(p *process, call func(n *coordination.Controller, reply func(api.Answer)), answer func(api.Answer)) {
 	s := u.s
 	told := false
-	once := func(a coordination.Answer) {
+	once := func(a api.Answer) {
 		if !told {
 			told = true
 			answer(a)
 		}
 	}
-	s.after(5*time.Second, func() { once(coordination.Answer{}) })
+	s.after(5*time.Second, func() { once(api.Answer{}) })
 	s.after(s.delay(), p.guard(func() {
-		call(p.controller, func(a coordination.Answer) {
+		call(p.controller, func(a api.Answer) {
 			s.trace.answered(p.h.name, "user", a)
 			s.after(s.delay(), func() { once(a) })
 		})
@@ -114,7 +115,7 @@
 	body := u.body(j)
 	accepted, final := j.accepted, j.final // what the user knew when it asked
 	allAccepted := u.allAccepted(j)
-	u.ask(func(n *coordination.Controller, reply func(coordination.Answer)) { n.Submit(body, reply) }, func(a coordination.Answer) {
+	u.ask(func(n *coordination.Controller, reply func(api.Answer)) { n.Submit(body, reply) }, func(a api.Answer) {
 		if a.Status != 0 {
 			j.status = a.Status
 		}
@@ -150,9 +151,9 @@
 func (u *users) poll(j *userJob) {
 	s := u.s
 	id, final := j.spec.ID, j.final
-	u.ask(func(n *coordination.Controller, reply func(coordination.Answer)) { n.Status(id, reply) }, func(a coordination.Answer) {
+	u.ask(func(n *coordination.Controller, reply func(api.Answer)) { n.Status(id, reply) }, func(a api.Answer) {
 		if j.muted {
-			a = coordination.Answer{}
+			a = api.Answer{}
 		}
 		switch a.Status {
 		case http.StatusOK:
@@ -184,7 +185,7 @@
 	s := u.s
 	j.asked = true
 	id, accepted, final := j.spec.ID, j.accepted, j.final
-	u.ask(func(n *coordination.Controller, reply func(coordination.Answer)) { n.Cancel(id, reply) }, func(a coordination.Answer) {
+	u.ask(func(n *coordination.Controller, reply func(api.Answer)) { n.Cancel(id, reply) }, func(a api.Answer) {
 		switch a.Status {
 		case http.StatusOK:
 			s.check.told(id, j, final, a.Body.(protocol.JobReceipt).Stage)
--- a/internal/scenario/users_faults.go
+++ b/internal/scenario/users_faults.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"rockrun/internal/coordination"
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/protocol"
 )
 
@@ -81,7 +82,7 @@
 		"[" + body + "]",
 		strings.Repeat(" ", protocol.MaxBody) + body,
 	}[u.oddID%8]
-	u.ask(func(n *coordination.Controller, reply func(coordination.Answer)) { n.Submit([]byte(bad), reply) }, func(a coordination.Answer) {
+	u.ask(func(n *coordination.Controller, reply func(api.Answer)) { n.Submit([]byte(bad), reply) }, func(a api.Answer) {
 		s.check.answeredBad(bad, a.Status)
 	})
 }
@@ -89,7 +90,7 @@
 // withdrawOver calls off a job that is over.
 func (u *users) withdrawOver(j *userJob) {
 	final := j.final
-	u.ask(func(n *coordination.Controller, reply func(coordination.Answer)) { n.Cancel(j.spec.ID, reply) }, func(a coordination.Answer) {
+	u.ask(func(n *coordination.Controller, reply func(api.Answer)) { n.Cancel(j.spec.ID, reply) }, func(a api.Answer) {
 		switch a.Status {
 		case http.StatusOK:
 			u.s.check.told(j.spec.ID, j, final, a.Body.(protocol.JobReceipt).Stage)
@@ -141,7 +142,7 @@
 // look asks a controller about a job once.
 func (u *users) look(p *process, j *userJob) {
 	id, final := j.spec.ID, j.final
-	u.askNode(p, func(n *coordination.Controller, reply func(coordination.Answer)) { n.Status(id, reply) }, func(a coordination.Answer) {
+	u.askNode(p, func(n *coordination.Controller, reply func(api.Answer)) { n.Status(id, reply) }, func(a api.Answer) {
 		u.looks++
 		switch a.Status {
 		case http.StatusOK:
@@ -155,7 +156,7 @@
 // repeat submits a job again, at a certain controller.
 func (u *users) repeat(p *process, j *userJob) {
 	id, final, body := j.spec.ID, j.final, u.body(j)
-	u.askNode(p, func(n *coordination.Controller, reply func(coordination.Answer)) { n.Submit(body, reply) }, func(a coordination.Answer) {
+	u.askNode(p, func(n *coordination.Controller, reply func(api.Answer)) { n.Submit(body, reply) }, func(a api.Answer) {
 		u.looks++
 		switch a.Status {
 		case http.StatusOK, http.StatusCreated:
--- a/internal/scenario/worker.go
+++ b/internal/scenario/worker.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"rockrun/internal/coordination"
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/protocol"
 )
 
@@ -122,9 +122,9 @@
 	x := &exchange{w: w, sent: w.s.now, session: w.session}
 	r := w.status()
 	h := w.s.hosts[w.node]
-	w.s.after(answerPatience, func() { x.finish(coordination.Answer{}, false) })
+	w.s.after(answerPatience, func() { x.finish(api.Answer{}, false) })
 	if h.p == nil {
-		w.s.after(w.s.delay(), func() { x.finish(coordination.Answer{}, false) })
+		w.s.after(w.s.delay(), func() { x.finish(api.Answer{}, false) })
 		return
 	}
 	if w.mute {
@@ -137,7 +137,7 @@
 			return
 		}
 		p.guard(func() {
-			p.controller.OnAgentHeartbeat(r, func(a coordination.Answer) {
+			p.controller.OnAgentHeartbeat(r, func(a api.Answer) {
 				w.s.trace.answered(p.h.name, "report", a)
 				w.s.after(w.s.delay(), func() {
 					if !w.cut && !w.deaf && w.s.reach(h, w) {
@@ -170,7 +170,7 @@
 }
 
 // finish takes in the answer, or that none came, and sees to the next report.
-func (x *exchange) finish(a coordination.Answer, came bool) {
+func (x *exchange) finish(a api.Answer, came bool) {
 	w, s := x.w, x.w.s
 	if x.answered || w.dead || w.hangs() || s.now-x.sent > answerPatience+time.Millisecond {
 		return // it waits no longer for this answer
--- a/internal/scenario/worker_copies.go
+++ b/internal/scenario/worker_copies.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"rockrun/internal/coordination"
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/protocol"
 )
 
@@ -21,7 +21,7 @@
 	s.after(late, func() {
 		if p := h.p; p != nil && !h.noAgents {
 			p.guard(func() {
-				p.controller.OnAgentHeartbeat(r, func(a coordination.Answer) { s.trace.answered(p.h.name, "report", a) })
+				p.controller.OnAgentHeartbeat(r, func(a api.Answer) { s.trace.answered(p.h.name, "report", a) })
 			})()
 		}
 	})
@@ -41,7 +41,7 @@
 			s.after(time.Duration(s.rand.Int64N(int64(time.Second))), func() {
 				if p := h.p; p != nil && !h.noAgents {
 					p.guard(func() {
-						p.controller.OnAgentHeartbeat(r, func(a coordination.Answer) { s.trace.answered(p.h.name, "report", a) })
+						p.controller.OnAgentHeartbeat(r, func(a api.Answer) { s.trace.answered(p.h.name, "report", a) })
 					})()
 				}
 			})
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"encoding/json"
 	"errors"
 	"math"
 	"net"
@@ -8,10 +9,10 @@
 	"strconv"
 	"time"
 
-	"encoding/json"
 	"github.com/gofiber/fiber/v2"
 
 	"rockrun/internal/coordination"
+	"rockrun/internal/coordination/api"
 	"rockrun/internal/protocol"
 )
 
@@ -50,21 +51,21 @@
 			if status == http.StatusRequestEntityTooLarge {
 				status = http.StatusBadRequest
 			}
-			return send(c, coordination.Answer{Status: status, Body: protocol.ErrorBody{Error: http.StatusText(status)}})
+			return send(c, api.FromError(&api.StatusError{Status: status, Cause: err}))
 		},
 	})
 	s.app.Use(s.shedConnections)
 	s.app.Post("/hello", s.agentHeartbeat)
 	s.app.Get("/healthz", s.healthz)
-	s.app.Post("/submissions", s.limited(classSubmit, func(c *fiber.Ctx, reply func(coordination.Answer)) {
+	s.app.Post("/submissions", s.limited(classSubmit, func(c *fiber.Ctx, reply func(api.Answer)) {
 		body := append([]byte(nil), c.Body()...)
 		s.post(reply, func() { node.Submit(body, reply) })
 	}))
-	s.app.Get("/submissions/:id", s.limited(classStatus, func(c *fiber.Ctx, reply func(coordination.Answer)) {
+	s.app.Get("/submissions/:id", s.limited(classStatus, func(c *fiber.Ctx, reply func(api.Answer)) {
 		id := string(append([]byte(nil), c.Params("id")...))
 		s.post(reply, func() { node.Status(id, reply) })
 	}))
-	s.app.Post("/submissions/:id/withdraw", s.limited(classWithdraw, func(c *fiber.Ctx, reply func(coordination.Answer)) {
+	s.app.Post("/submissions/:id/withdraw", s.limited(classWithdraw, func(c *fiber.Ctx, reply func(api.Answer)) {
 		id := string(append([]byte(nil), c.Params("id")...))
 		s.post(reply, func() { node.Cancel(id, reply) })
 	}))
@@ -95,20 +96,18 @@
 
 // post hands a request to the node, or tells the sender to come back when the
 // node's queue is full.
-func (s *Server) post(reply func(coordination.Answer), f func()) {
+func (s *Server) post(reply func(api.Answer), f func()) {
 	if !s.loop.TryPost(f) {
 		reply(busy())
 	}
 }
 
-func busy() coordination.Answer {
-	return coordination.Answer{Status: http.StatusServiceUnavailable, Body: protocol.ErrorBody{Error: "busy"}, RetryAfter: 2 * time.Second}
-}
+func busy() api.Answer { return api.FromError(&api.RetryLaterError{Reason: api.ErrBusy}) }
 
 // wait runs a request and waits for its answer.
-func wait(run func(reply func(coordination.Answer))) coordination.Answer {
-	got := make(chan coordination.Answer, 1)
-	run(func(a coordination.Answer) {
+func wait(run func(reply func(api.Answer))) api.Answer {
+	got := make(chan api.Answer, 1)
+	run(func(a api.Answer) {
 		select {
 		case got <- a:
 		default:
@@ -124,7 +123,7 @@
 	}
 }
 
-func send(c *fiber.Ctx, a coordination.Answer) error {
+func send(c *fiber.Ctx, a api.Answer) error {
 	if a.RetryAfter > 0 {
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
 	}
@@ -141,17 +140,15 @@
 }
 
 // limited puts the adaptive limit before a user's request.
-func (s *Server) limited(class class, run func(*fiber.Ctx, func(coordination.Answer))) fiber.Handler {
+func (s *Server) limited(class class, run func(*fiber.Ctx, func(api.Answer))) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		release, ok := s.limiter.acquire(class)
 		if !ok {
 			s.metrics.shed.WithLabelValues(class.String()).Inc()
-			return send(c, coordination.Answer{
-				Status: http.StatusTooManyRequests, Body: protocol.ErrorBody{Error: "too many requests in progress"}, RetryAfter: time.Second,
-			})
+			return send(c, api.FromError(&api.OverloadError{Class: class.String()}))
 		}
 		began := time.Now()
-		a := wait(func(reply func(coordination.Answer)) { run(c, reply) })
+		a := wait(func(reply func(api.Answer)) { run(c, reply) })
 		release()
 		s.metrics.requests.WithLabelValues(class.String(), strconv.Itoa(a.Status)).Observe(time.Since(began).Seconds())
 		return send(c, a)
@@ -162,10 +159,10 @@
 	r, err := protocol.ParseAgentHeartbeat(c.Body())
 	if err != nil {
 		s.metrics.refused.Inc()
-		return send(c, coordination.Answer{Status: http.StatusBadRequest, Body: protocol.ErrorBody{Error: err.Error()}})
+		return send(c, api.FromError(err))
 	}
 	began := time.Now()
-	a := wait(func(reply func(coordination.Answer)) {
+	a := wait(func(reply func(api.Answer)) {
 		s.post(reply, func() { s.controller.OnAgentHeartbeat(r, reply) })
 	})
 	if a.Status == http.StatusOK {
@@ -180,12 +177,12 @@
 }
 
 func (s *Server) healthz(c *fiber.Ctx) error {
-	a := wait(func(reply func(coordination.Answer)) {
+	a := wait(func(reply func(api.Answer)) {
 		s.post(reply, func() {
 			if s.controller.Healthy() {
-				reply(coordination.Answer{Status: http.StatusOK})
+				reply(api.OK(nil))
 			} else {
-				reply(coordination.Answer{Status: http.StatusServiceUnavailable, RetryAfter: time.Second})
+				reply(api.FromError(api.ErrUnhealthy))
 			}
 		})
 	})
@@ -195,8 +192,8 @@
 // operator answers from the node's own view.
 func (s *Server) operator(view func(*coordination.Controller) any) fiber.Handler {
 	return func(c *fiber.Ctx) error {
-		return send(c, wait(func(reply func(coordination.Answer)) {
-			s.post(reply, func() { reply(coordination.Answer{Status: http.StatusOK, Body: view(s.controller)}) })
+		return send(c, wait(func(reply func(api.Answer)) {
+			s.post(reply, func() { reply(api.OK(view(s.controller))) })
 		}))
 	}
 }
