--- a/internal/coordination/budget.go
+++ b/internal/coordination/budget.go
@@ -1,24 +1,27 @@
 package coordination
 
-// setWriteBudget works out this process's part of the writes that all controllers share,
-// by what it does: the home of the work that ends writes most, the leader and
-// the homes of services less, and what is left is for users' requests, which
-// never wait for a budget.
-func (n *Controller) setWriteBudget() {
-	part := 0.02
-	if n.leadership != nil {
-		part += 0.25
-	}
-	for s := range n.shardCount {
+import (
+	"rockrun/internal/coordination/kv"
+	"rockrun/internal/storage"
+)
+
+// updateWriteBudget gives this controller its part of the writes that all controllers
+// share, by what it does now.
+func (n *Controller) updateWriteBudget() {
+	rate := n.role().WriteShare() * n.committer.Limits().WriteRate
+	n.committer.Budget.SetRate(max(1, rate))
+}
+
+func (n *Controller) role() kv.Role {
+	role := kv.Role{Leading: n.leadership != nil, JobShards: n.view.JobShards}
+	for shard := range n.view.JobShards {
 		switch {
-		case s >= n.view.JobShards || !n.leases.Holds(s):
-		case n.view.JobShards == 1:
-			part += 0.5
-		case s == 0:
-			part += 0.4
+		case !n.leases.Holds(shard):
+		case shard == storage.BatchShard:
+			role.HoldsBatchShard = true
 		default:
-			part += 0.1 / float64(n.view.JobShards-1)
+			role.ServiceShards++
 		}
 	}
-	n.committer.Budget.SetRate(max(1, part*n.committer.Limits().WriteRate))
+	return role
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -242,7 +242,7 @@
 		n.begin()
 		return
 	}
-	n.setWriteBudget()
+	n.updateWriteBudget()
 	n.reporter.WriteLiveness()
 	n.sendCancellations()
 	n.outcomes.readWanted()
