--- a/internal/scenario/actions_machines.go
+++ b/internal/scenario/actions_machines.go
@@ -6,14 +6,14 @@
 	pick, d := s.machines(line), line.duration(line.arg(1))
 	return func() {
 		for _, x := range pick() {
-			s.noteFault("hang", d)
+			s.noteFault("machine-pause", d)
 			x.hang(d)
 		}
 	}
 }
 
 func actDeaf(s *sim, line *statement) func() {
-	pick, d, mute := s.machines(line), line.duration(line.arg(1)), line.verb == "mute"
+	pick, d, mute := s.machines(line), line.duration(line.arg(1)), line.verb == "outbound-partition"
 	return func() {
 		for _, x := range pick() {
 			s.noteFault(line.verb, d)
@@ -66,7 +66,7 @@
 	pick, d := s.machines(line), line.duration(line.arg(1))
 	return func() {
 		for _, x := range pick() {
-			s.noteFault("machine-cut", d)
+			s.noteFault("machine-partition", d)
 			x.cut = true
 			s.after(d, x.heal)
 		}
--- a/internal/scenario/actions_nodes.go
+++ b/internal/scenario/actions_nodes.go
@@ -6,7 +6,7 @@
 	name := line.arg(0)
 	if name == "all" {
 		return func() {
-			s.faultBegins("away", "")
+			s.faultBegins("all-down", "")
 			for _, h := range s.hosts {
 				h.crash()
 			}
@@ -22,7 +22,7 @@
 	name, d := line.arg(0), line.duration(line.arg(1))
 	s.known(line, name)
 	return func() {
-		s.noteFault("freeze", d)
+		s.noteFault("pause", d)
 		s.hostNow(name).thaw = s.now + d
 	}
 }
@@ -39,7 +39,7 @@
 func actStart(s *sim, line *statement) func() {
 	if line.arg(0) == "all" {
 		return func() {
-			s.faultEnds("away", "")
+			s.faultEnds("all-down", "")
 			for _, h := range s.hosts {
 				if h.p == nil {
 					h.start()
@@ -56,7 +56,7 @@
 }
 
 func actCut(s *sim, line *statement) func() {
-	name, what, on := line.arg(0), line.arg(1), line.verb == "cut"
+	name, what, on := line.arg(0), line.arg(1), line.verb == "partition"
 	s.known(line, name)
 	return func() {
 		for _, h := range s.hostsNow(name) {
@@ -74,20 +74,20 @@
 // cut for as long as any part is missing, whatever name it was cut or healed by.
 func (h *host) cut(what string, on bool) {
 	before := h.isCut()
-	if what == "all" || what == "state" {
+	if what == "all" || what == "store" {
 		h.noState = on
 	}
 	if what == "all" || what == "peers" {
 		h.noPeers = on
 	}
-	if what == "all" || what == "workers" {
+	if what == "all" || what == "agents" {
 		h.noAgents = on
 	}
 	switch after := h.isCut(); {
 	case after && !before:
-		h.s.faultBegins("cut", h.name)
+		h.s.faultBegins("partition", h.name)
 	case before && !after:
-		h.s.faultEnds("cut", h.name)
+		h.s.faultEnds("partition", h.name)
 	}
 	if !on {
 		h.s.store.wake()
--- a/internal/scenario/actions_services.go
+++ b/internal/scenario/actions_services.go
@@ -7,7 +7,7 @@
 func actOutage(s *sim, line *statement) func() {
 	d := line.duration(line.arg(0))
 	return func() {
-		s.noteFault("outage", d)
+		s.noteFault("store-outage", d)
 		s.store.setOutage(true)
 		s.after(d, func() { s.store.setOutage(false) })
 	}
@@ -18,9 +18,9 @@
 	return func() {
 		s.store.slow, s.store.slowMost = share, most
 		if share > 0 {
-			s.faultBegins("slow-state", "")
+			s.faultBegins("store-latency", "")
 		} else {
-			s.faultEnds("slow-state", "")
+			s.faultEnds("store-latency", "")
 		}
 	}
 }
@@ -50,7 +50,7 @@
 
 func actLowerLimits(s *sim, _ *statement) func() {
 	return func() {
-		s.noteFault("lower-limits", time.Second)
+		s.noteFault("store-lower-limits", time.Second)
 		s.store.lower()
 	}
 }
--- a/internal/scenario/actions_users.go
+++ b/internal/scenario/actions_users.go
@@ -64,7 +64,7 @@
 }
 
 func actCancelNow(s *sim, line *statement) func() {
-	count, hang := int(line.num("count", 10)), line.duration(line.text("hang", "0s"))
+	count, hang := int(line.num("count", 10)), line.duration(line.text("pause", "0s"))
 	return func() { s.users.cancelNow(count, hang) }
 }
 
@@ -82,7 +82,7 @@
 	d := line.duration(line.arg(0))
 	cancelled := line.num("cancelled", 0)
 	return func() {
-		s.noteFault("close-looks", d)
+		s.noteFault("read-your-writes", d)
 		s.users.closeLooks, s.users.cancelAtOnce = s.now+d, cancelled
 	}
 }
@@ -90,7 +90,7 @@
 func actOdd(s *sim, line *statement) func() {
 	d := line.duration(line.arg(0))
 	return func() {
-		s.noteFault("odd", d)
+		s.noteFault("invalid-requests", d)
 		s.users.odd(s.now + d)
 	}
 }
@@ -102,10 +102,10 @@
 // job reads the description of a job.
 func (s *sim) job(line *statement) *userJob {
 	sp := protocol.JobSpec{
-		ID: line.arg(0), Class: line.text("class", "c"), Team: line.text("team", "red"), Priority: line.text("rank", "normal"),
-		Tasks: int(line.num("tasks", 1)), CPUs: line.num("cpus", 1), MemoryGB: line.num("mem", 1), Image: line.text("image", "img"), ImageGB: line.num("gb", 1),
-		Zone: line.text("zone", ""), OneZone: line.text("together", "") != "", Spread: line.text("spread", "") != "", Spot: line.text("loaner", "") != "",
-		EstimateSeconds: line.num("guess", 10), CheckpointSeconds: line.num("mark", 0), SaveSeconds: line.num("stash", 0), DeadlineSeconds: line.num("due", 0),
+		ID: line.arg(0), Class: line.text("class", "c"), Team: line.text("team", "red"), Priority: line.text("priority", "normal"),
+		Tasks: int(line.num("tasks", 1)), CPUs: line.num("cpus", 1), MemoryGB: line.num("mem", 1), Image: line.text("image", "img"), ImageGB: line.num("image-gb", 1),
+		Zone: line.text("zone", ""), OneZone: line.text("one-zone", "") != "", Spread: line.text("spread", "") != "", Spot: line.text("spot", "") != "",
+		EstimateSeconds: line.num("estimate", 10), CheckpointSeconds: line.num("checkpoint", 0), SaveSeconds: line.num("save", 0), DeadlineSeconds: line.num("deadline", 0),
 	}
 	switch kind := line.text("kind", "array"); kind {
 	case "array":
@@ -117,7 +117,7 @@
 	default:
 		line.fail("kind %s", kind)
 	}
-	if needs := line.text("needs", ""); needs != "" {
+	if needs := line.text("dependencies", ""); needs != "" {
 		sp.Dependencies = strings.Split(needs, ",")
 	}
 	if t := line.text("types", ""); t != "" {
--- a/internal/scenario/checker.go
+++ b/internal/scenario/checker.go
@@ -130,7 +130,7 @@
 		}
 		if j.withdrawnAt == 0 {
 			j.withdrawnAt = c.s.now
-			c.s.noteFault("confirmed", 0)
+			c.s.noteFault("cancel-confirmed", 0)
 			c.s.after(c.s.cluster.Agents.CancelTimeout(), func() { c.gone(id) })
 		}
 	default:
--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -101,15 +101,15 @@
 		s.now = at
 		do()
 	}
-	play(10*time.Second, "cut", "leader state")
-	play(11*time.Second, "cut", "a peers")
-	play(20*time.Second, "heal", "all state")
+	play(10*time.Second, "partition", "leader store")
+	play(11*time.Second, "partition", "a peers")
+	play(20*time.Second, "heal", "all store")
 	s.now = 21 * time.Second
 	s.noteFault("while one part is cut", 0)
 	play(22*time.Second, "heal", "all peers")
 	s.now = 23 * time.Second
 	s.noteFault("after it", 0)
-	if s.overlaps("cut", "while one part is cut") != 1 || s.overlaps("cut", "after it") != 0 {
+	if s.overlaps("partition", "while one part is cut") != 1 || s.overlaps("partition", "after it") != 0 {
 		t.Errorf("spans: %+v", s.spans)
 	}
 }
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -47,11 +47,11 @@
 // apart cuts a zone off from everything else: its machines and the controllers
 // in it reach each other and nobody more. What is on its way is lost.
 func (s *sim) apart(zone string, d time.Duration) {
-	s.noteFault("zone-cut", d)
+	s.noteFault("zone-partition", d)
 	s.cutZone = zone
 	for _, h := range s.hosts {
 		if h.zone == zone {
-			h.cut("state", true)
+			h.cut("store", true)
 			h.cut("peers", true)
 		}
 	}
@@ -59,7 +59,7 @@
 		s.cutZone = ""
 		for _, h := range s.hosts {
 			if h.zone == zone {
-				h.cut("state", false)
+				h.cut("store", false)
 				h.cut("peers", false)
 			}
 		}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -79,7 +79,7 @@
 			t.Parallel()
 			w := world
 			if seed%2 == 0 {
-				w.Data = append(slices.Clone(w.Data), "homes n=2\n"...)
+				w.Data = append(slices.Clone(w.Data), "job-shards n=2\n"...)
 			}
 			script, expect := drawDay(rand.New(rand.NewPCG(seed, 1)))
 			a := &txtar.Archive{Files: []txtar.File{w, {Name: "script", Data: script}, {Name: "expect", Data: expect}}}
@@ -88,70 +88,70 @@
 	}
 }
 
-// TestRandomMeetings plays days on which troubles meet in pairs, with overlaps
+// TestRandomFaultsCombined plays days on which troubles meet in pairs, with overlaps
 // drawn from fixed seeds. The rules hold, and once all is over nothing is left
 // waiting, forgotten or unserved.
-func TestRandomMeetings(t *testing.T) {
-	for seed := uint64(1); seed <= moreMeetings; seed++ {
+func TestRandomFaultsCombined(t *testing.T) {
+	for seed := uint64(1); seed <= combinedDays; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			playMeetings(t, seed, nil)
+			playCombinedDay(t, seed, nil)
 		})
 	}
 }
 
-// moreMeetings is how many days are drawn in the tests.
-const moreMeetings = 40
+// combinedDays is how many days are drawn in the tests.
+const combinedDays = 40
 
 // TestRandomPipelines plays such days with pipelines of every shape in them, of which
 // some are cancelled and some get their last job late.
 func TestRandomPipelines(t *testing.T) {
-	for seed := uint64(1001); seed <= 1000+morePipelines; seed++ {
+	for seed := uint64(1001); seed <= 1000+pipelineDays; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			playMeetings(t, seed, drawPipelines(rand.New(rand.NewPCG(seed, 3))))
+			playCombinedDay(t, seed, drawPipelines(rand.New(rand.NewPCG(seed, 3))))
 		})
 	}
 }
 
-const morePipelines = 30
+const pipelineDays = 30
 
 // drawPipelines writes the part of a script in which users submit pipelines.
 func drawPipelines(r *rand.Rand) (script []byte) {
 	shapes := []string{"chain", "diamond", "fan-in", "fan-out", "ten"}
 	for i := range 9 {
-		script = fmt.Appendf(script, "%ds pipeline run-%d shape=%s every=%dms count=%d team=%s tasks=%d cpus=%d run=%d gb=%d cancelled=0.%d late=0.%d after=%ds repeats=%d rank=urgent loaner=1\n",
+		script = fmt.Appendf(script, "%ds pipeline run-%d shape=%s every=%dms count=%d team=%s tasks=%d cpus=%d run=%d image-gb=%d cancelled=0.%d late=0.%d after=%ds repeats=%d priority=urgent spot=1\n",
 			1+r.IntN(200), 1000+100*i, shapes[r.IntN(len(shapes))], 10+r.IntN(4000), 1+r.IntN(4), []string{"red", "blue"}[r.IntN(2)],
 			1+r.IntN(3), 1+r.IntN(2), 1+r.IntN(8), r.IntN(2), r.IntN(5), r.IntN(4), 1+r.IntN(60), r.IntN(2))
 	}
 	if r.IntN(2) == 0 {
-		script = fmt.Appendf(script, "%ds close-looks %ds cancelled=0.1\n", r.IntN(100), 20+r.IntN(100))
+		script = fmt.Appendf(script, "%ds read-your-writes %ds cancelled=0.1\n", r.IntN(100), 20+r.IntN(100))
 	}
 	return script
 }
 
-func playMeetings(t *testing.T, seed uint64, more []byte) {
+func playCombinedDay(t *testing.T, seed uint64, more []byte) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	world := []byte(`team red cpus=16 max=32
 team blue cpus=8 max=16
-type small cpus=4 mem=32 price=0.4 spot=0.1 boot=5 fetch=1
-type large cpus=16 mem=128 price=1.5 spot=0.4 boot=5 fetch=1
-room small north count=4
-room small south count=4
-room small north kind=spot count=4
-room large south count=2
-room large south kind=spot count=2
-in a north
+machine-type small cpus=4 mem=32 price=0.4 spot=0.1 boot=5 fetch=1
+machine-type large cpus=16 mem=128 price=1.5 spot=0.4 boot=5 fetch=1
+capacity small north count=4
+capacity small south count=4
+capacity small north kind=spot count=4
+capacity large south count=2
+capacity large south kind=spot count=2
+controller-zone a north
 `)
 	add := func(to *[]byte, format string, args ...any) { *to = fmt.Appendf(*to, format+"\n", args...) }
 	if r.IntN(2) == 0 {
-		add(&world, "homes n=2")
+		add(&world, "job-shards n=2")
 	}
 	if r.IntN(2) == 0 {
-		add(&world, "nodes 5")
+		add(&world, "controllers 5")
 	}
-	script := append(drawMeetings(r), more...)
-	expect := []byte("all\nserved\n")
+	script := append(drawCombinedFaults(r), more...)
+	expect := []byte("all-served\nserved\n")
 	a := &txtar.Archive{Files: []txtar.File{{Name: "world", Data: world}, {Name: "script", Data: script}, {Name: "expect", Data: expect}}}
 	playDay(t, a, seed)
 }
@@ -176,21 +176,21 @@
 	}
 }
 
-// drawMeetings writes a script of meetings: each is two troubles that begin
+// drawCombinedFaults writes a script of meetings: each is two troubles that begin
 // within three seconds of each other, with cancellations in between.
-func drawMeetings(r *rand.Rand) (script []byte) {
+func drawCombinedFaults(r *rand.Rand) (script []byte) {
 	add := func(at time.Duration, format string, args ...any) {
 		script = fmt.Appendf(script, "%dms "+format+"\n", append([]any{at.Milliseconds()}, args...)...)
 	}
 	s := func(n int) time.Duration { return time.Duration(n) * time.Second }
-	add(s(1), "submit run-1 kind=service rank=critical tasks=3 cpus=2 gb=0 spread=1")
-	add(s(1), "submit run-2 kind=service rank=critical team=blue tasks=2 cpus=1 gb=1")
+	add(s(1), "submit run-1 kind=service priority=critical tasks=3 cpus=2 image-gb=0 spread=1")
+	add(s(1), "submit run-2 kind=service priority=critical team=blue tasks=2 cpus=1 image-gb=1")
 	for i := range 14 {
 		at, team := s(1+r.IntN(190)), []string{"red", "blue"}[r.IntN(2)]
-		extra := []string{"", " together=1", " zone=north", " loaner=1", " loaner=1 mark=4 stash=1", " runs=2,70"}[r.IntN(6)]
-		add(at, "submit run-%d team=%s tasks=%d cpus=%d run=%d gb=%d repeats=%d%s", 10+i, team, 1+r.IntN(6), 1+r.IntN(3), 3+r.IntN(60), r.IntN(3), r.IntN(2), extra)
+		extra := []string{"", " one-zone=1", " zone=north", " spot=1", " spot=1 checkpoint=4 save=1", " runs=2,70"}[r.IntN(6)]
+		add(at, "submit run-%d team=%s tasks=%d cpus=%d run=%d image-gb=%d repeats=%d%s", 10+i, team, 1+r.IntN(6), 1+r.IntN(3), 3+r.IntN(60), r.IntN(3), r.IntN(2), extra)
 		if r.IntN(3) == 0 {
-			add(at+s(r.IntN(60)), "withdraw run-%d", 10+i)
+			add(at+s(r.IntN(60)), "cancel run-%d", 10+i)
 		}
 	}
 	node := func() string { return []string{"leader", "holder:0", "holder:1", "a", "b", "c"}[r.IntN(6)] }
@@ -201,20 +201,20 @@
 			share := 1 + r.IntN(9)
 			switch r.IntN(16) {
 			case 0:
-				add(when, "outage %s", long)
+				add(when, "store-outage %s", long)
 			case 1:
 				who := node()
-				add(when, "cut %s state", who)
-				add(when+long, "heal all state")
+				add(when, "partition %s store", who)
+				add(when+long, "heal all store")
 			case 2:
 				who := node()
-				add(when, "cut %s state", who)
-				add(when, "cut %s peers", who)
-				add(when+long, "heal all state")
+				add(when, "partition %s store", who)
+				add(when, "partition %s peers", who)
+				add(when+long, "heal all store")
 				add(when+long, "heal all peers")
 			case 3:
-				add(when, "cut %s workers", node())
-				add(when+long, "heal all workers")
+				add(when, "partition %s agents", node())
+				add(when+long, "heal all agents")
 			case 4, 5:
 				add(when, "crash %s", node())
 				add(when+time.Duration(100+r.IntN(6000))*time.Millisecond, "start all")
@@ -222,41 +222,41 @@
 				add(when, "crash all")
 				add(when+[]time.Duration{200 * time.Millisecond, 3 * time.Second, long}[r.IntN(3)], "start all")
 			case 7:
-				add(when, "machine-cut some %s share=0.%d", long, share)
+				add(when, "machine-partition some %s share=0.%d", long, share)
 			case 8:
-				add(when, "hang some %s share=0.%d", long, share)
+				add(when, "machine-pause some %s share=0.%d", long, share)
 			case 9:
-				add(when, "deaf some %s share=0.%d", long, share)
+				add(when, "inbound-partition some %s share=0.%d", long, share)
 			case 10:
-				add(when, "mute some %s share=0.%d", long, share)
+				add(when, "outbound-partition some %s share=0.%d", long, share)
 			case 11:
-				add(when, "lose share=0.%d late=0.8", share/2)
-				add(when+long, "lose share=0")
+				add(when, "store-lost-answers share=0.%d late=0.8", share/2)
+				add(when+long, "store-lost-answers share=0")
 			case 12:
-				add(when, "slow-state share=0.%d most=2500ms", share)
-				add(when+long, "slow-state share=0")
+				add(when, "store-latency share=0.%d most=2500ms", share)
+				add(when+long, "store-latency share=0")
 			case 13:
-				add(when, "drag share=0.%d most=12s", share)
-				add(when+long, "drag share=0")
+				add(when, "command-latency share=0.%d most=12s", share)
+				add(when+long, "command-latency share=0")
 			case 14:
-				add(when, "copies share=0.%d least=2s most=70s", share)
-				add(when+long, "copies share=0")
+				add(when, "duplicate-heartbeats share=0.%d least=2s most=70s", share)
+				add(when+long, "duplicate-heartbeats share=0")
 			case 15:
-				add(when, "zone-cut north %s", long)
+				add(when, "zone-partition north %s", long)
 			}
 		}
 		switch r.IntN(3) {
 		case 0:
-			add(at+time.Duration(r.IntN(4000))*time.Millisecond, "cancel-now count=%d hang=%ds", 1+r.IntN(4), r.IntN(30))
+			add(at+time.Duration(r.IntN(4000))*time.Millisecond, "cancel-running count=%d pause=%ds", 1+r.IntN(4), r.IntN(30))
 		case 1:
-			add(at, "cancel-at-end share=0.%d", 1+r.IntN(9))
-			add(at+s(30), "cancel-at-end share=0")
+			add(at, "cancel-on-completion share=0.%d", 1+r.IntN(9))
+			add(at+s(30), "cancel-on-completion share=0")
 		}
 	}
-	for _, what := range []string{"start all", "heal all all", "lose share=0", "slow-state share=0", "drag share=0", "copies share=0", "cancel-at-end share=0"} {
+	for _, what := range []string{"start all", "heal all all", "store-lost-answers share=0", "store-latency share=0", "command-latency share=0", "duplicate-heartbeats share=0", "cancel-on-completion share=0"} {
 		add(s(300), what)
 	}
-	add(s(375), "calm")
+	add(s(375), "check-liveness")
 	add(s(700), "end")
 	return script
 }
@@ -275,19 +275,19 @@
 		team := []string{"red", "blue"}[r.IntN(2)]
 		if r.IntN(4) == 0 {
 			tasks := 1 + r.IntN(3)
-			add(&script, "%ds submit run-%d team=%s kind=service rank=critical tasks=%d cpus=1 spread=1 gb=%d", at, id, team, tasks, r.IntN(3))
+			add(&script, "%ds submit run-%d team=%s kind=service priority=critical tasks=%d cpus=1 spread=1 image-gb=%d", at, id, team, tasks, r.IntN(3))
 			if r.IntN(2) == 0 {
-				add(&script, "%ds withdraw run-%d", at+r.IntN(120), id)
+				add(&script, "%ds cancel run-%d", at+r.IntN(120), id)
 			} else {
 				standing[team] += tasks
 			}
 			continue
 		}
 		tasks, cpus := 1+r.IntN(8), 1+r.IntN(4)
-		add(&script, "%ds submit run-%d team=%s tasks=%d cpus=%d run=%d gb=%d loaner=1 mark=%d stash=1 repeats=%d",
+		add(&script, "%ds submit run-%d team=%s tasks=%d cpus=%d run=%d image-gb=%d spot=1 checkpoint=%d save=1 repeats=%d",
 			at, id, team, tasks, cpus, 1+r.IntN(30), r.IntN(4), 5*r.IntN(2), r.IntN(3))
 		if r.IntN(5) == 0 {
-			add(&script, "%ds withdraw run-%d", at+r.IntN(40), id)
+			add(&script, "%ds cancel run-%d", at+r.IntN(40), id)
 		} else {
 			arrays = append(arrays, array{id, cpus, team})
 		}
@@ -297,8 +297,8 @@
 			add(&expect, "done run-%d", a.id)
 		}
 	}
-	add(&script, "0s lose share=0.0%d late=0.5", r.IntN(9))
-	add(&script, "0s echo share=0.%d", r.IntN(6))
+	add(&script, "0s store-lost-answers share=0.0%d late=0.5", r.IntN(9))
+	add(&script, "0s duplicate-commands share=0.%d", r.IntN(6))
 	for range 10 {
 		at := 10 + r.IntN(220)
 		node := string(rune('a' + r.IntN(3)))
@@ -311,19 +311,19 @@
 			add(&script, "%ds crash all", at)
 			add(&script, "%ds start all", at+3)
 		case 2:
-			what := []string{"all", "state", "peers", "workers"}[r.IntN(4)]
-			add(&script, "%ds cut %s %s", at, node, what)
+			what := []string{"all", "store", "peers", "agents"}[r.IntN(4)]
+			add(&script, "%ds partition %s %s", at, node, what)
 			add(&script, "%ds heal %s %s", at+5+r.IntN(50), node, what)
 		case 3:
-			add(&script, "%ds outage %ds", at, 5+r.IntN(30))
+			add(&script, "%ds store-outage %ds", at, 5+r.IntN(30))
 		case 4:
-			add(&script, "%ds die %s", at, machine)
+			add(&script, "%ds machine-crash %s", at, machine)
 		case 5, 6:
-			add(&script, "%ds machine-cut %s %ds", at, machine, 5+r.IntN(50))
+			add(&script, "%ds machine-partition %s %ds", at, machine, 5+r.IntN(50))
 		case 7:
-			add(&script, "%ds take %s notice=%ds", at, machine, r.IntN(10))
+			add(&script, "%ds reclaim %s notice=%ds", at, machine, r.IntN(10))
 		case 8:
-			add(&script, "%ds slow %s factor=3", at, machine)
+			add(&script, "%ds machine-slow %s factor=3", at, machine)
 		}
 	}
 	// Of these each day has a few; they come last so that the days above stay the
@@ -333,21 +333,21 @@
 		node := string(rune('a' + r.IntN(3)))
 		switch r.IntN(4) {
 		case 0:
-			add(&script, "%ds freeze %s %ds", at, node, 1+r.IntN(60))
+			add(&script, "%ds pause %s %ds", at, node, 1+r.IntN(60))
 		case 1:
-			add(&script, "%ds hang some %ds share=0.%d", at, 2+r.IntN(60), 1+r.IntN(9))
+			add(&script, "%ds machine-pause some %ds share=0.%d", at, 2+r.IntN(60), 1+r.IntN(9))
 		case 2:
-			add(&script, "%ds cut all peers", at)
+			add(&script, "%ds partition all peers", at)
 			add(&script, "%ds heal all peers", at+5+r.IntN(50))
 		case 3:
-			add(&script, "%ds machine-cut some %ds zone=%s", at, 5+r.IntN(60), []string{"north", "south"}[r.IntN(2)])
+			add(&script, "%ds machine-partition some %ds zone=%s", at, 5+r.IntN(60), []string{"north", "south"}[r.IntN(2)])
 		}
 	}
 	add(&script, "285s heal a all")
 	add(&script, "285s heal b all")
 	add(&script, "285s heal c all")
 	add(&script, "285s start all")
-	add(&script, "285s lose share=0")
+	add(&script, "285s store-lost-answers share=0")
 	add(&script, "700s end")
 	return script, expect
 }
@@ -356,7 +356,7 @@
 // at the same times, so that whatever a run finds can be looked at again. Takeovers
 // once depended on the order in which a map was gone through.
 func TestRunsRepeat(t *testing.T) {
-	for _, name := range []string{"shards_part", "zone_cut_takeover", "meet_end"} {
+	for _, name := range []string{"shards_rebalance", "zone_partition_failover", "combined_cancel_on_completion"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a, err := txtar.ParseFile("testdata/" + name + ".txtar")
--- a/internal/scenario/select.go
+++ b/internal/scenario/select.go
@@ -40,13 +40,13 @@
 	return s.hosts[0]
 }
 
-// hostsNow is hostNow with "all" and "well" as names: the latter are those that
+// hostsNow is hostNow with "all" and "healthy" as names: the latter are those that
 // the state service serves.
 func (s *sim) hostsNow(name string) []*host {
 	switch name {
 	case "all":
 		return s.hosts
-	case "well":
+	case "healthy":
 		return slices.DeleteFunc(slices.Clone(s.hosts), func(h *host) bool { return s.store.down(h) })
 	}
 	return []*host{s.hostNow(name)}
@@ -66,7 +66,7 @@
 
 // known fails unless a name means a host.
 func (s *sim) known(line *statement, name string) {
-	if name != "all" && name != "well" && name != "leader" && !strings.HasPrefix(name, "holder:") {
+	if name != "all" && name != "healthy" && name != "leader" && !strings.HasPrefix(name, "holder:") {
 		s.host(line, name)
 	}
 }
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -296,7 +296,7 @@
 		if s.rand.Float64() < st.lose {
 			if s.rand.Float64() < st.late {
 				late := time.Duration(s.rand.Int64N(int64(20 * time.Second)))
-				s.noteFault("late-write", late)
+				s.noteFault("delayed-write", late)
 				s.after(late, func() {
 					if !st.outage {
 						_, _ = st.txn(t) // whatever comes of it, nobody is told
--- a/internal/scenario/users_faults.go
+++ b/internal/scenario/users_faults.go
@@ -29,7 +29,7 @@
 		for _, x := range s.check.machinesOf(j.spec.ID) {
 			if hang > 0 && hung < 8 && !x.hangs() {
 				hung++
-				s.noteFault("hang", hang)
+				s.noteFault("machine-pause", hang)
 				x.hang(hang)
 			}
 		}
@@ -41,7 +41,7 @@
 // job off, or repeat its submission, at that very moment.
 func (u *users) lastEnded(j *userJob) {
 	if u.atEnd > 0 && u.s.rand.Float64() < u.atEnd && !j.asked {
-		u.s.noteFault("cancel-at-end", time.Second)
+		u.s.noteFault("cancel-on-completion", time.Second)
 		u.withdraw(j)
 		u.submit(j)
 	}
--- a/internal/scenario/worker_copies.go
+++ b/internal/scenario/worker_copies.go
@@ -34,7 +34,7 @@
 // new leader begins.
 func (s *sim) releaseCopies() {
 	if len(s.kept) > 0 {
-		s.noteFault("kept-copies", time.Second)
+		s.noteFault("replayed-heartbeats", time.Second)
 	}
 	for _, r := range s.kept {
 		for _, h := range s.hosts {
--- a/internal/scenario/worker_link.go
+++ b/internal/scenario/worker_link.go
@@ -31,7 +31,7 @@
 		if s.lateCommands > 0 && s.rand.Float64() < s.lateCommands {
 			// Held up on its way, and carried out once if token and session still match.
 			late := s.lateLeast + time.Duration(s.rand.Int64N(int64(s.lateMost-s.lateLeast)+1))
-			s.noteFault("late-command", late)
+			s.noteFault("delayed-command", late)
 			s.after(late, func() {
 				if !w.dead && !w.hangs() {
 					w.direct(o)
@@ -42,7 +42,7 @@
 		there, back := s.delay(), time.Duration(0)
 		if s.drag > 0 && s.rand.Float64() < s.drag {
 			// Held up on its way there or back; the sender may give up meanwhile.
-			s.noteFault("held-command", s.dragMost)
+			s.noteFault("command-latency", s.dragMost)
 			d := time.Duration(s.rand.Int64N(int64(s.dragMost)))
 			if s.rand.IntN(2) == 0 {
 				there += d
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -23,17 +23,17 @@
 
 // declarations are the verbs of a world.
 var declarations = map[string]func(w *world, line *statement){
-	"nodes":   declareNodes,
-	"workers": declareWorkers,
-	"state":   declareState,
-	"next":    declareNextState,
-	"team":    declareTeam,
-	"type":    declareType,
-	"room":    declareRoom,
-	"in": func(w *world, line *statement) {
+	"controllers":      declareNodes,
+	"agents":           declareWorkers,
+	"store":            declareState,
+	"announced-limits": declareNextState,
+	"team":             declareTeam,
+	"machine-type":     declareType,
+	"capacity":         declareRoom,
+	"controller-zone": func(w *world, line *statement) {
 		w.zones[line.arg(0)] = line.arg(1)
 	},
-	"homes": func(w *world, line *statement) {
+	"job-shards": func(w *world, line *statement) {
 		w.options.JobShards = int(line.num("n", 0))
 	},
 }
@@ -47,7 +47,7 @@
 }
 
 func declareWorkers(w *world, line *statement) {
-	w.cluster.Agents = config.Agents{HeartbeatSeconds: line.num("report", 3), LeaseSeconds: line.num("lease", 30), CancelSeconds: line.num("cancel", 60)}
+	w.cluster.Agents = config.Agents{HeartbeatSeconds: line.num("heartbeat", 3), LeaseSeconds: line.num("lease", 30), CancelSeconds: line.num("cancel", 60)}
 }
 
 func declareState(w *world, line *statement) {
