--- a/internal/coordination/membership/registry.go
+++ b/internal/coordination/membership/registry.go
@@ -24,6 +24,7 @@
 
 // Leadership is what a Registry needs to know of the leader whose it is.
 type Leadership interface {
+	// Term is the term of the leadership.
 	Term() uint64
 	// MayAnswer reports whether the leader may still speak as one.
 	MayAnswer() bool
@@ -73,8 +74,8 @@
 // Peer returns what is known of a controller, or nil where it has not been heard.
 func (r *Registry) Peer(controller string) *Peer { return r.peers[controller] }
 
-// peer returns what is known of a controller, if only that it exists.
-func (r *Registry) peer(controller string) *Peer {
+// peerOrNew returns what is known of a controller, if only that it exists.
+func (r *Registry) peerOrNew(controller string) *Peer {
 	p := r.peers[controller]
 	if p == nil {
 		p = &Peer{}
@@ -89,7 +90,7 @@
 		return &protocol.PeerHeartbeatReply{}
 	}
 	now := r.Generation.Now()
-	p := r.peer(h.Controller)
+	p := r.peerOrNew(h.Controller)
 	if h.Incarnation < p.Incarnation {
 		return &protocol.PeerHeartbeatReply{} // a late copy from an incarnation that has ended
 	}
--- a/internal/coordination/membership/reporter.go
+++ b/internal/coordination/membership/reporter.go
@@ -19,6 +19,7 @@
 // Peers carries messages to other controllers. done is called later on the controller's
 // goroutine.
 type Peers interface {
+	// Ask sends a request to one controller.
 	Ask(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
 }
 
@@ -34,7 +35,10 @@
 
 // Holdings is what a controller says of the shards that it holds.
 type Holdings interface {
+	// MachineStatuses are its machines and what is on them.
 	MachineStatuses() []protocol.MachineStatus
+	// GrantsWithinQuota are the fencing tokens of the grants under which nothing takes more
+	// than the quota split allows.
 	GrantsWithinQuota() []uint64
 }
 
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -95,7 +95,7 @@
 			return
 		}
 		for _, item := range page.Items {
-			r.apply(item.Key, item.Value, item.Version)
+			r.applyRecord(item.Key, item.Value, item.Version)
 		}
 		if from == 0 {
 			from = page.Revision
@@ -191,7 +191,7 @@
 			continue
 		}
 		if event.Put != "" {
-			r.apply(event.Put, event.Value, event.Version)
+			r.applyRecord(event.Put, event.Value, event.Version)
 		} else {
 			r.View.Remove(event.Remove, event.Version)
 		}
@@ -202,7 +202,7 @@
 	r.freshAt = max(r.freshAt, sentAt)
 }
 
-func (r *Replica) apply(key string, value []byte, version uint64) {
+func (r *Replica) applyRecord(key string, value []byte, version uint64) {
 	if !strings.HasPrefix(key, storage.Prefix) {
 		return
 	}
--- a/internal/coordination/sharding/assigner.go
+++ b/internal/coordination/sharding/assigner.go
@@ -29,10 +29,13 @@
 
 // Leadership is what an Assigner needs of the leader whose it is.
 type Leadership interface {
+	// Term is the term of the leadership.
 	Term() uint64
+	// Since is when the leadership began.
 	Since() time.Duration
 	// Condition makes a transaction depend on the leadership.
 	Condition() protocol.Condition
+	// NextFencingToken issues a fencing token, higher than all before.
 	NextFencingToken() uint64
 }
 
