--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// A job may need others: none of its tasks starts before all of them are done, and it
-// is cancelled with any of them, directly or through others. Both follow from the
-// jobs' durable records alone: from the needs in the record of the one and the final
-// records of the others. Nothing else is stored of it, so there is nothing that could
-// disagree. Since no task of a job has started before its needs were done, and what
-// is done can't be cancelled any more, a job that is cancelled with another has no
-// task that would have to be stopped.
+// A job may depend on others: none of its tasks starts before all of them are done, and
+// it is cancelled with any of them, directly or through others. Both follow from the
+// jobs' durable records alone: from the dependencies in the record of the one and the
+// final records of the others. Nothing else is stored of it, so there is nothing that
+// could disagree. Since no task of a job has started before its dependencies were done,
+// and what is done can't be cancelled any more, a job that is cancelled with another has
+// no task that would have to be stopped.
 //
-// Rows of needed jobs stay in the table after their end for as long as an unfinished
-// job needs them.
+// Rows of jobs that have ended stay in the table for as long as an unfinished job depends
+// on them.
 
 // Outcome is what has become of a job.
 type Outcome int
@@ -24,51 +24,47 @@
 const (
 	OutcomeOpen      Outcome = iota // it is unfinished, or its final record has not been read
 	OutcomeDone                     // all its tasks are done
-	OutcomeCancelled                // it was cancelled, by its user or with a job that it needs
+	OutcomeCancelled                // it was cancelled, by its user or with a job that it depends on
 )
 
-// dependencies are a job's relations to the jobs that it needs and to those that
-// need it.
+// jobRelations are a job's relations to its dependencies and its dependents. Both lists
+// mirror each other: of a job in the dependencies of another, that one is a dependent.
 type jobRelations struct {
-	dependencies        []*Job // without repeats; empty once the job is over
-	dependents          []*Job // unfinished jobs that need this one
-	pendingDependencies int    // of the needs, those that are not known to be done
+	dependencies        []*Job // without repeats; empty once the job has ended
+	dependents          []*Job // unfinished jobs that depend on this one
+	pendingDependencies int    // dependencies that are not known to be done
 	outcome             Outcome
-	endedAtMS           int64 // time of day when the job ended; 0: not known
-	// cancelledBy is the cancelled job that this one needs, directly or through
+	endedAtMS           int64 // wall clock time of the end; 0: not known
+	// cancelledBy is the cancelled job that this one depends on, directly or through
 	// others.
 	cancelledBy *Job
 
-	urgency inheritedPriority
+	inherited inheritedRank
 }
 
-// urgency is what a job takes over from the jobs that need it.
-type inheritedPriority struct {
-	revision uint64 // state of the jobs that it follows from, see Cache.jobsState
-	rank     int
+// dependencyWork is what dependencies ask of the controller.
+type dependencyWork struct {
+	unreadOutcomes      map[*Job]bool // ended jobs with dependents whose final records were not read
+	cancelledDependents map[*Job]bool // unfinished jobs that are cancelled with another
 }
 
-// Waits reports whether the job waits for others: as far as is known, not all that it
-// needs is done.
+// AwaitsDependencies reports whether, as far as is known, some job that this one depends
+// on is not done.
 func (j *Job) AwaitsDependencies() bool { return j.pendingDependencies > 0 }
 
-// Needed reports whether an unfinished job needs this one.
+// HasDependents reports whether an unfinished job depends on this one.
 func (j *Job) HasDependents() bool { return len(j.dependents) > 0 }
 
-// CancelledWith returns the cancelled job with which this one is cancelled, or nil.
+// CancelledBy returns the cancelled job with which this one is cancelled, or nil.
 func (j *Job) CancelledBy() *Job { return j.cancelledBy }
 
-// Runnable reports whether the job's tasks may start now. Only such a job counts for
-// guarantee, limit, order and demand.
-func (j *Job) Runnable() bool { return j.Active() && !j.AwaitsDependencies() }
-
-// ReadyMS is the time of day from which the job could start: when the last job that it
-// needs was done, or its submission. Final records written by versions before 0.2 say
-// no time; those jobs ended before the submission of any that needs others.
+// ReadyAtMS is the wall clock time from which the job could start: when its last
+// dependency was done, or its submission. Final records written by versions before 0.2
+// say no time; those jobs ended before the submission of any that has dependencies.
 func (j *Job) ReadyAtMS() int64 {
 	ready := j.SubmittedAtMS
-	for _, need := range j.dependencies {
-		ready = max(ready, need.endedAtMS)
+	for _, dependency := range j.dependencies {
+		ready = max(ready, dependency.endedAtMS)
 	}
 	return ready
 }
@@ -79,165 +75,162 @@
 	return j.CancellationConfirmed || j.outcome == OutcomeCancelled || j.cancelledBy != nil
 }
 
-// unread reports whether the job is over and it is not known how it ended.
+// outcomeUnread reports whether the job has ended and a dependent waits to know how.
 func (j *Job) outcomeUnread() bool { return j.Ended() && j.outcome == OutcomeOpen && j.HasDependents() }
 
-// link takes in what a job needs.
-func (b *View) link(j *Job, ids []string) {
-	b.unlink(j)
+// linkDependencies takes in which jobs a job depends on.
+func (v *View) linkDependencies(j *Job, ids []string) {
+	v.unlinkDependencies(j)
 	for _, id := range ids {
-		need := b.job(id)
-		if need == j || slices.Contains(j.dependencies, need) {
+		dependency := v.job(id)
+		if dependency == j || slices.Contains(j.dependencies, dependency) {
 			continue
 		}
-		need.dependents = append(need.dependents, j)
-		j.dependencies = append(j.dependencies, need)
-		if need.outcome != OutcomeDone {
+		dependency.dependents = append(dependency.dependents, j)
+		j.dependencies = append(j.dependencies, dependency)
+		if dependency.outcome != OutcomeDone {
 			j.pendingDependencies++
 		}
-		b.noteUnread(need)
-		if need.cancelled() {
-			b.cancelDependents(need)
+		v.noteUnread(dependency)
+		if dependency.cancelled() {
+			v.cancelDependents(dependency)
 		}
 	}
-	b.noteUnread(j) // it was taken for one that is over until its own record was read
+	v.noteUnread(j) // it was taken for one that has ended until its own record was read
 	if j.cancelled() {
-		b.cancelDependents(j) // those whose records were read before this one
+		v.cancelDependents(j) // those whose records were read before this one
 	}
 }
 
-// unlink takes back what a job needs.
-func (b *View) unlink(j *Job) {
-	needs := j.dependencies
+// unlinkDependencies takes back which jobs a job depends on.
+func (v *View) unlinkDependencies(j *Job) {
+	dependencies := j.dependencies
 	j.dependencies, j.pendingDependencies, j.cancelledBy = nil, 0, nil
-	delete(b.cancelledDependents, j)
-	for _, need := range needs {
-		need.dependents = slices.DeleteFunc(need.dependents, func(d *Job) bool { return d == j })
-		b.noteUnread(need)
-		b.ForgetJob(need)
+	delete(v.cancelledDependents, j)
+	for _, dependency := range dependencies {
+		dependency.dependents = slices.DeleteFunc(dependency.dependents, func(dependent *Job) bool { return dependent == j })
+		v.noteUnread(dependency)
+		v.ForgetJob(dependency)
 	}
 }
 
-// leave takes in that a job is over. One that was known to be cancelled can't have
+// endJob takes in that a job has ended. One that was known to be cancelled can't have
 // ended in any other way.
-func (b *View) endJob(j *Job) {
+func (v *View) endJob(j *Job) {
 	if j.cancelled() {
 		j.outcome = OutcomeCancelled
 	}
-	b.unlink(j)
-	b.noteUnread(j)
+	v.unlinkDependencies(j)
+	v.noteUnread(j)
 }
 
 // noteUnread keeps the set of jobs whose final records are wanted.
-func (b *View) noteUnread(j *Job) {
+func (w *dependencyWork) noteUnread(j *Job) {
 	if j.outcomeUnread() {
-		b.unreadOutcomes[j] = true
+		w.unreadOutcomes[j] = true
 	} else {
-		delete(b.unreadOutcomes, j)
+		delete(w.unreadOutcomes, j)
 	}
 }
 
-// SetOutcome takes in the final record of a job. It returns the jobs that can start
-// now and those that are cancelled by it.
-func (b *View) SetOutcome(id string, f FinalRecord) (released, cancelled []*Job) {
-	_, j := b.Jobs.Find(id)
+// MarkCancelled takes in that a job's cancellation is durable, ahead of the changes. It
+// returns the jobs that are cancelled with it and were not known to be.
+func (v *View) MarkCancelled(id string) []*Job {
+	_, j := v.Jobs.Find(id)
+	if j == nil {
+		return nil
+	}
+	j.CancellationConfirmed = true
+	return v.cancelDependents(j)
+}
+
+// SetOutcome takes in the final record of a job, which is not among the changes. It
+// returns the jobs that can start now and those that are cancelled by it. Of a job, only
+// the first record counts, and of one without a row none.
+func (v *View) SetOutcome(id string, final FinalRecord) (released, cancelled []*Job) {
+	_, j := v.Jobs.Find(id)
 	if j == nil || j.outcome != OutcomeOpen {
 		return nil, nil
 	}
-	j.outcome, j.endedAtMS = f.outcome(), f.EndedAtMS
-	b.noteUnread(j)
+	j.outcome, j.endedAtMS = final.outcome(), final.EndedAtMS
+	v.noteUnread(j)
 	if j.outcome == OutcomeCancelled {
-		return nil, b.cancelDependents(j)
+		return nil, v.cancelDependents(j)
 	}
-	for _, d := range j.dependents {
-		if d.pendingDependencies--; d.pendingDependencies == 0 {
-			released = append(released, d)
-			b.JobsAdded++ // its place in the order follows from this moment
+	return v.releaseDependents(j), nil
+}
+
+// releaseDependents takes in that a job is done and returns the jobs that awaited only
+// this one.
+func (v *View) releaseDependents(j *Job) (released []*Job) {
+	for _, dependent := range j.dependents {
+		dependent.pendingDependencies--
+		if dependent.pendingDependencies == 0 {
+			released = append(released, dependent)
+			v.JobsAdded++ // its place in the order follows from this moment
 		}
 	}
-	return released, nil
+	return released
 }
 
-// cancelDependants marks all that need a cancelled job, directly or through others,
+// cancelDependents marks all that depend on a cancelled job, directly or through others,
 // and returns those that were not marked before.
-func (b *View) cancelDependents(root *Job) (marked []*Job) {
+func (v *View) cancelDependents(root *Job) (marked []*Job) {
 	origin := root
 	if root.cancelledBy != nil {
 		origin = root.cancelledBy
 	}
-	for next := []*Job{root}; len(next) > 0; {
-		last := next[len(next)-1]
-		next = next[:len(next)-1]
-		for _, d := range last.dependents {
-			if d.cancelledBy != nil {
+	for pending := []*Job{root}; len(pending) > 0; {
+		last := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		for _, dependent := range last.dependents {
+			if dependent.cancelledBy != nil {
 				continue
 			}
-			d.cancelledBy = origin
-			b.cancelledDependents[d] = true
-			marked = append(marked, d)
-			next = append(next, d)
+			dependent.cancelledBy = origin
+			v.cancelledDependents[dependent] = true
+			marked = append(marked, dependent)
+			pending = append(pending, dependent)
 		}
 	}
 	if len(marked) > 0 {
-		b.JobsEnded++ // whoever keeps a list of what may run looks again
+		v.JobsEnded++ // whoever keeps a list of what may run looks again
 	}
 	return marked
 }
 
-// DependentCancelled lists the unfinished jobs that are cancelled with one that they
-// need: their own final records are still to be written.
-func (b *View) CancelledDependents() []*Job { return sortedJobs(b.cancelledDependents) }
+// CancelledDependents lists by ID the unfinished jobs that are cancelled with one that
+// they depend on: their own final records are still to be written.
+func (w *dependencyWork) CancelledDependents() []*Job { return sortedJobs(w.cancelledDependents) }
 
-// Unread lists the jobs that are over and whose final records are wanted.
-func (b *View) UnreadOutcomes() []*Job { return sortedJobs(b.unreadOutcomes) }
+// UnreadOutcomes lists by ID the jobs that have ended and whose final records are wanted.
+func (w *dependencyWork) UnreadOutcomes() []*Job { return sortedJobs(w.unreadOutcomes) }
 
-// UnreadBefore lists those of them on which it depends whether a job is cancelled.
-func (b *View) UnreadOutcomesUpstream(j *Job) (list []*Job) {
-	if len(b.unreadOutcomes) == 0 {
+// UnreadOutcomesUpstream lists those of the UnreadOutcomes on which it depends whether a
+// job is cancelled, that job itself included.
+func (w *dependencyWork) UnreadOutcomesUpstream(j *Job) (unread []*Job) {
+	if len(w.unreadOutcomes) == 0 {
 		return nil
 	}
 	seen := map[*Job]bool{j: true}
-	for next := []*Job{j}; len(next) > 0; {
-		last := next[len(next)-1]
-		next = next[:len(next)-1]
-		if b.unreadOutcomes[last] {
-			list = append(list, last)
+	for pending := []*Job{j}; len(pending) > 0; {
+		last := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		if w.unreadOutcomes[last] {
+			unread = append(unread, last)
 		}
-		for _, need := range last.dependencies {
-			if !seen[need] {
-				seen[need] = true
-				next = append(next, need)
+		for _, dependency := range last.dependencies {
+			if !seen[dependency] {
+				seen[dependency] = true
+				pending = append(pending, dependency)
 			}
 		}
 	}
-	return list
-}
-
-// jobsState changes with every job that comes, ends or is cancelled.
-func (b *View) jobsRevision() uint64 { return b.JobsAdded + b.JobsEnded + 1 }
-
-// EffectiveRank is the highest priority, as a number of which 0 is the highest, of a
-// job and of those that need it, directly or through others.
-func (b *View) EffectiveRank(j *Job) int { return b.urgencyOf(j).rank }
-
-// urgencyOf works out what a job takes over. Users set the priority on the last job of a
-// pipeline only, and it may come long after the first.
-func (b *View) urgencyOf(j *Job) inheritedPriority {
-	if j.urgency.revision == b.jobsRevision() {
-		return j.urgency
-	}
-	u := inheritedPriority{revision: b.jobsRevision(), rank: j.Rank()}
-	for _, d := range j.dependents {
-		if d.Active() {
-			u.rank = min(u.rank, b.urgencyOf(d).rank)
-		}
-	}
-	j.urgency = u
-	return u
+	return unread
 }
 
-// sortedJobs lists a set of jobs in the order of their names: what a controller does
-// must follow from what it knows alone.
+// sortedJobs lists a set of jobs in the order of their IDs: what a controller does must
+// follow from what it knows alone, not from the order of a map.
 func sortedJobs(set map[*Job]bool) []*Job {
 	return slices.SortedFunc(maps.Keys(set), func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) })
 }
--- /dev/null
+++ b/internal/storage/leadership.go
@@ -0,0 +1,31 @@
+package storage
+
+// Leadership is who leads, as the records say.
+type Leadership struct {
+	Leader        LeaderRecord
+	LeaderVersion uint64 // 0 while there is no leader
+	Term          uint64 // the highest so far
+	TermVersion   uint64
+}
+
+func (l *Leadership) applyLeader(stored storedRecord) error {
+	leader, newer, err := decodeNewer[LeaderRecord](stored, l.LeaderVersion)
+	if newer {
+		l.Leader, l.LeaderVersion = leader, stored.version
+	}
+	return err
+}
+
+func (l *Leadership) removeLeader(removal storedRecord) {
+	if removal.version > l.LeaderVersion {
+		l.Leader, l.LeaderVersion = LeaderRecord{}, 0
+	}
+}
+
+func (l *Leadership) applyTerm(stored storedRecord) error {
+	term, newer, err := decodeNewer[TermRecord](stored, l.TermVersion)
+	if newer {
+		l.Term, l.TermVersion = term.Term, stored.version
+	}
+	return err
+}
--- a/internal/storage/machine.go
+++ b/internal/storage/machine.go
@@ -2,95 +2,114 @@
 
 import "slices"
 
-// Machine is a machine as the durable records tell of it.
+// Machine is a machine as the durable records tell of it. A row remains while a machine
+// group or an intent names it.
 type Machine struct {
-	Name         string
-	Index        int
-	Group        string // block it is in; none once no block names it
-	Address      string
+	MachineEntry        // as last read; Phase is never empty
+	Index        int    // in View.Machines
+	Group        string // ID of the machine group it is in; empty once no group names it
+
+	// What follows is its group's, as last read.
 	Type         string
 	Zone         string
 	Spot         bool
-	Shard        int
+	Shard        int // -1 where no group has named it
 	FencingToken uint64
-	Phase        MachinePhase
-	DrainStamp   uint64
-	Evict        bool
-	RentedAtMS   int64 // when it was rented
-	DeletedAtMS  int64
+	RentedAtMS   int64
 	TypeIndex    int
 	ZoneIndex    int
-	Intents      map[TaskRef]Intent
+
+	Intents map[TaskRef]Intent // attempts that may be on it
 }
 
-// There reports whether a block names the machine and it is not deleted.
+// Exists reports whether a group names the machine and it is not deleted.
 func (m *Machine) Exists() bool { return m.Group != "" && m.Phase != PhaseDeleted }
 
-// Block is a block of machines.
+// MachineGroup is a MachineGroupRecord with its version.
 type MachineGroup struct {
 	MachineGroupRecord
 	Version uint64
 }
 
-func (b *View) machine(name string) *Machine {
-	if _, m := b.Machines.Find(name); m != nil {
+// names reports whether the group has an entry of a machine.
+func (g *MachineGroup) names(machine string) bool {
+	return slices.ContainsFunc(g.Machines, func(entry MachineEntry) bool { return entry.Name == machine })
+}
+
+// machine returns the row of a machine, making one for a new name.
+func (v *View) machine(name string) *Machine {
+	if _, m := v.Machines.Find(name); m != nil {
 		return m
 	}
-	m := &Machine{Name: name, Shard: -1, Phase: PhaseDeleted, Intents: map[TaskRef]Intent{}}
-	m.Index = b.Machines.Add(name, m)
+	m := &Machine{MachineEntry: MachineEntry{Name: name, Phase: PhaseDeleted}, Shard: -1, Intents: map[TaskRef]Intent{}}
+	m.Index = v.Machines.Add(name, m)
 	return m
 }
 
-// dropMachine forgets a machine that no record names any more.
-func (b *View) forgetMachine(m *Machine) {
+// forgetMachine drops the row of a machine that no record names any more.
+func (v *View) forgetMachine(m *Machine) {
 	if m.Group == "" && len(m.Intents) == 0 {
-		b.Machines.Drop(m.Name)
+		v.Machines.Drop(m.Name)
 	}
 }
 
-// setBlock replaces a block. A machine that moves to another block is named by
-// both for a moment, in either order; the later word counts.
-func (b *View) setMachineGroup(id string, r MachineGroupRecord, version uint64) {
-	b.FleetRevision++
-	old := b.MachineGroups[id]
-	b.MachineGroups[id] = &MachineGroup{r, version}
-	for i := range r.Machines {
-		e := &r.Machines[i]
-		m := b.machine(e.Name)
-		m.Group, m.Address, m.Type, m.Zone, m.Spot, m.Shard, m.FencingToken = id, e.Address, r.Type, r.Zone, r.Spot, r.Shard, r.FencingToken
-		m.Phase, m.DrainStamp, m.Evict, m.RentedAtMS, m.DeletedAtMS = e.Phase, e.DrainStamp, e.Evict, r.RentedAtMS, e.DeletedAtMS
-		if m.Phase == "" {
-			m.Phase = PhaseActive
-		}
-		m.TypeIndex, m.ZoneIndex = b.MachineTypeID(r.Type), b.ZoneNames.ID(r.Zone)
+func (v *View) applyMachineGroup(stored storedRecord) error {
+	known := uint64(0)
+	if group := v.MachineGroups[stored.name]; group != nil {
+		known = group.Version
+	}
+	record, newer, err := decodeNewer[MachineGroupRecord](stored, known)
+	if newer {
+		v.setMachineGroup(stored.name, &MachineGroup{record, stored.version})
+	}
+	return err
+}
+
+func (v *View) removeMachineGroup(removal storedRecord) {
+	if group := v.MachineGroups[removal.name]; group != nil && removal.version > group.Version {
+		v.setMachineGroup(removal.name, &MachineGroup{})
+		delete(v.MachineGroups, removal.name)
+	}
+}
+
+// setMachineGroup replaces a group. A machine that moves to another group is named by
+// both for a moment, in either order; what was read last counts.
+func (v *View) setMachineGroup(id string, group *MachineGroup) {
+	v.FleetRevision++
+	old := v.MachineGroups[id]
+	v.MachineGroups[id] = group
+	for i := range group.Machines {
+		v.setMachine(id, group, &group.Machines[i])
+	}
+	if old != nil {
+		v.removeLeftOut(id, old, group)
 	}
-	if old == nil {
-		return
+}
+
+// setMachine fills the row of a machine from its group and its entry there.
+func (v *View) setMachine(groupID string, group *MachineGroup, entry *MachineEntry) {
+	row := v.machine(entry.Name)
+	row.MachineEntry = *entry
+	if row.Phase == "" {
+		row.Phase = PhaseActive
 	}
+	row.Group = groupID
+	row.Type, row.Zone, row.Spot = group.Type, group.Zone, group.Spot
+	row.Shard, row.FencingToken = group.Shard, group.FencingToken
+	row.RentedAtMS = group.RentedAtMS
+	row.TypeIndex, row.ZoneIndex = v.MachineTypeID(group.Type), v.ZoneNames.ID(group.Zone)
+}
+
+// removeLeftOut takes those machines out of a group that only its old record names.
+func (v *View) removeLeftOut(groupID string, old, group *MachineGroup) {
 	for i := range old.Machines {
 		name := old.Machines[i].Name
-		if slices.ContainsFunc(r.Machines, func(e MachineEntry) bool { return e.Name == name }) {
+		if group.names(name) {
 			continue
 		}
-		if _, m := b.Machines.Find(name); m != nil && m.Group == id {
+		if _, m := v.Machines.Find(name); m != nil && m.Group == groupID {
 			m.Group, m.Phase = "", PhaseDeleted
-			b.forgetMachine(m)
+			v.forgetMachine(m)
 		}
 	}
 }
-
-// Fits reports whether a machine of a type is large enough for a task of j.
-func (b *View) FitsMachineType(j *Job, typ int) bool {
-	t := &b.MachineTypes[typ]
-	return t.CPUs > 0 && j.CPUs <= t.CPUs+epsilon && j.GPUs <= t.GPUs+epsilon && j.MemoryGB <= t.MemoryGB+epsilon &&
-		(len(j.MachineTypeIndices) == 0 || slices.Contains(j.MachineTypeIndices, typ))
-}
-
-// Suits reports whether j's owner allows a machine for its tasks, and it is
-// large enough for one.
-func (b *View) Eligible(j *Job, m *Machine) bool {
-	return (!m.Spot || j.Spot) && (j.ZoneIndex < 0 || j.ZoneIndex == m.ZoneIndex) && b.FitsMachineType(j, m.TypeIndex)
-}
-
-// eps absorbs rounding in sums of decimal amounts.
-const epsilon = 1e-6
--- a/internal/storage/table.go
+++ b/internal/storage/table.go
@@ -1,17 +1,13 @@
-// Package storage keeps what a controller knows: jobs, tasks, machines,
-// teams and grants, and the durable records they are read from. It does no
-// I/O; records reach it through Cache.Apply and Cache.Remove, in the order in
-// which the state service made the changes.
 package storage
 
-// Names gives names dense indices. It is the door through which every name
-// enters; behind it the program handles indices.
+// Names gives names dense indices. Names are turned into indices where records are
+// read; all that works on the view compares indices. The zero value is empty.
 type Names struct {
 	ids   map[string]int
 	names []string
 }
 
-// ID returns the index of name, giving it one if need be.
+// ID returns the index of a name, giving it one if need be.
 func (n *Names) ID(name string) int {
 	if id, ok := n.ids[name]; ok {
 		return id
@@ -25,7 +21,7 @@
 	return id
 }
 
-// Lookup returns the index of name, or -1.
+// Lookup returns the index of a name, or -1.
 func (n *Names) Lookup(name string) int {
 	if id, ok := n.ids[name]; ok {
 		return id
@@ -36,7 +32,7 @@
 // Len returns how many names there are.
 func (n *Names) Len() int { return len(n.names) }
 
-// Name returns the name with an index.
+// Name returns the name with an index, or an empty one.
 func (n *Names) Name(id int) string {
 	if id < 0 || id >= len(n.names) {
 		return ""
@@ -44,12 +40,12 @@
 	return n.names[id]
 }
 
-// Table holds rows under dense indices. The index of a removed row is used
-// again.
+// Table holds rows by name under dense indices. The index of a dropped row is given to
+// a later one. The zero value is empty.
 type Table[T any] struct {
 	ids  map[string]int
 	rows []*T
-	free []int
+	free []int // indices of dropped rows, the next to be used last
 }
 
 // Get returns the row with an index, or nil.
@@ -69,25 +65,29 @@
 	return id, t.rows[id]
 }
 
-// Add puts a row under a new name.
+// Add puts a row under a name that the table does not have and returns its index.
 func (t *Table[T]) Add(name string, row *T) int {
 	if t.ids == nil {
 		t.ids = map[string]int{}
 	}
-	var id int
+	id := t.nextIndex()
+	t.rows[id] = row
+	t.ids[name] = id
+	return id
+}
+
+// nextIndex makes room for a row.
+func (t *Table[T]) nextIndex() int {
 	if n := len(t.free); n > 0 {
-		id = t.free[n-1]
+		id := t.free[n-1]
 		t.free = t.free[:n-1]
-		t.rows[id] = row
-	} else {
-		id = len(t.rows)
-		t.rows = append(t.rows, row)
+		return id
 	}
-	t.ids[name] = id
-	return id
+	t.rows = append(t.rows, nil)
+	return len(t.rows) - 1
 }
 
-// Drop removes a row.
+// Drop removes the row of a name, if there is one.
 func (t *Table[T]) Drop(name string) {
 	if id, ok := t.ids[name]; ok {
 		delete(t.ids, name)
@@ -96,28 +96,11 @@
 	}
 }
 
-// All calls f for every row in the order of the indices.
-func (t *Table[T]) All(f func(id int, row *T)) {
+// All calls visit for every row in the order of the indices.
+func (t *Table[T]) All(visit func(id int, row *T)) {
 	for id, row := range t.rows {
 		if row != nil {
-			f(id, row)
+			visit(id, row)
 		}
 	}
 }
-
-// Bits is a set of task numbers.
-type TaskSet []byte
-
-// Has reports whether i is in the set.
-func (b TaskSet) Has(i int) bool { return i>>3 < len(b) && b[i>>3]&(1<<(i&7)) != 0 }
-
-// Set adds i, growing the set.
-func (b *TaskSet) Set(i int) {
-	for i>>3 >= len(*b) {
-		*b = append(*b, 0)
-	}
-	(*b)[i>>3] |= 1 << (i & 7)
-}
-
-// Clone copies the set.
-func (b TaskSet) Clone() TaskSet { return append(TaskSet(nil), b...) }
