--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -245,7 +245,7 @@
 		return
 	}
 	moving := false
-	machines := h.sortedAgents
+	machines, p := h.sortedAgents, &placer{reconciler: h, now: now}
 	for _, x := range machines {
 		for _, a := range x.attempts {
 			left := (x.terminationAt - now).Seconds()
@@ -266,8 +266,8 @@
 			if a.state != taskRunning || a.stopRequested || !a.job.IsService() {
 				continue
 			}
-			to := h.chooseAgent(machines, a.job, a.task, now)
-			if to == nil {
+			to, found := placement.Choose(placement.Fleet[*agent](p), machines, a.job, a.task, a.progress.attemptsByZone)
+			if !found {
 				continue
 			}
 			if _, cached := to.imageWantedAt[a.job.ImageIndex]; cached {
--- a/internal/coordination/job_order.go
+++ b/internal/coordination/job_order.go
@@ -10,12 +10,6 @@
 	"rockrun/internal/storage"
 )
 
-// pendingJob is a job with tasks to place.
-type pendingJob struct {
-	placement.Candidate
-	progress *jobProgress
-}
-
 // unfinished lists the unfinished jobs of the homes held, in the order in which they
 // could start.
 func (h *reconciler) sortedActiveJobs() []*storage.Job {
@@ -37,9 +31,9 @@
 }
 
 // waitingJobs lists the jobs of the homes held with open tasks, in order.
-func (h *reconciler) pendingJobs(now time.Duration) []pendingJob {
+func (h *reconciler) pendingJobs(now time.Duration) []placement.Candidate {
 	n := h.controller
-	var list []pendingJob
+	var list []placement.Candidate
 	booked := map[int][]quota.Usage{}
 	wall := n.Clock.Wall()
 	for _, j := range h.sortedActiveJobs() {
@@ -62,12 +56,11 @@
 			continue
 		}
 		progress := placement.Progress{Remaining: j.Tasks - p.completedCount, Begun: p.attempts > 0 || p.completedCount > 0}
-		w := pendingJob{progress: p, Candidate: placement.NewCandidate(j, n.view.EffectiveRank(j), progress, n.Settings.Cluster.Objectives, wall)}
+		w := placement.NewCandidate(j, n.view.EffectiveRank(j), progress, n.Settings.Cluster.Objectives, wall)
 		w.WithinGuarantee = within
 		p.starved = p.starved || w.Starved
 		list = append(list, w)
 	}
-	longLateFirst := h.placingPasses%placement.LongLateTurn == placement.LongLateTurn-1
-	slices.SortStableFunc(list, func(a, b pendingJob) int { return placement.Compare(&a.Candidate, &b.Candidate, longLateFirst) })
+	placement.Sort(list, h.placingPasses%placement.LongLateTurn == placement.LongLateTurn-1)
 	return list
 }
--- /dev/null
+++ b/internal/coordination/placement/preemption.go
@@ -0,0 +1,165 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"rockrun/internal/storage"
+)
+
+// Running is an attempt that may be on a machine.
+type Running struct {
+	Job             *storage.Job
+	Task            int
+	Number          uint64 // of the attempt
+	Rank            int    // the highest of its job's own and of those of the jobs that depend on it
+	Age             time.Duration
+	Stopping        bool // its stop has been asked for
+	WithinGuarantee bool // its job is within its team's guarantee
+	Starved         bool // its job has once waited too long
+}
+
+// Teams is what preemption needs to know of what is used.
+type Teams interface {
+	// BorrowsBeyond reports whether the job's team would use no less than its guarantee
+	// with one task of the job less.
+	BorrowsBeyond(j *storage.Job) bool
+	// OthersBorrow reports whether any other team than the job's uses more than its
+	// guarantee in the job's shard.
+	OthersBorrow(j *storage.Job) bool
+	// RunsBelow reports whether any attempt is of a lower priority than rank.
+	RunsBelow(rank int) bool
+}
+
+// mayPreempt reports whether an attempt may be stopped to make room for a waiting job.
+func mayPreempt(c *Candidate, victim *Running, teams Teams) bool {
+	// What waits has its own priority, what may be stopped the highest of those that
+	// need it: a cheap first stage of a pipeline stops nothing and isn't stopped.
+	if victim.Rank > c.Job.Rank() {
+		return true
+	}
+	// Guaranteed share comes before what another team has borrowed. A service is
+	// never stopped for it: not for batch work, and one for another gains nobody
+	// anything, least of all when machines are lost and they take turns.
+	if !c.WithinGuarantee || victim.Job.TeamIndex == c.Job.TeamIndex || victim.Job.IsService() {
+		return false
+	}
+	// Nor is what goes before the waiting job in order, or is within its own team's
+	// guarantee, or has starved before: it would take the room back, and the two would
+	// stop each other for ever.
+	if victim.WithinGuarantee || victim.Starved || victim.Rank < c.Rank {
+		return false
+	}
+	return teams.BorrowsBeyond(victim.Job)
+}
+
+// preemptionPossible reports whether there can be anything that may be stopped for a
+// job, before every machine is looked at.
+func preemptionPossible(c *Candidate, teams Teams) bool {
+	return teams.RunsBelow(c.Job.Rank()) || c.WithinGuarantee && teams.OthersBorrow(c.Job)
+}
+
+// preemptsNoMoreThan reports whether what may be stopped for a job may be stopped for
+// another too, and a place for the one would do for the other. Looking costs a look at
+// everything that runs, so where it was in vain for one job it is left out for those like
+// it.
+func (c *Candidate) preemptsNoMoreThan(other *Candidate) bool {
+	if !Dominates(c.Job, other.Job) || c.Job.Rank() < other.Job.Rank() || c.Rank < other.Rank {
+		return false
+	}
+	if c.Job.Spread || other.Job.Spread || other.Job.OneZone {
+		return false
+	}
+	return !c.WithinGuarantee || other.WithinGuarantee && c.Job.TeamIndex == other.Job.TeamIndex
+}
+
+// preemption is what would have to be stopped on a machine for a waiting task.
+type preemption[M comparable] struct {
+	machine   M
+	victims   []Running
+	remaining Resources // on the machine, with the victims gone
+	cost      float64
+}
+
+// preemptFor has the least work stopped that lets one task of a job start, and promises
+// it the room; false when nothing can be done.
+func (r *Round[M]) preemptFor(c *Candidate) bool {
+	best, found := r.cheapestPreemption(c)
+	if !found {
+		return false
+	}
+	r.config.Actions.Preempt(best.machine, best.victims, c.Job)
+	best.remaining.Subtract(c.Job)
+	if r.promised == nil {
+		r.promised = map[M]Resources{}
+	}
+	r.promised[best.machine] = best.remaining
+	return true
+}
+
+// cheapestPreemption is the one that costs least, on the first such machine by name.
+func (r *Round[M]) cheapestPreemption(c *Candidate) (best preemption[M], found bool) {
+	attemptsByZone := r.config.Jobs.State(c.Job).AttemptsByZone
+	for _, machine := range r.config.Fleet.Machines() {
+		if !r.config.Fleet.Schedulable(machine) || !allowed(r.config.Fleet, machine, c.Job, attemptsByZone) {
+			continue
+		}
+		if p, enough := r.preemptionOn(machine, c); enough && (!found || p.cost < best.cost) {
+			victims := append(best.victims[:0], p.victims...) // p's are in the scratch list
+			best, found = p, true
+			best.victims = victims
+		}
+	}
+	return best, found
+}
+
+// preemptionOn works out what must be stopped on a machine so that a task fits; false
+// where all that may be stopped is not enough. Its victims are valid until the next call.
+//
+// Where nothing was promised there yet, the room that stops under way will leave counts as
+// there; a promise has counted it, and what it was promised to is off.
+func (r *Round[M]) preemptionOn(machine M, c *Candidate) (preemption[M], bool) {
+	p := preemption[M]{machine: machine}
+	left, promised := r.promised[machine]
+	if p.remaining = left; !promised {
+		p.remaining = r.config.Fleet.Free(machine)
+	}
+	r.scratch = r.config.Fleet.AppendRunning(r.scratch[:0], machine)
+	victims := r.scratch[:0]
+	for i := range r.scratch {
+		running := &r.scratch[i]
+		switch {
+		case running.Stopping && !promised:
+			p.remaining.Add(running.Job)
+		case !running.Stopping && mayPreempt(c, running, r.config.Teams):
+			victims = append(victims, *running)
+		}
+	}
+	slices.SortFunc(victims, compareVictims)
+	for i := range victims {
+		if p.remaining.Fits(c.Job) {
+			break
+		}
+		p.remaining.Add(victims[i].Job)
+		p.cost += preemptionCost(&victims[i])
+		p.victims = victims[:i+1]
+	}
+	return p, p.remaining.Fits(c.Job)
+}
+
+// compareVictims puts what is to be stopped first: the lowest priority, then the latest.
+func compareVictims(a, b Running) int {
+	return cmp.Or(
+		cmp.Compare(b.Job.Rank(), a.Job.Rank()),
+		cmp.Compare(a.Age, b.Age),
+		cmp.Compare(a.Number, b.Number),
+		cmp.Compare(a.Task, b.Task),
+	)
+}
+
+// preemptionCost is what stopping an attempt costs: the work lost, in CPU seconds, and a
+// little for the stop itself.
+func preemptionCost(victim *Running) float64 {
+	return 1 + victim.Job.CPUs*victim.Age.Seconds()
+}
