--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -19,20 +19,13 @@
 	"rockrun/internal/coordination/kv"
 	"rockrun/internal/coordination/loop"
 	"rockrun/internal/coordination/membership"
+	"rockrun/internal/coordination/provisioning"
 	"rockrun/internal/coordination/replica"
 	"rockrun/internal/coordination/sharding"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
 
-// Cloud rents machines.
-type Cloud interface {
-	MachineTypes(done func(protocol.MachineTypeCatalogue, error))
-	CreateMachines(r protocol.CreateMachinesRequest, done func([]string, error))
-	DeleteMachines(names []string, done func(error))
-	ListMachines(done func([]protocol.CloudMachine, error))
-}
-
 // Workers takes commands for workers.
 type Agents interface {
 	Execute(addr string, o protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error))
@@ -49,7 +42,7 @@
 	Options  config.Options
 	Clock    loop.Clock
 	Store    kv.Store
-	Cloud    Cloud
+	Cloud    provisioning.Cloud
 	Agents   Agents
 	Peers    Peers
 	Rand     *rand.Rand
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"testing"
-	"time"
 
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
@@ -41,48 +40,6 @@
 	b.boundReportAllocations(fleetHeartbeat(7, 2))
 }
 
-// TestReturnOfHundreds: hundreds of machines leave at once. Their blocks share writes,
-// and a transaction stays within what the state service allows.
-func TestReturnOfHundreds(t *testing.T) {
-	const leaving = 400
-	b := newFleetControllerOf(t, largeFleet)
-	f := b.becomeLeader()
-	clear(f.changes)
-	b.transactions = nil
-	for i := range leaving {
-		_, m := b.controller.view.Machines.Find(fleetMachineName(i))
-		f.setPhase(m, storage.PhaseDraining, "idle")
-	}
-	changes := 0
-	for range leaving {
-		b.now += b.controller.committer.Budget.TimeUntil(maxGroupOperations)
-		f.flushChanges(b.now)
-	}
-	for _, txn := range b.transactions {
-		b.withinLimits(txn)
-		changes += len(txn.Operations)
-	}
-	if blocks := leaving / fleetGroupSize; changes != blocks || len(b.transactions) > (blocks+maxGroupOperations-1)/maxGroupOperations {
-		t.Errorf("%d changes in %d transactions for %d blocks", changes, len(b.transactions), blocks)
-	}
-}
-
-// TestSizerOfFourThousand: what a cycle of the sizer allocates grows no faster than the
-// fleet.
-func TestSizerOfFourThousand(t *testing.T) {
-	perMachine := func(machines int) float64 {
-		b := newFleetControllerOf(t, machines)
-		b.waitingJob()
-		f := b.becomeLeader()
-		return testing.AllocsPerRun(5, func() { f.runCycle(b.now) }) / float64(machines)
-	}
-	small, large := perMachine(mediumFleet), perMachine(largeFleet)
-	t.Logf("%.2f and %.2f allocations for each machine", small, large)
-	if large > 1.1*small || large > 4 {
-		t.Errorf("%v allocations for each of %d machines, %v for each of %d", small, mediumFleet, large, largeFleet)
-	}
-}
-
 // TestWritesForManyTasks: two thousand tasks that start on a fleet of four thousand
 // machines need a few tens of writes, not one each.
 func TestWritesForManyTasks(t *testing.T) {
@@ -120,20 +77,3 @@
 		t.Errorf("%d pages to write for %d tasks", pages, placed)
 	}
 }
-
-// TestListPause: lists of thousands of machines leave half of the cloud's calls to
-// rentals and returns; those of small fleets come as often as before.
-func TestListPause(t *testing.T) {
-	for _, c := range []struct {
-		machines       int
-		callsPerSecond float64
-		want           time.Duration
-	}{
-		{0, 4, minListInterval}, {1450, 4, minListInterval}, {2050, 10, minListInterval},
-		{largeFleet, 4, 4500 * time.Millisecond}, {largeFleet, 1, 18 * time.Second},
-	} {
-		if got := listPause(c.machines, c.callsPerSecond); got != c.want {
-			t.Errorf("%d machines, %g calls a second: %s, not %s", c.machines, c.callsPerSecond, got, c.want)
-		}
-	}
-}
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -253,14 +253,3 @@
 		}
 	}
 }
-
-// BenchmarkSizerCycle is a cycle of the sizer over a grown fleet on which work waits.
-func BenchmarkSizerCycle(b *testing.B) {
-	g := newFleetController(b)
-	g.waitingJob()
-	f := g.becomeLeader()
-	b.ReportAllocs()
-	for b.Loop() {
-		f.runCycle(g.now)
-	}
-}
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -355,20 +355,6 @@
 	}
 }
 
-// A late copy of the transaction that made a block must find its key there for
-// as long as its leader leads, or machines that have moved on would come back.
-func TestEmptyBlocksStayForTheirTerm(t *testing.T) {
-	l := newTestController(t).becomeLeader().leadership
-	empty := storage.MachineGroupRecord{FencingToken: l.NextFencingToken()}
-	if op := l.groupOperation("x", empty); op.Delete != "" {
-		t.Error("an empty block of this term is removed")
-	}
-	empty.FencingToken = grantToken // of the term before
-	if op := l.groupOperation("x", empty); op.Delete == "" {
-		t.Error("an empty block of an earlier term stays")
-	}
-}
-
 // A copy of a report that comes long after it was sent renews no lease: nobody
 // waits for the answer, and the machine may be gone.
 func TestCopiesRenewNothing(t *testing.T) {
@@ -412,35 +398,6 @@
 	}
 }
 
-// listed is a cloud that only lists.
-type fakeCloudList []protocol.CloudMachine
-
-func (l fakeCloudList) MachineTypes(func(protocol.MachineTypeCatalogue, error))              {}
-func (l fakeCloudList) CreateMachines(protocol.CreateMachinesRequest, func([]string, error)) {}
-func (l fakeCloudList) DeleteMachines([]string, func(error))                                 {}
-func (l fakeCloudList) ListMachines(done func([]protocol.CloudMachine, error))               { done(l, nil) }
-
-// The record of a deleted machine outlives late lists and copies of its reports,
-// so that it is not taken up anew.
-func TestGoneMachinesAreRemembered(t *testing.T) {
-	b := newTestController(t)
-	b.controller.Cloud = fakeCloudList{}
-	f := b.becomeLeader()
-	gone := func(ago time.Duration) map[string]bool {
-		at := b.Wall().Add(-ago).UnixMilli()
-		b.apply(storage.MachineGroupKey("b"), storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-1", Phase: storage.PhaseDeleted, DeletedAtMS: at}}})
-		f.nextListAt = 0
-		f.listMachines(b.now)
-		return f.forgettable
-	}
-	if old := gone(5 * time.Minute); len(old) != 0 {
-		t.Errorf("forgotten after five minutes: %v", old)
-	}
-	if old := gone(time.Hour); !old["m-1"] {
-		t.Error("remembered for ever")
-	}
-}
-
 // TestLastTry: attempt numbers of one grant rise up to the last; a holder that has used
 // them up starts over instead of beginning anew below those that the records name, where
 // an attempt that is over would be taken for the later one.
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -3,6 +3,7 @@
 import (
 	"rockrun/internal/coordination/election"
 	"rockrun/internal/coordination/membership"
+	"rockrun/internal/coordination/provisioning"
 	"rockrun/internal/coordination/quota"
 	"rockrun/internal/coordination/sharding"
 	"rockrun/internal/protocol"
@@ -16,7 +17,7 @@
 	members     *membership.Registry
 	assigner    *sharding.Assigner
 	splitter    *quota.Splitter
-	provisioner *provisioner
+	provisioner *provisioning.Provisioner
 }
 
 // beginLeadership takes up the leadership that this controller has gained.
@@ -31,7 +32,7 @@
 		Agents:      agents,
 		ShardLease:  n.shardLease,
 		OnUnrecordedAgent: func(h *protocol.AgentHeartbeat) {
-			l.provisioner.onUnrecordedHeartbeat(h)
+			l.provisioner.OnUnrecordedHeartbeat(h)
 		},
 	})
 	l.assigner = sharding.NewAssigner(sharding.AssignerConfig{
@@ -53,7 +54,17 @@
 		Leadership: won,
 		Members:    l.members,
 	})
-	l.provisioner = newProvisioner(l)
+	l.provisioner = provisioning.New(provisioning.Config{
+		Generation: n.generation,
+		Replica:    n.replica,
+		Committer:  n.committer,
+		Leadership: won,
+		Members:    l.members,
+		Cloud:      n.Cloud,
+		Cluster:    &n.Settings.Cluster,
+		Options:    n.Options,
+		Log:        n.Log,
+	})
 	n.leadership = l
 	n.reporter.SendHeartbeat()
 }
@@ -67,7 +78,7 @@
 	l.assigner.SettleJobShards()
 	l.splitter.Update()
 	l.assigner.Assign()
-	l.provisioner.tick()
+	l.provisioner.Tick()
 }
 
 // registry is the leader's registry of the controllers, or nil where this controller does
--- a/internal/coordination/needs_test.go
+++ b/internal/coordination/needs_test.go
@@ -264,11 +264,10 @@
 	}
 }
 
-// TestWaitingCountsForNothing: a job that waits for another is no demand, no reason to
-// keep room, has no part of a limit and makes no type of machine the only one.
+// TestWaitingCountsForNothing: a job that waits for another has no part of a limit and is
+// not to be placed. That it is no demand for machines either is tested in the autoscaler.
 func TestWaitingCountsForNothing(t *testing.T) {
 	b := newTestController(t)
-	f := b.becomeLeader()
 	b.apply(storage.MachineGroupKey("b"), storage.MachineGroupRecord{})
 	_, first := b.controller.view.Jobs.Find("run-1")
 	b.controller.view.Remove(storage.JobKey(first.ID), b.revision+1)
@@ -278,27 +277,21 @@
 			ID: id, Team: "red", Kind: kind, Priority: "normal", Tasks: 2, CPUs: 2, MemoryGB: 1, Dependencies: []string{"run-7"},
 		}})
 	}
-	counts := func() (demands, spares, sole, needs int) {
-		for _, d := range f.leadership.demands() {
-			demands += d.count
-		}
-		for _, d := range f.leadership.spareDemands(nil) {
-			spares += d.count
-		}
+	needs := func() (waiting int) {
 		for _, n := range quota.Demands(b.controller.view)[0] {
-			needs += n.Waiting
+			waiting += n.Waiting
 		}
-		return demands, spares, len(f.leadership.soleMachineTypes()), needs
+		return waiting
 	}
-	if demands, spares, sole, needs := counts(); demands+spares+sole+needs > 0 {
-		t.Errorf("while they wait: %d demanded, %d spare, %d sole types, %d of the limit", demands, spares, sole, needs)
+	if waiting := needs(); waiting > 0 {
+		t.Errorf("while they wait: %d of the limit", waiting)
 	}
 	if list := b.controller.reconciler.pendingJobs(b.now); len(list) > 0 {
 		t.Errorf("while they wait: %d jobs to place", len(list))
 	}
 	b.controller.rememberFinal("run-7", storage.FinalRecord{Stage: protocol.StageDone})
-	if demands, spares, sole, needs := counts(); demands != 4 || spares == 0 || sole != 1 || needs == 0 {
-		t.Errorf("released: %d demanded, %d spare, %d sole types, %d of the limit", demands, spares, sole, needs)
+	if needs() == 0 {
+		t.Error("released: nothing of the limit")
 	}
 	if list := b.controller.reconciler.pendingJobs(b.now); len(list) != 2 {
 		t.Errorf("released: %d jobs to place", len(list))
--- a/internal/coordination/oversized_test.go
+++ b/internal/coordination/oversized_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -132,8 +133,9 @@
 	}
 }
 
-// leading makes the node the leader, whose fleet knows the machine types.
-func (b *testController) becomeLeader() *provisioner {
+// becomeLeader makes the controller the leader.
+func (b *testController) becomeLeader() {
+	b.t.Helper()
 	b.apply(storage.KeyTerm, storage.TermRecord{Term: 5})
 	b.elected = true
 	b.controller.elector.Tick()
@@ -144,12 +146,10 @@
 	if b.controller.leadership == nil {
 		b.t.Fatal("it does not lead")
 	}
-	b.controller.leadership.provisioner.hasMachineTypes = true
-	return b.controller.leadership.provisioner
 }
 
-// largeBlock is a block that was recorded under higher limits.
-func largeBlock(machines int) storage.MachineGroupRecord {
+// largeGroup is a machine group that was recorded under higher limits.
+func largeGroup(machines int) storage.MachineGroupRecord {
 	rec := storage.MachineGroupRecord{Type: "small", Zone: "z", FencingToken: grantToken}
 	for i := range machines {
 		rec.Machines = append(rec.Machines, storage.MachineEntry{Name: fleetMachineName(5000 + i), Address: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
@@ -157,98 +157,49 @@
 	return rec
 }
 
-// TestOversizedBlockIsSplit: a machine of a block that is too large by now goes back.
-// The very write that records it splits the block; every machine stays in just one,
-// and is held as before.
-func TestOversizedBlockIsSplit(t *testing.T) {
+// TestSplitGroupIsHeldAsBefore: the leader divides a group of machines among several that
+// keep its fencing token. Every machine is held as before, under the same grant.
+func TestSplitGroupIsHeldAsBefore(t *testing.T) {
 	for _, machines := range []int{60, 69, 90} {
 		b := newTestController(t)
-		f := b.becomeLeader()
-		b.apply(storage.MachineGroupKey("large"), largeBlock(machines))
+		group := largeGroup(machines)
+		b.apply(storage.MachineGroupKey("large"), group)
 		b.controller.recordsChanged(true)
 		held := map[string]*agent{}
 		for name, x := range b.controller.reconciler.agents {
 			held[name] = x
 		}
-		b.limitStore(2048, 3, 12)
-		_, leaving := b.controller.view.Machines.Find(fleetMachineName(5020))
-		clear(f.changes)
-		f.setPhase(leaving, storage.PhaseDraining, "idle")
-		b.transactions = nil
-		f.flushChanges(b.now)
-		if len(b.transactions) != 1 {
-			t.Fatalf("%d transactions", len(b.transactions))
-		}
-		b.applyTransactions()
-		b.controller.recordsChanged(true)
-		blocks := map[string]int{}
-		for i := range machines {
-			_, m := b.controller.view.Machines.Find(fleetMachineName(5000 + i))
-			blocks[m.Group]++
-			if (m.Phase == storage.PhaseDraining) != (m == leaving) {
-				t.Errorf("%s is in phase %s", m.Name, m.Phase)
-			}
-			if x := b.controller.reconciler.agents[m.Name]; x != held[m.Name] || x.grantToken != grantToken {
-				t.Errorf("%s is held anew", m.Name)
-			}
-		}
-		if len(blocks) < 3 || blocks[""] > 0 {
-			t.Errorf("machines by block: %v", blocks)
-		}
-	}
-}
-
-// TestOversizedBlockHandsOver: machines leave a block that is too large for another
-// home; where that is more than a transaction takes, the block is split first.
-func TestOversizedBlockHandsOver(t *testing.T) {
-	b := newTestController(t)
-	f := b.becomeLeader()
-	b.apply(storage.MachineGroupKey("large"), largeBlock(60))
-	b.controller.recordsChanged(true)
-	b.limitStore(2048, 3, 12)
-	moved := 0
-	for range 10 {
-		b.now += time.Second
-		b.refreshKnowledge()
-		b.transactions = nil
-		clear(f.changes)
-		clear(f.moves)
-		for i := range 30 {
-			_, m := b.controller.view.Machines.Find(fleetMachineName(5000 + i))
-			if m.Shard == 0 {
-				k := groupMove{m.Group, 1}
-				f.moves[k] = append(f.moves[k], m)
+		entries := group.Machines
+		for i, part := range slices.Collect(slices.Chunk(entries, 25)) { // the first keeps the key, and comes last
+			if group.Machines = part; i > 0 {
+				b.apply(storage.MachineGroupKey(fmt.Sprint("part-", i)), group)
 			}
 		}
-		f.moveMachines()
-		b.applyTransactions()
-		clear(f.groupWritesInFlight) // as the answers would
+		group.Machines = entries[:25]
+		b.apply(storage.MachineGroupKey("large"), group)
 		b.controller.recordsChanged(true)
-	}
-	for i := range 60 {
-		if _, m := b.controller.view.Machines.Find(fleetMachineName(5000 + i)); m.Shard == 1 && m.Group != "" {
-			moved++
+		for _, entry := range entries {
+			if x := b.controller.reconciler.agents[entry.Name]; x == nil || x != held[entry.Name] || x.grantToken != grantToken {
+				t.Errorf("%d machines: %s is held anew", machines, entry.Name)
+			}
 		}
 	}
-	if moved != 30 {
-		t.Errorf("%d machines have moved", moved)
-	}
 }
 
-// TestGauges: pages and blocks over the limit and jobs that wait for others are counted,
+// TestGauges: pages and machine groups over the limit and jobs that wait for others are counted,
 // and not counted any more once they are written smaller, or done.
 func TestGauges(t *testing.T) {
 	b := newTestController(t)
 	b.becomeLeader()
 	b.limitStore(2048, math.MaxInt, math.MaxInt)
-	b.apply(storage.MachineGroupKey("large"), largeBlock(60))
-	b.apply(storage.MachineGroupKey("small"), largeBlock(2))
+	b.apply(storage.MachineGroupKey("large"), largeGroup(60))
+	b.apply(storage.MachineGroupKey("small"), largeGroup(2))
 	b.apply(storage.JobKey("run-2"), storage.JobRecord{Spec: protocol.JobSpec{ID: "run-2", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Dependencies: []string{"run-1"}}})
 	b.controller.refreshGauges()
 	if s := b.controller.Stats(); s.OversizedValues != 1 || s.JobsAwaitingDependencies != 1 {
 		t.Errorf("%+v", s)
 	}
-	b.apply(storage.MachineGroupKey("large"), largeBlock(3))
+	b.apply(storage.MachineGroupKey("large"), largeGroup(3))
 	b.controller.view.SetOutcome("run-1", storage.FinalRecord{Stage: protocol.StageDone})
 	b.controller.refreshGauges()
 	if s := b.controller.Stats(); s.OversizedValues != 1 || s.JobsAwaitingDependencies != 1 {
--- /dev/null
+++ b/internal/coordination/provisioning/fixture_test.go
@@ -0,0 +1,253 @@
+package provisioning
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"rockrun/internal/config"
+	"rockrun/internal/coordination/election"
+	"rockrun/internal/coordination/kv"
+	"rockrun/internal/coordination/loop"
+	"rockrun/internal/coordination/replica"
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+const (
+	testTerm       = 6
+	testGrantToken = 5<<44 | 1<<24 // of the term before
+)
+
+// testLeader is a leader whose clock, store, cloud and holders do what a test says.
+type testLeader struct {
+	t            testing.TB
+	now          time.Duration
+	tokens       uint64
+	revision     uint64
+	transactions []protocol.Transaction // sent and not carried out yet
+	answers      []func(uint64, error)
+	replica      *replica.Replica
+	committer    *kv.Committer
+	statuses     func(*storage.Machine) (protocol.MachineStatus, bool)
+	cloud        testCloud
+	deposed      bool
+	provisioner  *Provisioner
+}
+
+// testCloud is a cloud that lists what a test says and keeps what it is asked for.
+type testCloud struct {
+	listed    []protocol.CloudMachine
+	types     protocol.MachineTypeCatalogue
+	requests  []protocol.CreateMachinesRequest
+	created   []func([]string, error)
+	deleted   [][]string
+	onDeleted []func(error)
+}
+
+func (c *testCloud) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
+	done(c.types, nil)
+}
+func (c *testCloud) CreateMachines(r protocol.CreateMachinesRequest, done func([]string, error)) {
+	c.requests = append(c.requests, r)
+	c.created = append(c.created, done)
+}
+func (c *testCloud) DeleteMachines(names []string, done func(error)) {
+	c.deleted = append(c.deleted, names)
+	c.onDeleted = append(c.onDeleted, done)
+}
+func (c *testCloud) ListMachines(done func([]protocol.CloudMachine, error)) { done(c.listed, nil) }
+
+func (l *testLeader) Now() time.Duration                               { return l.now }
+func (l *testLeader) Wall() time.Time                                  { return time.Unix(1_800_000_000, 0).Add(l.now) }
+func (l *testLeader) After(time.Duration, func())                      {}
+func (l *testLeader) Get(string, func(protocol.KeyValue, bool, error)) {}
+func (l *testLeader) OpenLease(time.Duration, func(uint64, error))     {}
+func (l *testLeader) RenewLease(uint64, func(error))                   {}
+func (l *testLeader) RevokeLease(uint64, func(error))                  {}
+func (l *testLeader) Term() uint64                                     { return testTerm }
+func (l *testLeader) Current() bool                                    { return !l.deposed }
+func (l *testLeader) HeartbeatTolerance() time.Duration                { return 6 * time.Second }
+func (l *testLeader) ForgetMachine(string)                             {}
+func (l *testLeader) MachineStatus(m *storage.Machine) (protocol.MachineStatus, bool) {
+	return l.statuses(m)
+}
+func (l *testLeader) Condition() protocol.Condition {
+	return protocol.Condition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
+}
+func (l *testLeader) NextFencingToken() uint64 {
+	l.tokens++
+	return testTerm<<44 | l.tokens<<24
+}
+func (l *testLeader) List(_, _ string, done func(protocol.KeyValuePage, error)) {
+	done(protocol.KeyValuePage{}, nil)
+}
+func (l *testLeader) Watch(_ string, after uint64, _ time.Duration, done func(protocol.Changes, error)) {
+	done(protocol.Changes{Revision: after}, nil)
+}
+func (l *testLeader) Commit(t protocol.Transaction, done func(uint64, error)) {
+	l.transactions = append(l.transactions, t)
+	l.answers = append(l.answers, done)
+}
+
+// newTestLeader is a leader that knows one machine type and has no machines.
+func newTestLeader(t testing.TB) *testLeader {
+	t.Helper()
+	l := &testLeader{t: t, now: time.Minute}
+	l.statuses = func(*storage.Machine) (protocol.MachineStatus, bool) { return protocol.MachineStatus{}, false }
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	generation := loop.NewGeneration(l, rand.New(rand.NewPCG(1, 2)))
+	l.replica = replica.New(replica.Config{
+		Generation: generation, Store: l, View: storage.NewView([]storage.Team{{Name: "red"}}, 2), Controller: "a", Incarnation: 3,
+		WatchPause: time.Second, Log: log, OnChange: func(bool) {},
+	})
+	l.replica.Start()
+	cluster := &config.Cluster{
+		Agents:  config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60},
+		KVStore: config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 100, ValueKiB: 8, TransactionOperations: 8},
+		Cloud:   config.Cloud{RequestsPerSecond: 4},
+	}
+	l.committer = kv.NewCommitter(l, cluster.KVStore.Limits(), log)
+	l.committer.BeginGeneration(generation)
+	l.provisioner = New(Config{
+		Generation: generation, Replica: l.replica, Committer: l.committer, Leadership: l, Members: l, Cloud: &l.cloud,
+		Cluster: cluster, Options: config.DefaultOptions(), Log: log,
+	})
+	l.put(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{
+		{Name: "small", CPUs: 4, MemoryGB: 32, HourlyPrice: 1, HourlySpotPrice: 0.3, BootSeconds: 30, Zones: []string{"z"}},
+	}})
+	l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
+	l.put(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: 3, FencingToken: testGrantToken})
+	return l
+}
+
+// put lets a record come with the changes.
+func (l *testLeader) put(key string, record any) {
+	l.revision++
+	l.replica.Apply(protocol.Changes{Revision: l.revision, Events: []protocol.Event{
+		{Put: key, Value: storage.Encode(record), Version: l.revision},
+	}}, l.now)
+}
+
+// putGroup lets a group of machines come with the changes.
+func (l *testLeader) putGroup(id string, entries ...storage.MachineEntry) {
+	l.put(storage.MachineGroupKey(id), storage.MachineGroupRecord{
+		Type: "small", Zone: "z", FencingToken: testGrantToken, RentedAtMS: l.Wall().Add(-time.Minute).UnixMilli(), Machines: entries,
+	})
+}
+
+// machine returns a machine of the records.
+func (l *testLeader) machine(name string) *storage.Machine {
+	l.t.Helper()
+	_, m := l.replica.View.Machines.Find(name)
+	if m == nil {
+		l.t.Fatalf("no machine %s", name)
+	}
+	return m
+}
+
+// applyTransactions carries out the transactions that were sent, in their order, and answers
+// them once the view shows what came of them.
+func (l *testLeader) applyTransactions() {
+	l.t.Helper()
+	transactions, answers := l.transactions, l.answers
+	l.transactions, l.answers = nil, nil
+	for i, t := range transactions {
+		l.withinLimits(t)
+		l.revision++
+		var events []protocol.Event
+		for _, op := range t.Operations {
+			events = append(events, protocol.Event{Put: op.Put, Value: op.Value, Remove: op.Delete, Version: l.revision})
+		}
+		l.replica.Apply(protocol.Changes{Revision: l.revision, Events: events}, l.now)
+		answers[i](l.revision, nil)
+	}
+}
+
+// withinLimits fails where a transaction is over the limits in force.
+func (l *testLeader) withinLimits(t protocol.Transaction) {
+	l.t.Helper()
+	limits := l.committer.Limits()
+	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Conditions) > limits.Conditions {
+		l.t.Errorf("over the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
+	}
+}
+
+// limitStore lets the store's limits be lower from now on.
+func (l *testLeader) limitStore(valueBytes, operations, conditions int) {
+	limits := l.committer.Limits()
+	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
+	limits.Operations = min(limits.Operations, operations)
+	limits.Conditions = min(limits.Conditions, conditions)
+	l.committer.SetLimits(limits)
+}
+
+// The sizes of fleets: every fixed limit must allow the large one.
+const (
+	mediumFleet      = 1200
+	largeFleet       = 4000
+	fleetGroupSize   = 40
+	fleetTasksPerJob = 60
+)
+
+func machineName(i int) string { return fmt.Sprintf("m-%06d", i) }
+
+// newFleetLeader is a leader of a fleet on which every machine is up and runs one task.
+func newFleetLeader(t testing.TB, machines int) *testLeader {
+	t.Helper()
+	l := newTestLeader(t)
+	for i := 0; i < machines; i += fleetGroupSize {
+		record := storage.MachineGroupRecord{Type: "small", Zone: "z", Spot: true}
+		for j := i; j < min(i+fleetGroupSize, machines); j++ {
+			record.Machines = append(record.Machines, storage.MachineEntry{Name: machineName(j), Address: fmt.Sprintf("10.1.%d.%d:9000", j/250, j%250)})
+		}
+		l.put(storage.MachineGroupKey(fmt.Sprint(i)), record)
+	}
+	const attempt = 5<<24 | 7
+	for i := 0; i < machines; i += fleetTasksPerJob {
+		id := fmt.Sprintf("run-%06d", i/fleetTasksPerJob)
+		l.put(storage.JobKey(id), storage.JobRecord{Spec: protocol.JobSpec{
+			ID: id, Class: "report", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: fleetTasksPerJob,
+			CPUs: 4, MemoryGB: 29, Spot: true, EstimateSeconds: 15, DeadlineSeconds: 90, Image: "img-03", ImageGB: 0.8,
+		}})
+		page := storage.IntentPage{id: {storage.IntentHeader("red", 4, 0, 29)}}
+		for j := i; j < min(i+fleetTasksPerJob, machines); j++ {
+			page[id] = append(page[id], storage.IntentEntry(j-i, machineName(j), attempt))
+		}
+		l.put(storage.IntentPageKey(storage.PageID{Page: i / fleetTasksPerJob}), page)
+	}
+	l.statuses = func(m *storage.Machine) (protocol.MachineStatus, bool) {
+		return protocol.MachineStatus{Name: m.Name, Seen: true, Tasks: 1}, true
+	}
+	return l
+}
+
+// putWaitingJob adds a job for whose tasks there is no room.
+func (l *testLeader) putWaitingJob() {
+	l.put(storage.JobKey("run-999999"), storage.JobRecord{Spec: protocol.JobSpec{
+		ID: "run-999999", Class: "report", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 500, CPUs: 4, MemoryGB: 29, Spot: true, EstimateSeconds: 15,
+	}})
+}
+
+// largeGroup is a group that was recorded under higher limits.
+func largeGroup(machines int) storage.MachineGroupRecord {
+	record := storage.MachineGroupRecord{Type: "small", Zone: "z", FencingToken: testGrantToken}
+	for i := range machines {
+		record.Machines = append(record.Machines, storage.MachineEntry{Name: machineName(5000 + i), Address: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
+	}
+	return record
+}
+
+// TestFixtureTerms: the fixture's tokens are of the terms that it says.
+func TestFixtureTerms(t *testing.T) {
+	l := newTestLeader(t)
+	if term := election.TermOfToken(l.NextFencingToken()); term != testTerm {
+		t.Errorf("tokens of term %d", term)
+	}
+	if term := election.TermOfToken(testGrantToken); term >= testTerm {
+		t.Errorf("a grant of term %d", term)
+	}
+}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -81,7 +81,7 @@
 	}
 	x.terminationAt = 0
 	if r.TerminationSeconds != nil {
-		x.terminationAt = now + seconds(*r.TerminationSeconds)
+		x.terminationAt = now + time.Duration(*r.TerminationSeconds*float64(time.Second))
 	}
 	found, news := h.applyTaskStatuses(x, r)
 	x.updateReapable(now)
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -68,11 +68,7 @@
 		}
 	}
 	if n.leadership != nil {
-		for _, b := range n.view.MachineGroups {
-			if !n.committer.Fits(b.MachineGroupRecord) {
-				count++
-			}
-		}
+		count += n.leadership.provisioner.OversizedGroups()
 	}
 	return int64(count)
 }
