--- /dev/null
+++ b/internal/storage/apply_test.go
@@ -0,0 +1,157 @@
+package storage
+
+import (
+	"encoding/json"
+	"errors"
+	"testing"
+
+	"rockrun/internal/protocol"
+)
+
+// TestOrderOfReading: whoever starts reads records in the order of their keys:
+// completions and intents come before the jobs they belong to, and must not be lost.
+func TestOrderOfReading(t *testing.T) {
+	v := newTestView(t, 1)
+	apply := func(key string, record any, version uint64) {
+		t.Helper()
+		if err := v.Apply(key, Encode(record), version); err != nil {
+			t.Fatal(err)
+		}
+	}
+	var completed TaskSet
+	completed.Set(0)
+	completed.Set(3)
+	apply(CompletionPageKey(PageID{}), CompletionPage{CompletionChunkName("run-1", 0): completed}, 7)
+	apply(IntentPageKey(PageID{}), IntentPage{"run-1": {IntentEntry(1, "m-1", 5), IntentEntry(3, "m-1", 4)}}, 8)
+	apply(JobKey("run-1"), JobRecord{Spec: spec("run-1", 6)}, 3)
+	j := v.findJob("run-1")
+	if j.CompletedCount != 2 || !j.Completed.Has(3) {
+		t.Errorf("completed tasks: %d", j.CompletedCount)
+	}
+	if j.OpenTasks() != 3 { // 0 and 3 are completed, 1 is intended
+		t.Errorf("%d tasks are open", j.OpenTasks())
+	}
+	if v.HasStaleCompletions(PageID{}) {
+		t.Error("the page of completions is taken for stale")
+	}
+}
+
+// TestOldVersionsAreIgnored: events that were read already, or come twice, change nothing.
+func TestOldVersionsAreIgnored(t *testing.T) {
+	v := newTestView(t, 2)
+	grant := func(controller string, version uint64) {
+		if err := v.Apply(GrantKey(1), Encode(GrantRecord{Controller: controller}), version); err != nil {
+			t.Fatal(err)
+		}
+	}
+	grant("b", 9)
+	grant("a", 4)
+	grant("c", 9)
+	if v.Grants[1].Controller != "b" {
+		t.Errorf("granted to %s", v.Grants[1].Controller)
+	}
+	if err := v.Apply(GrantKey(7), Encode(GrantRecord{}), 10); err == nil {
+		t.Error("a grant of no shard was taken")
+	}
+	if err := v.Apply(JobKey("run-1"), json.RawMessage(`{"spec":`), 11); err == nil {
+		t.Error("a broken record was taken")
+	}
+	v.Remove(JobKey("run-1"), 12)
+}
+
+// TestEveryKind: a record of each kind is taken in; its removal is where that says
+// something, and changes nothing where it does not, or is older than the record.
+func TestEveryKind(t *testing.T) {
+	page := PageID{Shard: 1, Page: 2}
+	for name, c := range map[string]struct {
+		key     string
+		record  any
+		known   func(v *testView) bool
+		removed bool
+	}{
+		"leader":   {KeyLeader, LeaderRecord{Controller: "a"}, func(v *testView) bool { return v.Leader.Controller == "a" && v.LeaderVersion > 0 }, true},
+		"term":     {KeyTerm, TermRecord{Term: 7}, func(v *testView) bool { return v.Term == 7 }, false},
+		"target":   {KeyScalingTarget, ScalingTargetRecord{Target: 5}, func(v *testView) bool { return v.ScalingTarget.Target == 5 }, false},
+		"grant":    {GrantKey(1), GrantRecord{Controller: "a"}, func(v *testView) bool { return v.Grants[1].Controller == "a" }, false},
+		"liveness": {LivenessKey("a"), LivenessRecord{Incarnation: 3}, func(v *testView) bool { return v.Liveness["a"].Incarnation == 3 }, false},
+		"job shards": {KeyJobShards, JobShardsRecord{JobShards: 2}, func(v *testView) bool { return v.JobShards == 2 && v.JobShardsVersion > 0 },
+			false},
+		"quota split": {KeyQuotaSplit, QuotaSplitRecord{"red": {1, 2}}, func(v *testView) bool { return len(v.Teams[0].QuotaSplit) == 2 && v.Teams[1].QuotaSplit == nil },
+			false},
+		"machine types": {KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4}}},
+			func(v *testView) bool { return v.MachineTypes[v.MachineTypeNames.Lookup("small")].CPUs == 4 }, false},
+		"machine group": {MachineGroupKey("g"), MachineGroupRecord{Type: "small", Machines: []MachineEntry{{Name: "m-1"}}}, func(v *testView) bool {
+			_, m := v.Machines.Find("m-1")
+			return m != nil && m.Exists() && v.MachineGroups["g"] != nil
+		}, true},
+		"job":         {JobKey("run-1"), JobRecord{Spec: spec("run-1", 1)}, func(v *testView) bool { return v.state("run-1") == "runnable" }, true},
+		"intents":     {IntentPageKey(page), IntentPage{"run-1": {IntentEntry(0, "m-1", 1)}}, func(v *testView) bool { return v.IntentPageVersion(page) > 0 }, true},
+		"completions": {CompletionPageKey(page), CompletionPage{"run-1/0": {1}}, func(v *testView) bool { return v.CompletionPageVersion(page) > 0 }, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			v := newTestView(t, 2)
+			v.put(c.key, c.record)
+			if !c.known(v) {
+				t.Error("not taken in")
+			}
+			v.Remove(c.key, v.version)
+			if !c.known(v) {
+				t.Error("removed by a removal that is no newer")
+			}
+			v.remove(c.key)
+			if c.known(v) == c.removed {
+				t.Errorf("after its removal it is known: %t", !c.removed)
+			}
+		})
+	}
+}
+
+// TestUnknownKinds: records of versions to come are passed over.
+func TestUnknownKinds(t *testing.T) {
+	v := newTestView(t, 1)
+	for _, key := range []string{"r/later", "r/x/1", "r/leader2", "f/run-1", ""} {
+		if err := v.Apply(key, json.RawMessage(`{"node":`), 1); err != nil {
+			t.Errorf("%q: %v", key, err)
+		}
+		v.Remove(key, 2)
+	}
+}
+
+// TestUnreadableRecords: the error names the record, and what part of it says nothing
+// valid where the JSON itself is well formed.
+func TestUnreadableRecords(t *testing.T) {
+	for name, c := range map[string]struct {
+		key   string
+		value json.RawMessage
+		what  string // empty: the decoder's error
+	}{
+		"broken JSON":          {KeyLeader, json.RawMessage(`{"node":`), ""},
+		"broken job":           {JobKey("run-1"), json.RawMessage(`[]`), ""},
+		"grant of no number":   {"r/g/one", Encode(GrantRecord{}), "shard"},
+		"grant of no shard":    {GrantKey(7), Encode(GrantRecord{}), "shard"},
+		"no job shards":        {KeyJobShards, Encode(JobShardsRecord{}), "number of job shards"},
+		"too many job shards":  {KeyJobShards, Encode(JobShardsRecord{JobShards: 3}), "number of job shards"},
+		"intents of no page":   {"r/i/1", Encode(IntentPage{}), "page"},
+		"page below 0":         {"r/d/0/-1", Encode(CompletionPage{}), "page"},
+		"intent of no job":     {IntentPageKey(PageID{}), Encode(IntentPage{"a b": {IntentEntry(0, "m-1", 1)}}), "job ID"},
+		"intent of no machine": {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"0"}}), "intent"},
+		"intent of no task":    {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"x m-1 1"}}), "intent"},
+		"short header":         {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"@red 1 2"}}), "intent header"},
+		"header of no amount":  {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"@red 1 2 x"}}), "intent header"},
+		"completions, no job":  {CompletionPageKey(PageID{}), Encode(CompletionPage{"a b/0": {1}}), "completion chunk"},
+		"completions, chunk":   {CompletionPageKey(PageID{}), Encode(CompletionPage{"run-1/x": {1}}), "completion chunk"},
+		"completions, beyond":  {CompletionPageKey(PageID{}), Encode(CompletionPage{"run-1/13": {1}}), "completion chunk"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			err := newTestView(t, 2).Apply(c.key, c.value, 1)
+			var unreadable *RecordError
+			if !errors.As(err, &unreadable) || unreadable.Key != c.key {
+				t.Fatalf("error %v does not name the record", err)
+			}
+			var malformed *MalformedError
+			if errors.As(err, &malformed) != (c.what != "") || malformed != nil && malformed.What != c.what {
+				t.Errorf("error %v, not of a malformed %s", err, c.what)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/storage/codec_test.go
@@ -0,0 +1,47 @@
+package storage
+
+import (
+	"errors"
+	"testing"
+
+	"rockrun/internal/protocol"
+)
+
+// TestCodecs: what is encoded is decoded to the same.
+func TestCodecs(t *testing.T) {
+	for _, want := range []PageID{{}, {Shard: 3, Page: 41}} {
+		if got, err := parsePagePath(want.path()); err != nil || got != want {
+			t.Errorf("%v became %v, %v", want, got, err)
+		}
+	}
+	for _, want := range []intentHeader{{"red", 1, 0, 0.5}, {"a team of three", 0.1, 8, 1e9}} {
+		if got, err := parseIntentHeader(IntentHeader(want.team, want.cpus, want.gpus, want.memoryGB)); err != nil || got != want {
+			t.Errorf("%v became %v, %v", want, got, err)
+		}
+	}
+	const largest = ^uint64(0)
+	if task, machine, attempt, err := parseIntentEntry(IntentEntry(protocol.MaxTasks-1, "m-1", largest)); err != nil || task != protocol.MaxTasks-1 || machine != "m-1" || attempt != largest {
+		t.Errorf("task %d, machine %s, attempt %d, %v", task, machine, attempt, err)
+	}
+	if _, _, _, err := parseIntentEntry(IntentEntry(protocol.MaxTasks, "m-1", 1)); err == nil {
+		t.Error("a task beyond all was taken")
+	}
+	if id, chunk, err := parseCompletionChunkName(CompletionChunkName("run-1", 12)); err != nil || id != "run-1" || chunk != 12 {
+		t.Errorf("job %s, chunk %d, %v", id, chunk, err)
+	}
+}
+
+// TestDecodeFinal: a final record says how the job ended; an unreadable one is an error
+// with its cause.
+func TestDecodeFinal(t *testing.T) {
+	want := FinalRecord{Stage: protocol.StageDone, CompletedTasks: 4, EndedAtMS: 1000}
+	if got, err := DecodeFinal(Encode(want)); err != nil || got != want || got.outcome() != OutcomeDone {
+		t.Errorf("%+v, %v", got, err)
+	}
+	if outcome := (FinalRecord{Stage: protocol.StageCancelled}).outcome(); outcome != OutcomeCancelled {
+		t.Errorf("outcome %d", outcome)
+	}
+	if _, err := DecodeFinal([]byte(`{"stage":`)); err == nil || errors.Unwrap(err) == nil {
+		t.Errorf("error %v has no cause", err)
+	}
+}
--- a/internal/storage/decode_test.go
+++ b/internal/storage/decode_test.go
@@ -30,17 +30,17 @@
 			}
 		}
 	})
-	c := NewView([]Team{{Name: "red"}}, 1)
+	view := NewView([]Team{{Name: "red"}}, 1)
 	for round := range 4 {
 		for page := range pages {
-			rec := IntentPage{}
+			record := IntentPage{}
 			for job := range jobs {
 				id := fmt.Sprintf("run-%d", page*100+job)
 				for task := range tasks {
-					rec[id] = append(rec[id], entry(page, job, task))
+					record[id] = append(record[id], entry(page, job, task))
 				}
 			}
-			if err := c.Apply(IntentPageKey(PageID{Page: page}), Encode(rec), uint64(round*pages+page+1)); err != nil {
+			if err := view.Apply(IntentPageKey(PageID{Page: page}), Encode(record), uint64(round*pages+page+1)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -49,13 +49,13 @@
 	collecting.Wait()
 	for page := range pages {
 		for job := range jobs {
-			_, m := c.Machines.Find(fmt.Sprintf("m-%06d", page*1000+job))
+			_, m := view.Machines.Find(fmt.Sprintf("m-%06d", page*1000+job))
 			if m == nil || len(m.Intents) != tasks {
 				t.Fatalf("page %d, job %d: %+v", page, job, m)
 			}
-			for ref, i := range m.Intents {
-				if i.Attempt != uint64(ref.Task+1) || c.Jobs.Get(ref.Job).ID != fmt.Sprintf("run-%d", page*100+job) {
-					t.Errorf("page %d, job %d: %+v is %+v", page, job, ref, i)
+			for ref, intent := range m.Intents {
+				if intent.Attempt != uint64(ref.Task+1) || view.Jobs.Get(ref.Job).ID != fmt.Sprintf("run-%d", page*100+job) {
+					t.Errorf("page %d, job %d: %+v is %+v", page, job, ref, intent)
 				}
 			}
 		}
--- /dev/null
+++ b/internal/storage/table_test.go
@@ -0,0 +1,64 @@
+package storage
+
+import (
+	"slices"
+	"testing"
+)
+
+// TestNames: a name keeps its index.
+func TestNames(t *testing.T) {
+	var names Names
+	if names.Lookup("a") != -1 || names.Name(0) != "" || names.Len() != 0 {
+		t.Error("the zero value is not empty")
+	}
+	if a, b := names.ID("a"), names.ID("b"); a != 0 || b != 1 || names.ID("a") != 0 || names.Lookup("b") != 1 {
+		t.Errorf("indices %d and %d", a, b)
+	}
+	if names.Name(1) != "b" || names.Name(2) != "" || names.Name(-1) != "" || names.Len() != 2 {
+		t.Errorf("%+v", names)
+	}
+}
+
+// TestTable: rows keep their indices, and a dropped one's is given to the next.
+func TestTable(t *testing.T) {
+	var table Table[string]
+	if id, row := table.Find("a"); id != -1 || row != nil || table.Get(0) != nil {
+		t.Error("the zero value is not empty")
+	}
+	rows := []string{"row a", "row b", "row c"}
+	for i, name := range []string{"a", "b", "c"} {
+		if id := table.Add(name, &rows[i]); id != i {
+			t.Errorf("%s has index %d", name, id)
+		}
+	}
+	table.Drop("b")
+	table.Drop("none")
+	if id, row := table.Find("b"); id != -1 || row != nil || table.Get(1) != nil {
+		t.Error("b is not dropped")
+	}
+	var visited []int
+	table.All(func(id int, _ *string) { visited = append(visited, id) })
+	if !slices.Equal(visited, []int{0, 2}) {
+		t.Errorf("visited %v", visited)
+	}
+	if id := table.Add("d", &rows[1]); id != 1 || table.Get(1) != &rows[1] {
+		t.Errorf("d has index %d", id)
+	}
+}
+
+// TestTaskSet: a set grows with its members, and its copy does not.
+func TestTaskSet(t *testing.T) {
+	var set TaskSet
+	set.Set(9)
+	clone := set.Clone()
+	set.Set(0)
+	set.Set(100)
+	for task, want := range map[int]bool{0: true, 1: false, 8: false, 9: true, 100: true, 101: false, 5000: false} {
+		if set.Has(task) != want {
+			t.Errorf("%d is in the set: %t", task, !want)
+		}
+	}
+	if !clone.Has(9) || clone.Has(0) || clone.Has(100) {
+		t.Errorf("the copy is %v", clone)
+	}
+}
