--- a/internal/coordination/job_order.go
+++ b/internal/coordination/pending_jobs.go
@@ -10,8 +10,8 @@
 	"rockrun/internal/storage"
 )
 
-// unfinished lists the unfinished jobs of the homes held, in the order in which they
-// could start.
+// sortedActiveJobs lists the jobs that are neither over nor cancelled, in the order in
+// which they could start.
 func (h *reconciler) sortedActiveJobs() []*storage.Job {
 	n := h.controller
 	if h.seenJobsAdded != n.view.JobsAdded {
@@ -30,36 +30,26 @@
 	return h.activeJobs
 }
 
-// waitingJobs lists the jobs of the homes held with open tasks, in order.
+// pendingJobs lists the jobs of the job shards held that have tasks to place, in order.
 func (h *reconciler) pendingJobs(now time.Duration) []placement.Candidate {
 	n := h.controller
 	var list []placement.Candidate
-	booked := map[int][]quota.Usage{}
-	wall := n.Clock.Wall()
+	guarantees, wall := quota.NewGuarantees(n.view), n.Clock.Wall()
 	for _, j := range h.sortedActiveJobs() {
 		if !j.Runnable() || h.writers[j.Shard] == nil || !n.leases.MayActFor(j.Shard) {
 			continue
 		}
-		if booked[j.Shard] == nil {
-			booked[j.Shard] = make([]quota.Usage, len(n.view.Teams))
-		}
-		t := &n.view.Teams[j.TeamIndex]
 		p := h.progress(j)
-		open := float64(j.Tasks - p.completedCount)
-		b := &booked[j.Shard][j.TeamIndex]
-		within := t.HasGuarantee && b.CPUs+open*j.CPUs <= n.view.QuotaShare(t, j.Shard, t.GuaranteedCPUs)+1e-6 &&
-			(j.GPUs == 0 || b.GPUs+open*j.GPUs <= n.view.QuotaShare(t, j.Shard, t.GuaranteedGPUs)+1e-6)
-		b.CPUs += open * j.CPUs
-		b.GPUs += open * j.GPUs
-		p.withinGuarantee = within
+		remaining := j.Tasks - p.completedCount
+		p.withinGuarantee = guarantees.Claim(j, remaining)
 		if now < p.backoffUntil || h.nextOpenTask(j, p) < 0 {
 			continue
 		}
-		progress := placement.Progress{Remaining: j.Tasks - p.completedCount, Begun: p.attempts > 0 || p.completedCount > 0}
-		w := placement.NewCandidate(j, n.view.EffectiveRank(j), progress, n.Settings.Cluster.Objectives, wall)
-		w.WithinGuarantee = within
-		p.starved = p.starved || w.Starved
-		list = append(list, w)
+		progress := placement.Progress{Remaining: remaining, Begun: p.attempts > 0 || p.completedCount > 0}
+		candidate := placement.NewCandidate(j, n.view.EffectiveRank(j), progress, n.Settings.Cluster.Objectives, wall)
+		candidate.WithinGuarantee = p.withinGuarantee
+		p.starved = p.starved || candidate.Starved
+		list = append(list, candidate)
 	}
 	placement.Sort(list, h.placingPasses%placement.LongLateTurn == placement.LongLateTurn-1)
 	return list
--- /dev/null
+++ b/internal/coordination/placement/fleet_test.go
@@ -0,0 +1,206 @@
+package placement
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+// testMachine is a machine as the tests describe it. The zero value of what is not of
+// interest is that of an idle machine that takes tasks.
+type testMachine struct {
+	name          string
+	free          Resources
+	zone          int
+	shard         int
+	unschedulable bool
+	booting       bool
+	listed        string // task that it lists, as protocol.TaskName gives it
+	traits        Machine
+	running       []Running
+}
+
+// testCluster stands for all that a round asks and does. What it places and stops changes
+// what it answers, as it does with a reconciler.
+type testCluster struct {
+	t           *testing.T
+	machines    []*testMachine
+	states      map[*storage.Job]*JobState
+	taken       map[string]bool // tasks that have an attempt, by name
+	quota       map[string]int  // most attempts that the quota lets a job have
+	borrows     bool
+	serviceCPUs float64
+	waited      time.Duration // of every job
+	serial      uint64
+	log         []string // actions, in order
+}
+
+func newTestCluster(t *testing.T, machines ...*testMachine) *testCluster {
+	return &testCluster{t: t, machines: machines, states: map[*storage.Job]*JobState{}, taken: map[string]bool{}, quota: map[string]int{}}
+}
+
+func (c *testCluster) Machines() []*testMachine        { return c.machines }
+func (c *testCluster) Free(m *testMachine) Resources   { return m.free }
+func (c *testCluster) Zone(m *testMachine) int         { return m.zone }
+func (c *testCluster) Schedulable(m *testMachine) bool { return !m.unschedulable && !m.booting }
+func (c *testCluster) Booting(m *testMachine) bool     { return m.booting }
+func (c *testCluster) ServiceCPUs() float64            { return c.serviceCPUs }
+func (c *testCluster) NextAttemptNumber(*testMachine) uint64 {
+	c.serial++
+	return c.serial
+}
+
+func (c *testCluster) Eligible(m *testMachine, j *storage.Job) bool {
+	return m.shard == j.Shard && (j.Spot || !m.traits.Spot)
+}
+
+func (c *testCluster) ListsTask(m *testMachine, j *storage.Job, task int) bool {
+	return m.listed == protocol.TaskName(j.ID, task)
+}
+
+func (c *testCluster) Describe(m *testMachine, _ *storage.Job) Machine {
+	traits := m.traits
+	traits.Type = &protocol.MachineType{CPUs: 8}
+	traits.UsedCPUs = 8 - m.free.CPUs
+	return traits
+}
+
+func (c *testCluster) AppendRunning(list []Running, m *testMachine) []Running {
+	return append(list, m.running...)
+}
+
+// State is that of a job of which nothing has begun, unless a test says otherwise.
+func (c *testCluster) State(j *storage.Job) JobState {
+	if c.states[j] == nil {
+		c.states[j] = &JobState{Remaining: j.Tasks, AttemptsByZone: make([]int, 4)}
+	}
+	state := *c.states[j]
+	state.AttemptsByZone = slices.Clone(state.AttemptsByZone)
+	return state
+}
+
+func (c *testCluster) NextTask(j *storage.Job) int {
+	for task := range j.Tasks {
+		if !c.taken[protocol.TaskName(j.ID, task)] {
+			return task
+		}
+	}
+	return -1
+}
+
+func (c *testCluster) WithinQuota(j *storage.Job) bool {
+	most, limited := c.quota[j.ID]
+	return !limited || c.State(j).Attempts < most
+}
+
+func (c *testCluster) BorrowsBeyond(*storage.Job) bool { return c.borrows }
+func (c *testCluster) OthersBorrow(*storage.Job) bool  { return c.borrows }
+
+func (c *testCluster) RunsBelow(rank int) bool {
+	for _, m := range c.machines {
+		if slices.ContainsFunc(m.running, func(r Running) bool { return r.Job.Rank() > rank }) {
+			return true
+		}
+	}
+	return false
+}
+
+func (c *testCluster) Place(j *storage.Job, task int, m *testMachine, number uint64) {
+	c.count(j, task, m, 1)
+	m.free.Subtract(j)
+	c.log = append(c.log, fmt.Sprintf("%s to %s as %d", protocol.TaskName(j.ID, task), m.name, number))
+}
+
+func (c *testCluster) Unplace(j *storage.Job, task int, m *testMachine) {
+	c.count(j, task, m, -1)
+	m.free.Add(j)
+	c.log = append(c.log, fmt.Sprintf("%s not to %s", protocol.TaskName(j.ID, task), m.name))
+}
+
+// count keeps the sums of a job when an attempt begins or ends.
+func (c *testCluster) count(j *storage.Job, task int, m *testMachine, by int) {
+	c.State(j)
+	state := c.states[j]
+	state.Attempts += by
+	state.AttemptsByZone[m.zone] += by
+	c.taken[protocol.TaskName(j.ID, task)] = by > 0
+}
+
+func (c *testCluster) Preempt(m *testMachine, victims []Running, waiting *storage.Job) {
+	line := "on " + m.name + " for " + waiting.ID + ":"
+	for _, victim := range victims {
+		line += " " + protocol.TaskName(victim.Job.ID, victim.Task)
+		for i := range m.running {
+			if m.running[i].Job == victim.Job && m.running[i].Task == victim.Task {
+				m.running[i].Stopping = true
+			}
+		}
+	}
+	c.log = append(c.log, line)
+}
+
+// run has a round placed for the jobs and compares what it did.
+func (c *testCluster) run(name string, jobs []Candidate, want ...string) (placed bool) {
+	c.t.Helper()
+	placed = NewRound(RoundConfig[*testMachine]{Fleet: c, Jobs: c, Teams: c, Actions: c, Wall: time.UnixMilli(c.waited.Milliseconds())}).Run(jobs)
+	if !slices.Equal(c.log, want) {
+		c.t.Errorf("%s:\n%q, not\n%q", name, c.log, want)
+	}
+	return placed
+}
+
+// Priorities of test jobs, the highest first.
+const (
+	urgent = "urgent" // rank 1
+	normal = "normal" // rank 2
+	lowest = "best_effort"
+)
+
+// testJob is a job of a team whose tasks take a CPU and a GB each.
+func testJob(id string, team, tasks int, change ...func(*storage.Job)) *storage.Job {
+	j := &storage.Job{
+		JobSpec:   protocol.JobSpec{ID: id, Kind: protocol.KindArray, Priority: normal, Tasks: tasks, CPUs: 1, MemoryGB: 1},
+		TeamIndex: team,
+		ZoneIndex: -1,
+	}
+	for _, apply := range change {
+		apply(j)
+	}
+	return j
+}
+
+// What tests change of a job.
+func gang(j *storage.Job)    { j.Kind = protocol.KindGang }
+func service(j *storage.Job) { j.Kind = protocol.KindService }
+func oneZone(j *storage.Job) { j.OneZone = true }
+func spread(j *storage.Job)  { j.Spread = true }
+
+func priority(name string) func(*storage.Job) {
+	return func(j *storage.Job) { j.Priority = name }
+}
+
+func takes(cpus float64) func(*storage.Job) {
+	return func(j *storage.Job) { j.CPUs = cpus }
+}
+
+// candidates are jobs in the order given, each with its own rank.
+func candidates(jobs ...*storage.Job) (list []Candidate) {
+	for _, j := range jobs {
+		list = append(list, Candidate{Job: j, Rank: j.Rank()})
+	}
+	return list
+}
+
+// onMachine is an attempt at the first task of a job, of an age.
+func onMachine(j *storage.Job, age time.Duration) Running {
+	return Running{Job: j, Number: 1, Rank: j.Rank(), Age: age}
+}
+
+// withFree is a machine with a number of free CPUs and memory for any task.
+func withFree(name string, zone int, cpus float64, running ...Running) *testMachine {
+	return &testMachine{name: name, zone: zone, free: Resources{CPUs: cpus, MemoryGB: 100}, running: running}
+}
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -43,8 +43,8 @@
 	ServiceCPUs float64 // by the replicas among them
 }
 
-// Scores of a machine for a task; the highest total wins. The steps are so far apart that
-// a lower one decides only among machines that are equal in the higher ones.
+// Scores of a machine for a task; the highest total wins. Each of the first two outweighs
+// all that follow together; the others are weighed against each other.
 const (
 	// slowPenalty: only where there is nothing else.
 	slowPenalty = 5000
--- a/internal/coordination/placement/order.go
+++ b/internal/coordination/placement/order.go
@@ -41,26 +41,26 @@
 
 // NewCandidate works out a job's weight, and whether it is late or starves. Rank is its
 // effective rank. Whether it is within its team's guarantee is the caller's to add.
-func NewCandidate(j *storage.Job, rank int, p Progress, objectives []config.Objective, now time.Time) Candidate {
-	c := Candidate{Job: j, Rank: rank}
+func NewCandidate(j *storage.Job, rank int, progress Progress, objectives []config.Objective, now time.Time) Candidate {
+	candidate := Candidate{Job: j, Rank: rank}
 	nowMS := now.UnixMilli()
 	ageSeconds := float64(nowMS-j.ReadyAtMS()) / 1000
-	c.Starved = !p.Begun && ageSeconds > MaxDelaySeconds
+	candidate.Starved = !progress.Begun && ageSeconds > MaxDelaySeconds
 	if j.IsService() {
-		return c
+		return candidate
 	}
 	runSeconds := ExpectedRunSeconds(j)
-	c.Weight = float64(p.Remaining) * max(j.CPUs, minWeightCPUs) * runSeconds / (ageSeconds + runSeconds)
+	candidate.Weight = float64(progress.Remaining) * max(j.CPUs, minWeightCPUs) * runSeconds / (ageSeconds + runSeconds)
 	if j.DeadlineSeconds > 0 {
 		ageSeconds = float64(nowMS-j.SubmittedAtMS) / 1000 // a deadline counts from the submission
 	}
 	limitSeconds := timeLimitSeconds(j, objectives)
-	c.Late = limitSeconds > 0 && ageSeconds+runSeconds > limitSeconds
-	c.LongLate = limitSeconds > 0 && ageSeconds > limitSeconds+MaxDelaySeconds
-	if c.LongLate {
-		c.Weight = 0 // by arrival
+	candidate.Late = limitSeconds > 0 && ageSeconds+runSeconds > limitSeconds
+	candidate.LongLate = limitSeconds > 0 && ageSeconds > limitSeconds+MaxDelaySeconds
+	if candidate.LongLate {
+		candidate.Weight = 0 // by arrival
 	}
-	return c
+	return candidate
 }
 
 // timeLimitSeconds is the age until which it is of use that a job is done, by its own
@@ -95,16 +95,16 @@
 // Where more is asked for than can be done, work that is late would wait for ever behind
 // what is not, or all would be late if it went first. So what has been late for long takes
 // turns with the rest, the oldest first; longLateFirst says that it is its turn.
-func Compare(a, b *Candidate, longLateFirst bool) int {
+func Compare(first, second *Candidate, longLateFirst bool) int {
 	return cmp.Or(
-		cmp.Compare(a.Rank, b.Rank),
-		CompareBool(b.Starved, a.Starved),
-		CompareBool(b.WithinGuarantee, a.WithinGuarantee),
-		CompareBool(a.LongLate != longLateFirst, b.LongLate != longLateFirst),
-		CompareBool(a.Late, b.Late),
-		cmp.Compare(a.Weight, b.Weight),
-		cmp.Compare(a.Job.ReadyAtMS(), b.Job.ReadyAtMS()),
-		cmp.Compare(a.Job.ID, b.Job.ID),
+		cmp.Compare(first.Rank, second.Rank),
+		CompareBool(second.Starved, first.Starved),
+		CompareBool(second.WithinGuarantee, first.WithinGuarantee),
+		CompareBool(first.LongLate != longLateFirst, second.LongLate != longLateFirst),
+		CompareBool(first.Late, second.Late),
+		cmp.Compare(first.Weight, second.Weight),
+		cmp.Compare(first.Job.ReadyAtMS(), second.Job.ReadyAtMS()),
+		cmp.Compare(first.Job.ID, second.Job.ID),
 	)
 }
 
--- a/internal/coordination/placement/order_test.go
+++ b/internal/coordination/placement/order_test.go
@@ -29,13 +29,13 @@
 			first.Rank, second.Starved, second.WithinGuarantee = 1, true, true
 		}},
 		{"starved", false, func(first, second *Candidate) { first.Starved, second.WithinGuarantee = true, true }},
-		{"within the guarantee", false, func(first, second *Candidate) { first.WithinGuarantee, first.LongLate = true, true }},
-		{"late for long goes last", false, func(first, second *Candidate) { second.LongLate, second.Weight = true, 0 }},
-		{"late for long goes first at its turn", true, func(first, second *Candidate) { first.LongLate, first.Late = true, true }},
+		{"within the guarantee", false, func(first, _ *Candidate) { first.WithinGuarantee, first.LongLate = true, true }},
+		{"late for long goes last", false, func(_, second *Candidate) { second.LongLate, second.Weight = true, 0 }},
+		{"late for long goes first at its turn", true, func(first, _ *Candidate) { first.LongLate, first.Late = true, true }},
 		{"in time before late", false, func(first, second *Candidate) { second.Late, first.Weight = true, 9 }},
-		{"less work for the time waited", false, func(first, second *Candidate) { first.Weight, first.Job.SubmittedAtMS = 0.5, 900 }},
-		{"arrival", false, func(first, second *Candidate) { first.Job.SubmittedAtMS, first.Job.ID = 100, "z" }},
-		{"identifier", false, func(first, second *Candidate) {}},
+		{"less work for the time waited", false, func(first, _ *Candidate) { first.Weight, first.Job.SubmittedAtMS = 0.5, 900 }},
+		{"arrival", false, func(first, _ *Candidate) { first.Job.SubmittedAtMS, first.Job.ID = 100, "z" }},
+		{"identifier", false, func(*Candidate, *Candidate) {}},
 	} {
 		first, second := testCandidate("a", 500), testCandidate("b", 500)
 		c.change(&first, &second)
--- a/internal/coordination/placement/preemption.go
+++ b/internal/coordination/placement/preemption.go
@@ -33,22 +33,22 @@
 }
 
 // mayPreempt reports whether an attempt may be stopped to make room for a waiting job.
-func mayPreempt(c *Candidate, victim *Running, teams Teams) bool {
+func mayPreempt(waiting *Candidate, victim *Running, teams Teams) bool {
 	// What waits has its own priority, what may be stopped the highest of those that
 	// need it: a cheap first stage of a pipeline stops nothing and isn't stopped.
-	if victim.Rank > c.Job.Rank() {
+	if victim.Rank > waiting.Job.Rank() {
 		return true
 	}
 	// Guaranteed share comes before what another team has borrowed. A service is
 	// never stopped for it: not for batch work, and one for another gains nobody
 	// anything, least of all when machines are lost and they take turns.
-	if !c.WithinGuarantee || victim.Job.TeamIndex == c.Job.TeamIndex || victim.Job.IsService() {
+	if !waiting.WithinGuarantee || victim.Job.TeamIndex == waiting.Job.TeamIndex || victim.Job.IsService() {
 		return false
 	}
 	// Nor is what goes before the waiting job in order, or is within its own team's
 	// guarantee, or has starved before: it would take the room back, and the two would
 	// stop each other for ever.
-	if victim.WithinGuarantee || victim.Starved || victim.Rank < c.Rank {
+	if victim.WithinGuarantee || victim.Starved || victim.Rank < waiting.Rank {
 		return false
 	}
 	return teams.BorrowsBeyond(victim.Job)
@@ -56,22 +56,22 @@
 
 // preemptionPossible reports whether there can be anything that may be stopped for a
 // job, before every machine is looked at.
-func preemptionPossible(c *Candidate, teams Teams) bool {
-	return teams.RunsBelow(c.Job.Rank()) || c.WithinGuarantee && teams.OthersBorrow(c.Job)
+func preemptionPossible(waiting *Candidate, teams Teams) bool {
+	return teams.RunsBelow(waiting.Job.Rank()) || waiting.WithinGuarantee && teams.OthersBorrow(waiting.Job)
 }
 
 // preemptsNoMoreThan reports whether what may be stopped for a job may be stopped for
 // another too, and a place for the one would do for the other. Looking costs a look at
 // everything that runs, so where it was in vain for one job it is left out for those like
 // it.
-func (c *Candidate) preemptsNoMoreThan(other *Candidate) bool {
-	if !Dominates(c.Job, other.Job) || c.Job.Rank() < other.Job.Rank() || c.Rank < other.Rank {
+func (waiting *Candidate) preemptsNoMoreThan(other *Candidate) bool {
+	if !Dominates(waiting.Job, other.Job) || waiting.Job.Rank() < other.Job.Rank() || waiting.Rank < other.Rank {
 		return false
 	}
-	if c.Job.Spread || other.Job.Spread || other.Job.OneZone {
+	if waiting.Job.Spread || other.Job.Spread || other.Job.OneZone {
 		return false
 	}
-	return !c.WithinGuarantee || other.WithinGuarantee && c.Job.TeamIndex == other.Job.TeamIndex
+	return !waiting.WithinGuarantee || other.WithinGuarantee && waiting.Job.TeamIndex == other.Job.TeamIndex
 }
 
 // preemption is what would have to be stopped on a machine for a waiting task.
@@ -84,13 +84,13 @@
 
 // preemptFor has the least work stopped that lets one task of a job start, and promises
 // it the room; false when nothing can be done.
-func (r *Round[M]) preemptFor(c *Candidate) bool {
-	best, found := r.cheapestPreemption(c)
+func (r *Round[M]) preemptFor(waiting *Candidate) bool {
+	best, found := r.cheapestPreemption(waiting)
 	if !found {
 		return false
 	}
-	r.config.Actions.Preempt(best.machine, best.victims, c.Job)
-	best.remaining.Subtract(c.Job)
+	r.config.Actions.Preempt(best.machine, best.victims, waiting.Job)
+	best.remaining.Subtract(waiting.Job)
 	if r.promised == nil {
 		r.promised = map[M]Resources{}
 	}
@@ -99,13 +99,13 @@
 }
 
 // cheapestPreemption is the one that costs least, on the first such machine by name.
-func (r *Round[M]) cheapestPreemption(c *Candidate) (best preemption[M], found bool) {
-	attemptsByZone := r.config.Jobs.State(c.Job).AttemptsByZone
+func (r *Round[M]) cheapestPreemption(waiting *Candidate) (best preemption[M], found bool) {
+	attemptsByZone := r.config.Jobs.State(waiting.Job).AttemptsByZone
 	for _, machine := range r.config.Fleet.Machines() {
-		if !r.config.Fleet.Schedulable(machine) || !allowed(r.config.Fleet, machine, c.Job, attemptsByZone) {
+		if !r.config.Fleet.Schedulable(machine) || !allowed(r.config.Fleet, machine, waiting.Job, attemptsByZone) {
 			continue
 		}
-		if p, enough := r.preemptionOn(machine, c); enough && (!found || p.cost < best.cost) {
+		if p, enough := r.preemptionOn(machine, waiting); enough && (!found || p.cost < best.cost) {
 			victims := append(best.victims[:0], p.victims...) // p's are in the scratch list
 			best, found = p, true
 			best.victims = victims
@@ -119,11 +119,11 @@
 //
 // Where nothing was promised there yet, the room that stops under way will leave counts as
 // there; a promise has counted it, and what it was promised to is off.
-func (r *Round[M]) preemptionOn(machine M, c *Candidate) (preemption[M], bool) {
-	p := preemption[M]{machine: machine}
+func (r *Round[M]) preemptionOn(machine M, waiting *Candidate) (preemption[M], bool) {
+	plan := preemption[M]{machine: machine}
 	left, promised := r.promised[machine]
-	if p.remaining = left; !promised {
-		p.remaining = r.config.Fleet.Free(machine)
+	if plan.remaining = left; !promised {
+		plan.remaining = r.config.Fleet.Free(machine)
 	}
 	r.scratch = r.config.Fleet.AppendRunning(r.scratch[:0], machine)
 	victims := r.scratch[:0]
@@ -131,21 +131,21 @@
 		running := &r.scratch[i]
 		switch {
 		case running.Stopping && !promised:
-			p.remaining.Add(running.Job)
-		case !running.Stopping && mayPreempt(c, running, r.config.Teams):
+			plan.remaining.Add(running.Job)
+		case !running.Stopping && mayPreempt(waiting, running, r.config.Teams):
 			victims = append(victims, *running)
 		}
 	}
 	slices.SortFunc(victims, compareVictims)
 	for i := range victims {
-		if p.remaining.Fits(c.Job) {
+		if plan.remaining.Fits(waiting.Job) {
 			break
 		}
-		p.remaining.Add(victims[i].Job)
-		p.cost += preemptionCost(&victims[i])
-		p.victims = victims[:i+1]
+		plan.remaining.Add(victims[i].Job)
+		plan.cost += preemptionCost(&victims[i])
+		plan.victims = victims[:i+1]
 	}
-	return p, p.remaining.Fits(c.Job)
+	return plan, plan.remaining.Fits(waiting.Job)
 }
 
 // compareVictims puts what is to be stopped first: the lowest priority, then the latest.
--- a/internal/coordination/placement/resources_test.go
+++ b/internal/coordination/placement/resources_test.go
@@ -69,19 +69,19 @@
 		change func(a, b *storage.Job)
 		want   bool
 	}{
-		{"equal", func(a, b *storage.Job) {}, true},
-		{"larger", func(a, b *storage.Job) { a.CPUs, a.GPUs, a.MemoryGB = 2, 2, 2 }, true},
-		{"fewer CPUs", func(a, b *storage.Job) { b.CPUs = 2 }, false},
-		{"fewer GPUs", func(a, b *storage.Job) { b.GPUs = 2 }, false},
-		{"less memory", func(a, b *storage.Job) { b.MemoryGB = 2 }, false},
-		{"another shard", func(a, b *storage.Job) { a.Shard = 1 }, false},
-		{"only the other may be on spot machines", func(a, b *storage.Job) { b.Spot = true }, true},
-		{"only it may be on spot machines", func(a, b *storage.Job) { a.Spot = true }, false},
-		{"it is bound to a zone", func(a, b *storage.Job) { a.ZoneIndex = 1 }, true},
-		{"the other is bound to a zone", func(a, b *storage.Job) { b.ZoneIndex = 1 }, false},
+		{"equal", func(*storage.Job, *storage.Job) {}, true},
+		{"larger", func(a, _ *storage.Job) { a.CPUs, a.GPUs, a.MemoryGB = 2, 2, 2 }, true},
+		{"fewer CPUs", func(_, b *storage.Job) { b.CPUs = 2 }, false},
+		{"fewer GPUs", func(_, b *storage.Job) { b.GPUs = 2 }, false},
+		{"less memory", func(_, b *storage.Job) { b.MemoryGB = 2 }, false},
+		{"another shard", func(a, _ *storage.Job) { a.Shard = 1 }, false},
+		{"only the other may be on spot machines", func(_, b *storage.Job) { b.Spot = true }, true},
+		{"only it may be on spot machines", func(a, _ *storage.Job) { a.Spot = true }, false},
+		{"it is bound to a zone", func(a, _ *storage.Job) { a.ZoneIndex = 1 }, true},
+		{"the other is bound to a zone", func(_, b *storage.Job) { b.ZoneIndex = 1 }, false},
 		{"both are bound to one zone", func(a, b *storage.Job) { a.ZoneIndex, b.ZoneIndex = 1, 1 }, true},
-		{"it is bound to machine types", func(a, b *storage.Job) { a.MachineTypeIndices = []int{1} }, true},
-		{"the other is bound to machine types", func(a, b *storage.Job) { b.MachineTypeIndices = []int{1} }, false},
+		{"it is bound to machine types", func(a, _ *storage.Job) { a.MachineTypeIndices = []int{1} }, true},
+		{"the other is bound to machine types", func(_, b *storage.Job) { b.MachineTypeIndices = []int{1} }, false},
 		{"both are bound to the same types", func(a, b *storage.Job) { a.MachineTypeIndices, b.MachineTypeIndices = []int{1}, []int{1} }, true},
 	} {
 		plain := func() *storage.Job {
--- a/internal/coordination/placement/round.go
+++ b/internal/coordination/placement/round.go
@@ -96,27 +96,27 @@
 }
 
 // place gives the tasks of one job to machines.
-func (r *Round[M]) place(c *Candidate) {
-	state := r.config.Jobs.State(c.Job)
+func (r *Round[M]) place(candidate *Candidate) {
+	state := r.config.Jobs.State(candidate.Job)
 	switch {
-	case c.Job.Kind == protocol.KindGang:
-		r.placeGang(c, state)
+	case candidate.Job.Kind == protocol.KindGang:
+		r.placeGang(candidate, state)
 		return
-	case c.Job.OneZone && state.Attempts == 0:
-		if zone, found := r.gatheringZone(c); found {
-			r.placeInZone(c, zone)
+	case candidate.Job.OneZone && state.Attempts == 0:
+		if zone, found := r.gatheringZone(candidate); found {
+			r.placeInZone(candidate, zone)
 			return
 		}
 	}
-	hopeless := slices.ContainsFunc(r.unplaceable, func(j *storage.Job) bool { return Dominates(c.Job, j) })
+	hopeless := slices.ContainsFunc(r.unplaceable, func(j *storage.Job) bool { return Dominates(candidate.Job, j) })
 	// Each waiting task is promised room once.
 	promises := max(1, state.Remaining-state.Attempts)
-	for task := r.nextTask(c); task >= 0; task = r.nextTask(c) {
-		if !hopeless && r.placeTask(c, task) {
+	for task := r.nextTask(candidate); task >= 0; task = r.nextTask(candidate) {
+		if !hopeless && r.placeTask(candidate, task) {
 			continue
 		}
 		hopeless = true
-		if promises == 0 || !r.preempt(c) {
+		if promises == 0 || !r.preempt(candidate) {
 			return
 		}
 		promises--
@@ -125,8 +125,8 @@
 
 // nextTask is the next task of a job to be placed; -1 when there is none, or no more of
 // its team's quota.
-func (r *Round[M]) nextTask(c *Candidate) int {
-	if task := r.config.Jobs.NextTask(c.Job); task >= 0 && r.config.Jobs.WithinQuota(c.Job) {
+func (r *Round[M]) nextTask(candidate *Candidate) int {
+	if task := r.config.Jobs.NextTask(candidate.Job); task >= 0 && r.config.Jobs.WithinQuota(candidate.Job) {
 		return task
 	}
 	return -1
@@ -138,15 +138,15 @@
 }
 
 // placeTask gives a task to a machine, if there is one for it.
-func (r *Round[M]) placeTask(c *Candidate, task int) bool {
-	machine, found := r.choose(r.withRoom, c.Job, task)
+func (r *Round[M]) placeTask(candidate *Candidate, task int) bool {
+	machine, found := r.choose(r.withRoom, candidate.Job, task)
 	if !found {
-		if !c.Job.OneZone && !c.Job.Spread {
-			r.unplaceable = append(r.unplaceable, c.Job)
+		if !candidate.Job.OneZone && !candidate.Job.Spread {
+			r.unplaceable = append(r.unplaceable, candidate.Job)
 		}
 		return false
 	}
-	r.placeOn(c.Job, task, machine)
+	r.placeOn(candidate.Job, task, machine)
 	return true
 }
 
@@ -157,26 +157,26 @@
 }
 
 // placeInZone gives as many tasks of a job to the machines of a zone as these take.
-func (r *Round[M]) placeInZone(c *Candidate, zone int) {
+func (r *Round[M]) placeInZone(candidate *Candidate, zone int) {
 	outside := func(machine M) bool { return r.config.Fleet.Zone(machine) != zone }
 	machines := slices.DeleteFunc(slices.Clone(r.withRoom), outside)
-	for task := r.nextTask(c); task >= 0; task = r.nextTask(c) {
-		machine, found := r.choose(machines, c.Job, task)
+	for task := r.nextTask(candidate); task >= 0; task = r.nextTask(candidate) {
+		machine, found := r.choose(machines, candidate.Job, task)
 		if !found {
 			return
 		}
-		r.placeOn(c.Job, task, machine)
+		r.placeOn(candidate.Job, task, machine)
 	}
 }
 
 // preempt stops other work for one task of a job, if any may be stopped for it. The
 // machine takes nothing else in this round.
-func (r *Round[M]) preempt(c *Candidate) bool {
-	if !preemptionPossible(c, r.config.Teams) || slices.ContainsFunc(r.unpreemptable, c.preemptsNoMoreThan) {
+func (r *Round[M]) preempt(waiting *Candidate) bool {
+	if !preemptionPossible(waiting, r.config.Teams) || slices.ContainsFunc(r.unpreemptable, waiting.preemptsNoMoreThan) {
 		return false
 	}
-	if !r.preemptFor(c) {
-		r.unpreemptable = append(r.unpreemptable, c)
+	if !r.preemptFor(waiting) {
+		r.unpreemptable = append(r.unpreemptable, waiting)
 		return false
 	}
 	r.withRoom = slices.DeleteFunc(r.withRoom, func(machine M) bool {
@@ -188,25 +188,25 @@
 
 // placeGang places all open tasks of a gang or none, and only once no attempt of an
 // earlier round is left: a gang that has lost a task starts over.
-func (r *Round[M]) placeGang(c *Candidate, state JobState) {
+func (r *Round[M]) placeGang(gang *Candidate, state JobState) {
 	if slices.ContainsFunc(state.AttemptsByZone, func(count int) bool { return count > 0 }) {
 		return
 	}
 	var planned []placedTask[M]
 	var number uint64
-	for task := r.config.Jobs.NextTask(c.Job); task >= 0; task = r.config.Jobs.NextTask(c.Job) {
-		machine, found := r.choose(r.withRoom, c.Job, task)
-		if !found || !r.config.Jobs.WithinQuota(c.Job) {
-			r.unplace(c.Job, planned)
+	for task := r.config.Jobs.NextTask(gang.Job); task >= 0; task = r.config.Jobs.NextTask(gang.Job) {
+		machine, found := r.choose(r.withRoom, gang.Job, task)
+		if !found || !r.config.Jobs.WithinQuota(gang.Job) {
+			r.unplace(gang.Job, planned)
 			if !found {
-				r.preemptForGang(c, state.Remaining)
+				r.preemptForGang(gang, state.Remaining)
 			}
 			return
 		}
 		if number == 0 {
 			number = r.config.Actions.NextAttemptNumber(machine) // the tasks of a round know each other by it
 		}
-		r.config.Actions.Place(c.Job, task, machine, number)
+		r.config.Actions.Place(gang.Job, task, machine, number)
 		planned = append(planned, placedTask[M]{task, machine})
 	}
 }
@@ -224,7 +224,8 @@
 }
 
 // preemptForGang stops other work for as many tasks of a gang as it can.
-func (r *Round[M]) preemptForGang(c *Candidate, remaining int) {
-	for ; remaining > 0 && preemptionPossible(c, r.config.Teams) && r.preemptFor(c); remaining-- {
+func (r *Round[M]) preemptForGang(gang *Candidate, remaining int) {
+	for remaining > 0 && preemptionPossible(gang, r.config.Teams) && r.preemptFor(gang) {
+		remaining--
 	}
 }
--- /dev/null
+++ b/internal/coordination/placement/round_test.go
@@ -0,0 +1,147 @@
+package placement
+
+import (
+	"testing"
+	"time"
+
+	"rockrun/internal/storage"
+)
+
+// TestRound: what a round does with lists of jobs.
+func TestRound(t *testing.T) {
+	low := func(id string, cpus float64) *storage.Job { return testJob(id, 1, 1, priority(lowest), takes(cpus)) }
+	for _, c := range []struct {
+		name     string
+		machines []*testMachine
+		jobs     []*storage.Job
+		quota    map[string]int
+		want     []string
+		placed   bool
+	}{
+		{"nothing waits", []*testMachine{withFree("m-1", 0, 4)}, nil, nil, nil, false},
+		{"in the order of the list, while there is room", []*testMachine{withFree("m-1", 0, 3)},
+			[]*storage.Job{testJob("a", 0, 2), testJob("b", 0, 2)}, nil,
+			[]string{"a/0 to m-1 as 1", "a/1 to m-1 as 2", "b/0 to m-1 as 3"}, true},
+		{"the fullest machine until it is full", []*testMachine{withFree("m-1", 0, 4), withFree("m-2", 0, 2)},
+			[]*storage.Job{testJob("a", 0, 3)}, nil,
+			[]string{"a/0 to m-2 as 1", "a/1 to m-2 as 2", "a/2 to m-1 as 3"}, true},
+		{"a small job behind one that finds no place", []*testMachine{withFree("m-1", 0, 2)},
+			[]*storage.Job{testJob("large", 0, 1, takes(4)), testJob("small", 0, 1)}, nil,
+			[]string{"small/0 to m-1 as 1"}, true},
+		{"a larger one is not tried for where a smaller found no place", []*testMachine{withFree("m-1", 0, 2)},
+			[]*storage.Job{testJob("large", 0, 1, takes(4)), testJob("larger", 0, 1, takes(5)), testJob("small", 0, 1)}, nil,
+			[]string{"small/0 to m-1 as 1"}, true},
+		{"as many as the quota lets in", []*testMachine{withFree("m-1", 0, 4)},
+			[]*storage.Job{testJob("a", 0, 3), testJob("b", 1, 1)}, map[string]int{"a": 1},
+			[]string{"a/0 to m-1 as 1", "b/0 to m-1 as 2"}, true},
+		{"nothing is stopped for what the quota does not let in", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 4), time.Second))},
+			[]*storage.Job{testJob("a", 0, 1)}, map[string]int{"a": 0}, nil, false},
+		{"each task is promised room once", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 4), time.Second))},
+			[]*storage.Job{testJob("a", 0, 2)}, nil,
+			[]string{"on m-1 for a: x/0", "on m-1 for a:"}, false},
+		{"room that is promised is no one else's", []*testMachine{withFree("m-1", 0, 1, onMachine(low("x", 4), time.Second))},
+			[]*storage.Job{testJob("a", 0, 1, takes(4)), testJob("b", 0, 1)}, nil,
+			[]string{"on m-1 for a: x/0", "on m-1 for b:"}, false},
+		{"what is left of a promise is too little", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 4), time.Second))},
+			[]*storage.Job{testJob("a", 0, 1, takes(4)), testJob("b", 0, 1)}, nil,
+			[]string{"on m-1 for a: x/0"}, false},
+	} {
+		cluster := newTestCluster(t, c.machines...)
+		cluster.quota = c.quota
+		if placed := cluster.run(c.name, candidates(c.jobs...), c.want...); placed != c.placed {
+			t.Errorf("%s: placed %t", c.name, placed)
+		}
+	}
+}
+
+// TestGang: all open tasks of a gang or none.
+func TestGang(t *testing.T) {
+	low := func(id string, cpus float64) *storage.Job { return testJob(id, 1, 1, priority(lowest), takes(cpus)) }
+	for _, c := range []struct {
+		name     string
+		machines []*testMachine
+		state    *JobState
+		quota    map[string]int
+		want     []string
+	}{
+		{"all, under one number", []*testMachine{withFree("m-1", 0, 2), withFree("m-2", 0, 1)}, nil, nil,
+			[]string{"g/0 to m-2 as 1", "g/1 to m-1 as 1", "g/2 to m-1 as 1"}},
+		{"none where one finds no place, and its room is there for others", []*testMachine{withFree("m-1", 0, 2)}, nil, nil,
+			[]string{"g/0 to m-1 as 1", "g/1 to m-1 as 1", "g/0 not to m-1", "g/1 not to m-1", "b/0 to m-1 as 2"}},
+		{"none where the quota lets in fewer", []*testMachine{withFree("m-1", 0, 3)}, nil, map[string]int{"g": 2},
+			[]string{"g/0 to m-1 as 1", "g/1 to m-1 as 1", "g/0 not to m-1", "g/1 not to m-1", "b/0 to m-1 as 2"}},
+		{"none while an earlier attempt is left", []*testMachine{withFree("m-1", 0, 3)}, &JobState{Remaining: 3, AttemptsByZone: []int{0, 1}}, nil,
+			[]string{"b/0 to m-1 as 1"}},
+		{"room is made for all of it", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 2), 1)), withFree("m-2", 0, 0, onMachine(low("y", 1), 2))}, nil, nil,
+			[]string{"on m-1 for g: x/0", "on m-1 for g:", "on m-2 for g: y/0"}},
+		{"no room is made for what the quota does not let in", []*testMachine{withFree("m-1", 0, 3, onMachine(low("x", 2), 1))}, nil, map[string]int{"g": 0},
+			[]string{"b/0 to m-1 as 1"}},
+	} {
+		waiting := testJob("g", 0, 3, gang)
+		cluster := newTestCluster(t, c.machines...)
+		cluster.quota = c.quota
+		if c.state != nil {
+			cluster.states[waiting] = c.state
+		}
+		cluster.run(c.name, candidates(waiting, testJob("b", 0, 1, priority(lowest))), c.want...)
+	}
+}
+
+// TestGangsDoNotCountAsPlaced: turns of what is late for long are counted without gangs.
+func TestGangsDoNotCountAsPlaced(t *testing.T) {
+	cluster := newTestCluster(t, withFree("m-1", 0, 1))
+	if cluster.run("a gang", candidates(testJob("g", 0, 1, gang)), "g/0 to m-1 as 1") {
+		t.Error("it counts as placed")
+	}
+}
+
+// TestGathering: the zone to which the first tasks of a job go that must share one. Four
+// tasks wait.
+func TestGathering(t *testing.T) {
+	booting := func(m *testMachine) *testMachine {
+		m.booting = true
+		return m
+	}
+	toZone := func(machine string, count int) (lines []string) {
+		for i := range count {
+			lines = append(lines, "run-1/"+string(rune('0'+i))+" to "+machine+" as "+string(rune('1'+i)))
+		}
+		return lines
+	}
+	for _, c := range []struct {
+		name     string
+		machines []*testMachine
+		waited   time.Duration
+		want     []string
+	}{
+		{"the zone with room for all now", []*testMachine{withFree("m-1", 0, 3), withFree("m-2", 1, 4)}, 0, toZone("m-2", 4)},
+		{"room on several machines of a zone adds up", []*testMachine{withFree("m-1", 0, 3), withFree("m-2", 1, 2), withFree("m-3", 1, 2)}, 0,
+			[]string{"run-1/0 to m-2 as 1", "run-1/1 to m-2 as 2", "run-1/2 to m-3 as 3", "run-1/3 to m-3 as 4"}},
+		{"the one with most room", []*testMachine{withFree("m-1", 0, 1), withFree("m-2", 1, 2)}, 0, toZone("m-2", 2)},
+		{"of equal ones the first", []*testMachine{withFree("m-1", 1, 2), withFree("m-2", 0, 2)}, 0, toZone("m-2", 2)},
+		{"machines that boot count, and are waited for", []*testMachine{withFree("m-1", 0, 2), booting(withFree("m-2", 1, 4))}, 0, nil},
+		{"but not for ever", []*testMachine{withFree("m-1", 0, 2), booting(withFree("m-2", 1, 4))}, gatherPatience, toZone("m-1", 2)},
+		{"room for all now is better than more that boots", []*testMachine{booting(withFree("m-1", 0, 8)), withFree("m-2", 1, 4)}, 0, toZone("m-2", 4)},
+		{"machines that take no tasks do not count", []*testMachine{
+			{name: "m-1", free: Resources{CPUs: 4, MemoryGB: 4}, unschedulable: true}, withFree("m-2", 1, 1),
+		}, 0, toZone("m-2", 1)},
+		{"machines of other shards do not", []*testMachine{
+			{name: "m-1", free: Resources{CPUs: 4, MemoryGB: 4}, shard: 1}, withFree("m-2", 1, 1),
+		}, 0, toZone("m-2", 1)},
+		{"no machine has room", []*testMachine{withFree("m-1", 0, 0.5)}, 0, nil},
+	} {
+		cluster := newTestCluster(t, c.machines...)
+		cluster.waited = c.waited
+		cluster.run(c.name, candidates(testJob("run-1", 0, 4, oneZone)), c.want...)
+	}
+}
+
+// TestGatheredTasksStayTogether: once a task of a job is in a zone the others follow,
+// however much room there is elsewhere.
+func TestGatheredTasksStayTogether(t *testing.T) {
+	waiting := testJob("run-1", 0, 4, oneZone)
+	cluster := newTestCluster(t, withFree("m-1", 0, 8), withFree("m-2", 1, 1))
+	cluster.states[waiting] = &JobState{Remaining: 4, Attempts: 1, AttemptsByZone: []int{0, 1}}
+	cluster.taken["run-1/0"] = true
+	cluster.run("one is in zone 1", candidates(waiting), "run-1/1 to m-2 as 1")
+}
--- a/internal/coordination/placement/zone.go
+++ b/internal/coordination/placement/zone.go
@@ -19,12 +19,12 @@
 // that still boot included, have most room. The first machine that is free anywhere would
 // settle it otherwise, and what was rented for the job in another zone would come up for
 // nothing. It is false where no machine can take any.
-func (r *Round[M]) gatheringZone(c *Candidate) (best int, found bool) {
+func (r *Round[M]) gatheringZone(waiting *Candidate) (best int, found bool) {
 	rooms := map[int]zoneRoom{}
-	waited := time.Duration(r.config.Wall.UnixMilli()-c.Job.ReadyAtMS()) * time.Millisecond
-	remaining := r.config.Jobs.State(c.Job).Remaining
+	waited := time.Duration(r.config.Wall.UnixMilli()-waiting.Job.ReadyAtMS()) * time.Millisecond
+	remaining := r.config.Jobs.State(waiting.Job).Remaining
 	for _, machine := range r.config.Fleet.Machines() {
-		if !r.config.Fleet.Eligible(machine, c.Job) {
+		if !r.config.Fleet.Eligible(machine, waiting.Job) {
 			continue
 		}
 		booting := waited < gatherPatience && r.config.Fleet.Booting(machine)
@@ -32,7 +32,7 @@
 			continue
 		}
 		zone := r.config.Fleet.Zone(machine)
-		room, count := rooms[zone], r.config.Fleet.Free(machine).Count(c.Job)
+		room, count := rooms[zone], r.config.Fleet.Free(machine).Count(waiting.Job)
 		room.total += count
 		if !booting {
 			room.ready += count
