--- a/internal/compatibility/reader/main.go
+++ b/internal/compatibility/reader/main.go
@@ -65,16 +65,16 @@
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
-		var it item
-		if err := json.Unmarshal(scanner.Bytes(), &it); err != nil {
+		var entry item
+		if err := json.Unmarshal(scanner.Bytes(), &entry); err != nil {
 			return err
 		}
-		if id, ended := strings.CutPrefix(it.Key, "f/"); ended {
-			fmt.Println("final", id, known.final(it.Value))
+		if id, ended := strings.CutPrefix(entry.Key, "f/"); ended {
+			fmt.Println("final", id, known.final(entry.Value))
 			continue
 		}
-		if err := known.apply(it.Key, it.Value, it.Version); err != nil {
-			fmt.Println("not understood:", it.Key, err)
+		if err := known.apply(entry.Key, entry.Value, entry.Version); err != nil {
+			fmt.Println("not understood:", entry.Key, err)
 		}
 	}
 	cluster, jobs, machines := known.lines()
--- a/internal/compatibility/reader/records.go
+++ b/internal/compatibility/reader/records.go
@@ -36,19 +36,19 @@
 }
 
 func (r viewRecords) cluster() []string {
-	v := r.view
-	lines := []string{fmt.Sprintln("homes", v.JobShards, "leader", v.Leader, "term", v.Term, "target", v.ScalingTarget)}
-	for i := range v.Teams {
-		lines = append(lines, fmt.Sprintln("team", v.Teams[i].Name, v.Teams[i].QuotaSplit))
+	view := r.view
+	lines := []string{fmt.Sprintln("homes", view.JobShards, "leader", view.Leader, "term", view.Term, "target", view.ScalingTarget)}
+	for i := range view.Teams {
+		lines = append(lines, fmt.Sprintln("team", view.Teams[i].Name, view.Teams[i].QuotaSplit))
 	}
-	for i := range v.Grants {
-		lines = append(lines, fmt.Sprintln("grant", i, v.Grants[i]))
+	for i := range view.Grants {
+		lines = append(lines, fmt.Sprintln("grant", i, view.Grants[i]))
 	}
-	for i := range v.MachineTypes {
-		lines = append(lines, fmt.Sprintln("type", v.MachineTypes[i]))
+	for i := range view.MachineTypes {
+		lines = append(lines, fmt.Sprintln("type", view.MachineTypes[i]))
 	}
-	for _, controller := range slices.Sorted(maps.Keys(v.Liveness)) {
-		lines = append(lines, fmt.Sprintln("liveness", controller, v.Liveness[controller]))
+	for _, controller := range slices.Sorted(maps.Keys(view.Liveness)) {
+		lines = append(lines, fmt.Sprintln("liveness", controller, view.Liveness[controller]))
 	}
 	return lines
 }
--- a/internal/scenario/actions_machines.go
+++ b/internal/scenario/actions_machines.go
@@ -2,116 +2,116 @@
 
 // Actions on machines and on the messages from and to their workers.
 
-func actHang(s *sim, line *statement) func() {
-	pick, d := s.machines(line), line.duration(line.arg(1))
+func actMachinePause(sim *simulation, line *statement) func() {
+	pick, d := sim.machinesOf(line), line.duration(line.arg(1))
 	return func() {
 		for _, x := range pick() {
-			s.noteFault("machine-pause", d)
-			x.hang(d)
+			sim.noteFault("machine-pause", d)
+			x.pause(d)
 		}
 	}
 }
 
-func actDeaf(s *sim, line *statement) func() {
-	pick, d, mute := s.machines(line), line.duration(line.arg(1)), line.verb == "outbound-partition"
+func actMachineOneWayPartition(sim *simulation, line *statement) func() {
+	pick, lasting, mute := sim.machinesOf(line), line.duration(line.arg(1)), line.verb == "outbound-partition"
 	return func() {
-		for _, x := range pick() {
-			s.noteFault(line.verb, d)
+		for _, agent := range pick() {
+			sim.noteFault(line.verb, lasting)
 			if mute {
-				x.mute = true
+				agent.outboundPartition = true
 			} else {
-				x.deaf = true
+				agent.inboundPartition = true
 			}
-			s.after(d, func() {
+			sim.after(lasting, func() {
 				if mute {
-					x.mute = false
+					agent.outboundPartition = false
 				} else {
-					x.deaf = false
+					agent.inboundPartition = false
 				}
 			})
 		}
 	}
 }
 
-func actRestart(s *sim, line *statement) func() {
+func actMachineRestart(sim *simulation, line *statement) func() {
 	name := line.arg(0)
 	return func() {
-		if x := s.agents[name]; x != nil {
+		if x := sim.agents[name]; x != nil {
 			x.restart()
 		}
 	}
 }
 
-func actDie(s *sim, line *statement) func() {
-	pick := s.machines(line)
+func actMachineCrash(sim *simulation, line *statement) func() {
+	pick := sim.machinesOf(line)
 	return func() {
 		for _, x := range pick() {
-			s.cloud.die(x.r.Name)
+			sim.cloud.crash(x.machine.Name)
 		}
 	}
 }
 
-func actTake(s *sim, line *statement) func() {
+func actReclaim(sim *simulation, line *statement) func() {
 	name, notice := line.arg(0), line.duration(line.text("notice", "0s"))
 	return func() {
-		if x := s.agents[name]; x != nil && notice > 0 {
-			x.warn = s.now + notice
-			x.changed()
+		if x := sim.agents[name]; x != nil && notice > 0 {
+			x.terminatedAt = sim.now + notice
+			x.wantHeartbeat()
 		}
-		s.after(notice, func() { s.cloud.delete([]string{name}) })
+		sim.after(notice, func() { sim.cloud.delete([]string{name}) })
 	}
 }
 
-func actMachineCut(s *sim, line *statement) func() {
-	pick, d := s.machines(line), line.duration(line.arg(1))
+func actMachinePartition(sim *simulation, line *statement) func() {
+	pick, d := sim.machinesOf(line), line.duration(line.arg(1))
 	return func() {
 		for _, x := range pick() {
-			s.noteFault("machine-partition", d)
-			x.cut = true
-			s.after(d, x.heal)
+			sim.noteFault("machine-partition", d)
+			x.partitioned = true
+			sim.after(d, x.heal)
 		}
 	}
 }
 
-func actFaulty(s *sim, line *statement) func() {
+func actMachineFaulty(sim *simulation, line *statement) func() {
 	name := line.arg(0)
 	return func() {
-		if x := s.agents[name]; x != nil {
+		if x := sim.agents[name]; x != nil {
 			x.faulty = true
 		}
 	}
 }
 
-func actSlow(s *sim, line *statement) func() {
-	name, factor := line.arg(0), line.num("factor", 3)
+func actMachineSlow(sim *simulation, line *statement) func() {
+	name, factor := line.arg(0), line.number("factor", 3)
 	return func() {
-		if x := s.agents[name]; x != nil {
-			x.slow = factor
+		if x := sim.agents[name]; x != nil {
+			x.slowdown = factor
 		}
 	}
 }
 
-func actDrag(s *sim, line *statement) func() {
-	share, most := line.num("share", 0.3), line.duration(line.text("most", "10s"))
-	return func() { s.drag, s.dragMost = share, most }
+func actCommandLatency(sim *simulation, line *statement) func() {
+	share, most := line.number("share", 0.3), line.duration(line.text("most", "10s"))
+	return func() { sim.drag, sim.dragMost = share, most }
 }
 
-func actCopies(s *sim, line *statement) func() {
-	share, least, most := line.num("share", 0.3), line.duration(line.text("least", "1s")), line.duration(line.text("most", "90s"))
-	return func() { s.copies, s.copyLeast, s.copyMost = share, least, most }
+func actDuplicateHeartbeats(sim *simulation, line *statement) func() {
+	share, least, most := line.number("share", 0.3), line.duration(line.text("least", "1s")), line.duration(line.text("most", "90s"))
+	return func() { sim.copies, sim.copyLeast, sim.copyMost = share, least, most }
 }
 
-func actKeepCopies(s *sim, line *statement) func() {
-	share := line.num("share", 0.5)
-	return func() { s.keptCopies = share }
+func actReplayHeartbeats(sim *simulation, line *statement) func() {
+	share := line.number("share", 0.5)
+	return func() { sim.keptCopies = share }
 }
 
-func actLateCommands(s *sim, line *statement) func() {
-	share, least, most := line.num("share", 0.3), line.duration(line.text("least", "2s")), line.duration(line.text("most", "16s"))
-	return func() { s.lateCommands, s.lateLeast, s.lateMost = share, least, most }
+func actDelayedCommands(sim *simulation, line *statement) func() {
+	share, least, most := line.number("share", 0.3), line.duration(line.text("least", "2s")), line.duration(line.text("most", "16s"))
+	return func() { sim.lateCommands, sim.lateLeast, sim.lateMost = share, least, most }
 }
 
-func actEcho(s *sim, line *statement) func() {
-	share := line.num("share", 0.3)
-	return func() { s.echo = share }
+func actDuplicateCommands(sim *simulation, line *statement) func() {
+	share := line.number("share", 0.3)
+	return func() { sim.echo = share }
 }
--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -11,11 +11,11 @@
 )
 
 // idleWorld has one machine with room and one accepted job that fits there.
-func idleWorld() (*sim, *userJob) {
+func idleWorld() (*simulation, *userJob) {
 	s := newSim(config.Cluster{Teams: []config.Team{{Name: "red", MaxCPUs: 4}}, Agents: config.Agents{LeaseSeconds: 30, CancelSeconds: 60}}, config.DefaultOptions(), 1, io.Discard)
-	r := &rented{poolName: poolName{"small", "north", false}}
+	r := &fakeMachine{machinePool: machinePool{"small", "north", false}}
 	r.Name, r.Type, r.Zone = "m-1", "small", "north"
-	s.agents["m-1"] = &agent{s: s, r: r, t: &protocol.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}}
+	s.agents["m-1"] = &fakeAgent{sim: s, machine: r, machineType: &protocol.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}}
 	j := &userJob{accepted: true, spec: protocol.JobSpec{ID: "run-1", Class: "c", Team: "red", Kind: protocol.KindArray, Tasks: 1, CPUs: 2, MemoryGB: 1}}
 	s.users.jobs["run-1"] = j
 	return s, j
@@ -25,25 +25,25 @@
 // and one that waits for something is not.
 func TestCheckerSeesLeftWaiting(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(s *sim, j *userJob)
+		change func(sim *simulation, j *userJob)
 		seen   bool
 	}{
-		"room and limit": {func(*sim, *userJob) {}, true},
-		"above limit":    {func(_ *sim, j *userJob) { j.spec.CPUs = 5 }, false},
-		"other zone":     {func(_ *sim, j *userJob) { j.spec.Zone = "south" }, false},
-		"mute machine":   {func(s *sim, _ *userJob) { s.agents["m-1"].mute = true }, false},
-		"no room": {func(s *sim, _ *userJob) {
-			s.agents["m-1"].tasks = []*agentTask{{TaskStatus: protocol.TaskStatus{State: protocol.TaskRunning}, spec: &protocol.JobSpec{Team: "blue", CPUs: 3}}}
+		"room and limit": {func(*simulation, *userJob) {}, true},
+		"above limit":    {func(_ *simulation, j *userJob) { j.spec.CPUs = 5 }, false},
+		"other zone":     {func(_ *simulation, j *userJob) { j.spec.Zone = "south" }, false},
+		"mute machine":   {func(sim *simulation, _ *userJob) { sim.agents["m-1"].outboundPartition = true }, false},
+		"no room": {func(sim *simulation, _ *userJob) {
+			sim.agents["m-1"].tasks = []*agentTask{{TaskStatus: protocol.TaskStatus{State: protocol.TaskRunning}, spec: &protocol.JobSpec{Team: "blue", CPUs: 3}}}
 		}, false},
-		"it runs": {func(s *sim, _ *userJob) { s.check.on["run-1/0"] = []*agent{s.agents["m-1"]} }, false},
+		"it runs": {func(sim *simulation, _ *userJob) { sim.checker.runningOn["run-1/0"] = []*fakeAgent{sim.agents["m-1"]} }, false},
 	} {
 		s, j := idleWorld()
 		c.change(s, j)
 		for s.now = time.Second; s.now < 3*time.Minute; s.now += 5 * time.Second {
-			s.check.idle()
+			s.checker.checkWaiting()
 		}
-		if seen := len(s.check.broken) > 0 && strings.HasPrefix(s.check.broken[0], "left_waiting"); seen != c.seen {
-			t.Errorf("%s: seen %t: %v", name, seen, s.check.broken)
+		if seen := len(s.checker.violations) > 0 && strings.HasPrefix(s.checker.violations[0], "left_waiting"); seen != c.seen {
+			t.Errorf("%s: seen %t: %v", name, seen, s.checker.violations)
 		}
 	}
 }
@@ -53,23 +53,23 @@
 func TestCheckerSeesUnserved(t *testing.T) {
 	s, small := idleWorld()
 	s.now = 10 * time.Minute
-	small.final, small.beganAt = protocol.StageDone, time.Second
-	large := &userJob{accepted: true, final: protocol.StageDone, beganAt: 2 * time.Minute, spec: small.spec}
+	small.outcome, small.startedAt = protocol.StageDone, time.Second
+	large := &userJob{accepted: true, outcome: protocol.StageDone, startedAt: 2 * time.Minute, spec: small.spec}
 	large.spec.ID, large.spec.Tasks = "run-2", 100
 	s.users.jobs["run-2"] = large
-	if why := s.served(0.5, 4*time.Minute); why != "" {
+	if why := s.servedWell(0.5, 4*time.Minute); why != "" {
 		t.Errorf("all is served: %s", why)
 	}
-	large.beganAt = 5 * time.Minute
-	if why := s.served(0.5, 4*time.Minute); !strings.Contains(why, "begin") {
+	large.startedAt = 5 * time.Minute
+	if why := s.servedWell(0.5, 4*time.Minute); !strings.Contains(why, "begin") {
 		t.Errorf("a largest job began late: %q", why)
 	}
-	large.beganAt, large.final = time.Second, ""
-	if why := s.served(0.5, 4*time.Minute); !strings.Contains(why, "largest") {
+	large.startedAt, large.outcome = time.Second, ""
+	if why := s.servedWell(0.5, 4*time.Minute); !strings.Contains(why, "largest") {
 		t.Errorf("no largest job is served: %q", why)
 	}
-	large.final, small.final, small.spec.Class, small.spec.Team = protocol.StageDone, "", "d", "red"
-	if why := s.served(0.5, 4*time.Minute); why == "" {
+	large.outcome, small.outcome, small.spec.Class, small.spec.Team = protocol.StageDone, "", "d", "red"
+	if why := s.servedWell(0.5, 4*time.Minute); why == "" {
 		t.Error("a class is not served")
 	}
 }
@@ -79,8 +79,8 @@
 func TestCheckerSeesBadSubmissions(t *testing.T) {
 	for status, seen := range map[int]bool{200: true, 201: true, 400: false, 422: false, 503: false, 0: false} {
 		s, _ := idleWorld()
-		s.check.answeredBad(`{"id":"run-1"}`, status)
-		if got := len(s.check.broken) == 1 && strings.HasPrefix(s.check.broken[0], "accepted_bad"); got != seen {
+		s.checker.invalidAnswered(`{"id":"run-1"}`, status)
+		if got := len(s.checker.violations) == 1 && strings.HasPrefix(s.checker.violations[0], "accepted_bad"); got != seen {
 			t.Errorf("status %d: seen %t", status, got)
 		}
 	}
@@ -90,7 +90,7 @@
 // another counts as cut exactly until then.
 func TestCutEndsByAnyName(t *testing.T) {
 	s, _ := idleWorld()
-	s.hosts = []*host{{s: s, name: "a"}, {s: s, name: "b"}}
+	s.hosts = []*host{{sim: s, name: "a"}, {sim: s, name: "b"}}
 	play := func(at time.Duration, verb, what string) {
 		t.Helper()
 		line := parseStatement(verb + " " + what)
--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -8,41 +8,41 @@
 	"rockrun/internal/protocol"
 )
 
-type poolName struct {
-	typ, zone string
+type machinePool struct {
+	machineType, zone string
 	spot      bool
 }
 
 // cloud is the stand-in for the cloud.
-type cloud struct {
-	s        *sim
+type fakeCloud struct {
+	sim        *simulation
 	types    []protocol.MachineType
-	capacity map[poolName]int
-	rented   []*rented
-	next     int
-	asks     map[string][]string
+	capacity map[machinePool]int
+	machines   []*fakeMachine
+	nextNumber     int
+	requests     map[string][]string
 	outage   bool
 	calls    int
-	lose     float64 // share of answers that are lost, the request being carried out
-	noBoot   int     // so many of the next machines never come up
+	lostAnswerShare     float64 // share of answers that are lost, the request being carried out
+	bootFailures   int     // so many of the next machines never come up
 }
 
-type rented struct {
+type fakeMachine struct {
 	protocol.CloudMachine
-	poolName
-	at      time.Duration
-	gone    bool
-	history []seen
+	machinePool
+	createdAt      time.Duration
+	deleted    bool
+	stages []stageChange
 }
 
 // seen is how a machine stood from a time on; lists are as old as the lag.
-type seen struct {
+type stageChange struct {
 	at    time.Duration
 	stage string // "" once it is gone
 }
 
-func (c *cloud) find(name string) *rented {
-	for _, r := range c.rented {
+func (c *fakeCloud) find(name string) *fakeMachine {
+	for _, r := range c.machines {
 		if r.Name == name {
 			return r
 		}
@@ -50,92 +50,92 @@
 	return nil
 }
 
-func (r *rented) set(now time.Duration, stage string) {
-	r.history = append(r.history, seen{now, stage})
+func (r *fakeMachine) setStage(now time.Duration, stage string) {
+	r.stages = append(r.stages, stageChange{now, stage})
 }
 
-func (c *cloud) rent(q protocol.CreateMachinesRequest) ([]string, error) {
-	if names, ok := c.asks[q.Request]; ok {
+func (c *fakeCloud) create(request protocol.CreateMachinesRequest) ([]string, error) {
+	if names, ok := c.requests[request.Request]; ok {
 		return names, nil
 	}
-	p := poolName{q.Type, q.Zone, q.Spot}
-	free := c.capacity[p]
-	for _, r := range c.rented {
-		if r.poolName == p && !r.gone {
+	pool := machinePool{request.Type, request.Zone, request.Spot}
+	free := c.capacity[pool]
+	for _, r := range c.machines {
+		if r.machinePool == pool && !r.deleted {
 			free--
 		}
 	}
-	n := min(free, q.Count)
+	n := min(free, request.Count)
 	if n <= 0 {
 		return nil, protocol.ErrNoCapacity
 	}
 	var names []string
 	for range n {
-		r := &rented{poolName: p, at: c.s.now}
-		r.CloudMachine = protocol.CloudMachine{Name: fmt.Sprintf("m-%06d", c.next), Address: fmt.Sprintf("w:%d", c.next), Type: q.Type, Zone: q.Zone, Spot: q.Spot}
-		c.next++
-		c.rented = append(c.rented, r)
-		r.set(c.s.now, protocol.MachineBooting)
-		names = append(names, r.Name)
-		if c.noBoot > 0 {
-			c.noBoot--
+		machine := &fakeMachine{machinePool: pool, createdAt: c.sim.now}
+		machine.CloudMachine = protocol.CloudMachine{Name: fmt.Sprintf("m-%06d", c.nextNumber), Address: fmt.Sprintf("w:%d", c.nextNumber), Type: request.Type, Zone: request.Zone, Spot: request.Spot}
+		c.nextNumber++
+		c.machines = append(c.machines, machine)
+		machine.setStage(c.sim.now, protocol.MachineBooting)
+		names = append(names, machine.Name)
+		if c.bootFailures > 0 {
+			c.bootFailures--
 			continue
 		}
-		i := slices.IndexFunc(c.types, func(t protocol.MachineType) bool { return t.Name == q.Type })
-		boot := time.Duration(c.types[i].BootSeconds * (0.6 + 0.9*c.s.rand.Float64()) * float64(time.Second))
-		c.s.after(boot, func() {
-			if !r.gone {
-				r.set(c.s.now, protocol.MachineRunning)
-				newAgent(c.s, r, &c.types[i])
+		i := slices.IndexFunc(c.types, func(t protocol.MachineType) bool { return t.Name == request.Type })
+		boot := time.Duration(c.types[i].BootSeconds * (0.6 + 0.9*c.sim.rand.Float64()) * float64(time.Second))
+		c.sim.after(boot, func() {
+			if !machine.deleted {
+				machine.setStage(c.sim.now, protocol.MachineRunning)
+				newAgent(c.sim, machine, &c.types[i])
 			}
 		})
 	}
-	c.asks[q.Request] = names
+	c.requests[request.Request] = names
 	return names, nil
 }
 
-func (c *cloud) delete(names []string) {
+func (c *fakeCloud) delete(names []string) {
 	for _, name := range names {
-		if r := c.find(name); r != nil && !r.gone {
-			r.gone = true
-			r.set(c.s.now, "")
-			if w := c.s.agents[name]; w != nil {
-				w.kill()
+		if r := c.find(name); r != nil && !r.deleted {
+			r.deleted = true
+			r.setStage(c.sim.now, "")
+			if w := c.sim.agents[name]; w != nil {
+				w.shutDown()
 			}
 		}
 	}
 }
 
 // die lets a machine stop by itself; the list notices later.
-func (c *cloud) die(name string) {
-	r := c.find(name)
-	if r == nil || r.gone {
+func (c *fakeCloud) crash(name string) {
+	machine := c.find(name)
+	if machine == nil || machine.deleted {
 		return
 	}
-	if w := c.s.agents[name]; w != nil {
-		w.kill()
+	if w := c.sim.agents[name]; w != nil {
+		w.shutDown()
 	}
-	c.s.after(30*time.Second, func() {
-		if !r.gone {
-			r.set(c.s.now, protocol.MachineFailed)
+	c.sim.after(30*time.Second, func() {
+		if !machine.deleted {
+			machine.setStage(c.sim.now, protocol.MachineFailed)
 		}
 	})
 }
 
-func (c *cloud) list() []protocol.CloudMachine {
-	lag := time.Duration(c.s.cluster.Cloud.ListLagSeconds * (0.5 + 1.5*c.s.rand.Float64()) * float64(time.Second))
-	asOf := c.s.now - lag
+func (c *fakeCloud) list() []protocol.CloudMachine {
+	lag := time.Duration(c.sim.cluster.Cloud.ListLagSeconds * (0.5 + 1.5*c.sim.rand.Float64()) * float64(time.Second))
+	asOf := c.sim.now - lag
 	var out []protocol.CloudMachine
-	for _, r := range c.rented {
+	for _, machine := range c.machines {
 		stage := ""
-		for _, h := range r.history {
+		for _, h := range machine.stages {
 			if h.at <= asOf {
 				stage = h.stage
 			}
 		}
 		if stage != "" {
-			m := r.CloudMachine
-			m.Stage, m.AgeSeconds = stage, (asOf - r.at).Seconds()
+			m := machine.CloudMachine
+			m.Stage, m.AgeSeconds = stage, (asOf - machine.createdAt).Seconds()
 			out = append(out, m)
 		}
 	}
@@ -143,33 +143,33 @@
 }
 
 // cloudLink is a process's way to the cloud.
-type cloudLink struct{ p *process }
+type cloudLink struct{ process *process }
 
 func (l cloudLink) sent(kind string, message any) {
-	l.p.h.s.trace.sentJSON(l.p.h.name, kind, message)
+	l.process.host.sim.trace.sentJSON(l.process.host.name, kind, message)
 }
 
-func (l cloudLink) call(do func(c *cloud) func(), failed func(error)) {
-	s := l.p.h.s
-	s.cloud.calls++
-	s.after(s.delay(), func() {
-		if s.cloud.outage {
-			s.after(s.delay(), l.p.guard(func() { failed(protocol.ErrNotExecuted) }))
+func (l cloudLink) call(do func(c *fakeCloud) func(), failed func(error)) {
+	sim := l.process.host.sim
+	sim.cloud.calls++
+	sim.after(sim.delay(), func() {
+		if sim.cloud.outage {
+			sim.after(sim.delay(), l.process.guard(func() { failed(protocol.ErrNotExecuted) }))
 			return
 		}
-		back := do(s.cloud)
-		if s.rand.Float64() < s.cloud.lose {
-			s.after(5*time.Second, l.p.guard(func() { failed(protocol.ErrOutcomeUnknown) }))
+		back := do(sim.cloud)
+		if sim.rand.Float64() < sim.cloud.lostAnswerShare {
+			sim.after(5*time.Second, l.process.guard(func() { failed(protocol.ErrOutcomeUnknown) }))
 			return
 		}
-		s.after(50*time.Millisecond, l.p.guard(back))
+		sim.after(50*time.Millisecond, l.process.guard(back))
 	})
 }
 
 // Catalogue implements coordination.Cloud.
 func (l cloudLink) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
 	l.sent("machine types", nil)
-	l.call(func(c *cloud) func() {
+	l.call(func(c *fakeCloud) func() {
 		return func() { done(protocol.MachineTypeCatalogue{Types: c.types}, nil) }
 	}, func(err error) { done(protocol.MachineTypeCatalogue{}, err) })
 }
@@ -177,8 +177,8 @@
 // Rent implements coordination.Cloud.
 func (l cloudLink) CreateMachines(r protocol.CreateMachinesRequest, done func([]string, error)) {
 	l.sent("rent", r)
-	l.call(func(c *cloud) func() {
-		names, err := c.rent(r)
+	l.call(func(c *fakeCloud) func() {
+		names, err := c.create(r)
 		return func() { done(names, err) }
 	}, func(err error) { done(nil, err) })
 }
@@ -186,7 +186,7 @@
 // Delete implements coordination.Cloud.
 func (l cloudLink) DeleteMachines(names []string, done func(error)) {
 	l.sent("delete", names)
-	l.call(func(c *cloud) func() {
+	l.call(func(c *fakeCloud) func() {
 		c.delete(names)
 		return func() { done(nil) }
 	}, done)
@@ -195,7 +195,7 @@
 // List implements coordination.Cloud.
 func (l cloudLink) ListMachines(done func([]protocol.CloudMachine, error)) {
 	l.sent("list machines", nil)
-	l.call(func(c *cloud) func() {
+	l.call(func(c *fakeCloud) func() {
 		list := c.list()
 		return func() { done(list, nil) }
 	}, func(err error) { done(nil, err) })
--- a/internal/scenario/expect.go
+++ b/internal/scenario/expect.go
@@ -14,103 +14,103 @@
 
 // expectation checks one line of the expectations and says what is not met, or
 // nothing.
-type expectation func(s *sim, line *statement) string
+type expectation func(sim *simulation, line *statement) string
 
 // expectations are the verbs of what must be true at the end of a scenario.
 var expectations = map[string]expectation{
 	"accepted":  expectAccepted,
 	"done":      expectDone,
-	"cancelled": expectWithdrawn,
+	"cancelled": expectCancelled,
 	"status":    expectStatus,
 	"running":   expectRunning,
 	"released":  expectReleased,
 
 	"released-all": expectReleasedAll,
 
-	"cancelled-by-dependency": expectCancelledWith,
+	"cancelled-by-dependency": expectCancelledByDependency,
 
 	"machines":         expectMachines,
-	"all-served":       expectAll,
-	"overlap":          expectMeet,
+	"all-served":       expectAllServed,
+	"overlap":          expectOverlap,
 	"served":           expectServed,
-	"job-shards-apart": expectApart,
-	"machine-deleted":  expectGone,
-	"violates":         expectBreaks,
-
-	"starts":                    func(s *sim, line *statement) string { return line.bounds(s.check.starts) },
-	"starts-after-cancellation": func(s *sim, line *statement) string { return line.bounds(s.check.lateOnes) },
-	"writes":                    func(s *sim, line *statement) string { return line.bounds(s.store.writes) },
-	"probes":                    func(s *sim, line *statement) string { return line.bounds(s.users.looks) },
-	"records":                   func(s *sim, line *statement) string { return line.bounds(len(s.store.keys(storage.Prefix))) },
-	"final-reads":               func(s *sim, line *statement) string { return line.bounds(s.store.finals) },
-	"unfinished":                func(s *sim, line *statement) string { return line.bounds(len(s.store.keys(storage.JobKey("")))) },
-	"requests":                  func(s *sim, line *statement) string { return line.bounds(s.store.requests) },
-	"rejected":                  func(s *sim, line *statement) string { return line.bounds(s.store.rejected) },
-	"inherited-oversized":       func(s *sim, line *statement) string { return line.bounds(s.store.inherited) },
-	"oversized":                 func(s *sim, line *statement) string { return line.bounds(s.store.oversized()) },
-	"grants":                    func(s *sim, line *statement) string { return line.bounds(s.store.grants) },
-	"cloud-calls":               func(s *sim, line *statement) string { return line.bounds(s.cloud.calls) },
-	"machines-created":          func(s *sim, line *statement) string { return line.bounds(len(s.cloud.rented)) },
+	"job-shards-apart": expectJobShardsApart,
+	"machine-deleted":  expectMachineDeleted,
+	"violates":         expectViolates,
+
+	"starts":                    func(sim *simulation, line *statement) string { return line.bounds(sim.checker.starts) },
+	"starts-after-cancellation": func(sim *simulation, line *statement) string { return line.bounds(sim.checker.startsAfterCancellation) },
+	"writes":                    func(sim *simulation, line *statement) string { return line.bounds(sim.store.writes) },
+	"probes":                    func(sim *simulation, line *statement) string { return line.bounds(sim.users.probeAnswers) },
+	"records":                   func(sim *simulation, line *statement) string { return line.bounds(len(sim.store.keys(storage.Prefix))) },
+	"final-reads":               func(sim *simulation, line *statement) string { return line.bounds(sim.store.finalReads) },
+	"unfinished":                func(sim *simulation, line *statement) string { return line.bounds(len(sim.store.keys(storage.JobKey("")))) },
+	"requests":                  func(sim *simulation, line *statement) string { return line.bounds(sim.store.requests) },
+	"rejected":                  func(sim *simulation, line *statement) string { return line.bounds(sim.store.rejected) },
+	"inherited-oversized":       func(sim *simulation, line *statement) string { return line.bounds(sim.store.inheritedOversized) },
+	"oversized":                 func(sim *simulation, line *statement) string { return line.bounds(sim.store.oversized()) },
+	"grants":                    func(sim *simulation, line *statement) string { return line.bounds(sim.store.grantWrites) },
+	"cloud-calls":               func(sim *simulation, line *statement) string { return line.bounds(sim.cloud.calls) },
+	"machines-created":          func(sim *simulation, line *statement) string { return line.bounds(len(sim.cloud.machines)) },
 }
 
 // bounds says whether a count is outside of a line's least= and most=.
 func (line *statement) bounds(count int) string {
 	n := float64(count)
-	if n > line.num("most", math.Inf(1)) || n < line.num("least", 0) {
+	if n > line.number("most", math.Inf(1)) || n < line.number("least", 0) {
 		return fmt.Sprintf("there were %d", count)
 	}
 	return ""
 }
 
-func expectAccepted(s *sim, line *statement) string {
-	j := s.users.jobs[line.arg(0)]
+func expectAccepted(sim *simulation, line *statement) string {
+	j := sim.users.jobs[line.arg(0)]
 	if j == nil {
 		return "no such job"
 	}
 	if !j.accepted {
 		return fmt.Sprintf("last status %d", j.status)
 	}
-	return exceeds(line, j.acceptedAt-j.submitted)
+	return exceeds(line, j.acceptedAt-j.submittedAt)
 }
 
-func expectDone(s *sim, line *statement) string {
-	return expectFinal(s, line, protocol.StageDone)
+func expectDone(sim *simulation, line *statement) string {
+	return expectFinal(sim, line, protocol.StageDone)
 }
 
-func expectWithdrawn(s *sim, line *statement) string {
-	if why := expectFinal(s, line, protocol.StageCancelled); why != "" {
+func expectCancelled(sim *simulation, line *statement) string {
+	if why := expectFinal(sim, line, protocol.StageCancelled); why != "" {
 		return why
 	}
-	j := s.users.jobs[line.arg(0)]
-	if by := line.text("by", ""); by != "" && j.withdrawnAt > line.duration(by) {
-		return fmt.Sprintf("it was confirmed at %s", j.withdrawnAt)
+	j := sim.users.jobs[line.arg(0)]
+	if by := line.text("by", ""); by != "" && j.cancelledAt > line.duration(by) {
+		return fmt.Sprintf("it was confirmed at %s", j.cancelledAt)
 	}
 	return ""
 }
 
-func expectFinal(s *sim, line *statement, stage string) string {
-	j := s.users.jobs[line.arg(0)]
+func expectFinal(sim *simulation, line *statement, stage string) string {
+	j := sim.users.jobs[line.arg(0)]
 	if j == nil {
 		return "no such job"
 	}
-	if j.final != stage {
-		return fmt.Sprintf("it is %q", j.final)
+	if j.outcome != stage {
+		return fmt.Sprintf("it is %q", j.outcome)
 	}
-	return exceeds(line, j.finalAt-j.submitted)
+	return exceeds(line, j.outcomeAt-j.submittedAt)
 }
 
-func expectStatus(s *sim, line *statement) string {
-	j := s.users.jobs[line.arg(0)]
+func expectStatus(sim *simulation, line *statement) string {
+	j := sim.users.jobs[line.arg(0)]
 	if j == nil || strconv.Itoa(j.status) != line.arg(1) {
 		return fmt.Sprintf("it is %v", j)
 	}
 	return ""
 }
 
-func expectRunning(s *sim, line *statement) string {
+func expectRunning(sim *simulation, line *statement) string {
 	n := 0
-	if j := s.users.jobs[line.arg(0)]; j != nil {
-		n = len(s.check.machinesOf(j.spec.ID))
+	if j := sim.users.jobs[line.arg(0)]; j != nil {
+		n = len(sim.checker.machinesOf(j.spec.ID))
 	}
 	if strconv.Itoa(n) != line.arg(1) {
 		return fmt.Sprintf("it is %d", n)
@@ -118,11 +118,11 @@
 	return ""
 }
 
-func expectMachines(s *sim, line *statement) string {
+func expectMachines(sim *simulation, line *statement) string {
 	kind := line.text("kind", "")
 	n := 0
-	for _, r := range s.cloud.rented {
-		if !r.gone && (kind == "" || r.Spot == (kind == "spot")) {
+	for _, r := range sim.cloud.machines {
+		if !r.deleted && (kind == "" || r.Spot == (kind == "spot")) {
 			n++
 		}
 	}
@@ -130,44 +130,44 @@
 }
 
 // expectAll: every accepted job that nobody cancelled runs or is done.
-func expectAll(s *sim, _ *statement) string {
-	if id := s.check.unserved(); id != "" {
+func expectAllServed(sim *simulation, _ *statement) string {
+	if id := sim.checker.unservedJob(); id != "" {
 		return id + " is neither done nor runs as a whole"
 	}
 	return ""
 }
 
 // expectMeet: two faults really overlapped.
-func expectMeet(s *sim, line *statement) string {
-	if s.overlaps(line.arg(0), line.arg(1)) == 0 {
+func expectOverlap(sim *simulation, line *statement) string {
+	if sim.overlaps(line.arg(0), line.arg(1)) == 0 {
 		return "they never did"
 	}
 	return ""
 }
 
-func expectServed(s *sim, line *statement) string {
-	return s.served(line.num("share", 0.5), line.duration(line.text("largest", "4m")))
+func expectServed(sim *simulation, line *statement) string {
+	return sim.servedWell(line.number("share", 0.5), line.duration(line.text("largest", "4m")))
 }
 
 // expectApart: no controller holds both homes.
-func expectApart(s *sim, _ *statement) string {
-	if a := s.hostNow("holder:0"); a == s.hostNow("holder:1") {
+func expectJobShardsApart(sim *simulation, _ *statement) string {
+	if a := sim.hostNow("holder:0"); a == sim.hostNow("holder:1") {
 		return a.name + " holds both"
 	}
 	return ""
 }
 
-func expectGone(s *sim, line *statement) string {
-	if r := s.cloud.find(line.arg(0)); r == nil || !r.gone {
+func expectMachineDeleted(sim *simulation, line *statement) string {
+	if r := sim.cloud.find(line.arg(0)); r == nil || !r.deleted {
 		return "it is still there"
 	}
 	return ""
 }
 
 // expectBreaks is only for scenarios that show that the checker works.
-func expectBreaks(s *sim, line *statement) string {
+func expectViolates(sim *simulation, line *statement) string {
 	rule := line.arg(0)
-	if !slices.ContainsFunc(s.check.broken, func(b string) bool { return strings.HasPrefix(b, rule) }) {
+	if !slices.ContainsFunc(sim.checker.violations, func(b string) bool { return strings.HasPrefix(b, rule) }) {
 		return "the checker did not see it"
 	}
 	return ""
@@ -175,10 +175,10 @@
 
 // served checks that of every class, every team and every class's largest jobs
 // enough are done or run, and that the largest began soon.
-func (s *sim) served(share float64, begin time.Duration) string {
+func (s *simulation) servedWell(share float64, begin time.Duration) string {
 	all := map[string][]*userJob{}
 	for _, j := range s.users.jobs {
-		if _, cancelled := s.check.cancelledBefore(j); j.accepted && !j.asked && !cancelled {
+		if _, cancelled := s.checker.dependencyCancelledAt(j); j.accepted && !j.cancelRequested && !cancelled {
 			all["class "+j.spec.Class] = append(all["class "+j.spec.Class], j)
 			all["team "+j.spec.Team] = append(all["team "+j.spec.Team], j)
 		}
@@ -193,7 +193,7 @@
 		largest := slices.DeleteFunc(slices.Clone(jobs), func(j *userJob) bool { return j.spec.Tasks < least })
 		all["largest of "+name] = largest
 		for _, j := range largest {
-			if ready := s.readyAt(j); j.beganAt == 0 && s.now-ready > begin || j.beganAt-ready > begin {
+			if ready := s.readyAt(j); j.startedAt == 0 && s.now-ready > begin || j.startedAt-ready > begin {
 				return fmt.Sprintf("%s with %d tasks did not begin in time", j.spec.ID, j.spec.Tasks)
 			}
 		}
@@ -201,7 +201,7 @@
 	for name, jobs := range all {
 		n := 0
 		for _, j := range jobs {
-			if j.final == protocol.StageDone || j.spec.Kind == protocol.KindService && j.beganAt > 0 {
+			if j.outcome == protocol.StageDone || j.spec.Kind == protocol.KindService && j.startedAt > 0 {
 				n++
 			}
 		}
@@ -213,14 +213,14 @@
 }
 
 // readyAt is when a job could begin: submitted, and all that it needs complete.
-func (s *sim) readyAt(j *userJob) time.Duration {
-	ready := j.submitted
+func (s *simulation) readyAt(j *userJob) time.Duration {
+	ready := j.submittedAt
 	for _, id := range j.spec.Dependencies {
 		need := s.users.jobs[id]
-		if need == nil || need.completeAt == 0 {
+		if need == nil || need.completedAt == 0 {
 			return s.now
 		}
-		ready = max(ready, need.completeAt)
+		ready = max(ready, need.completedAt)
 	}
 	return ready
 }
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -10,24 +10,24 @@
 type faultSpan struct {
 	name     string
 	key      string // tells those apart that last at the same time
-	from, to time.Duration
+	begin, end time.Duration
 }
 
 // noteFault notes that a fault lasts for so long from now on.
-func (s *sim) noteFault(name string, d time.Duration) {
-	s.spans = append(s.spans, faultSpan{name: name, from: s.now, to: s.now + d})
+func (s *simulation) noteFault(name string, d time.Duration) {
+	s.spans = append(s.spans, faultSpan{name: name, begin: s.now, end: s.now + d})
 }
 
 // faultBegins and faultEnds note a fault whose end is not known when it begins; key
 // tells those apart that last at the same time.
-func (s *sim) faultBegins(name, key string) {
-	s.spans = append(s.spans, faultSpan{name: name, key: key, from: s.now, to: -1})
+func (s *simulation) faultBegins(name, key string) {
+	s.spans = append(s.spans, faultSpan{name: name, key: key, begin: s.now, end: -1})
 }
 
-func (s *sim) faultEnds(name, key string) {
+func (s *simulation) faultEnds(name, key string) {
 	for i := range s.spans {
-		if p := &s.spans[i]; p.name == name && p.key == key && p.to < 0 {
-			p.to = s.now
+		if p := &s.spans[i]; p.name == name && p.key == key && p.end < 0 {
+			p.end = s.now
 		}
 	}
 }
@@ -40,53 +40,53 @@
 )
 
 // noteHandover notes that the machines of a shard change hands now.
-func (s *sim) noteHandover() {
-	s.spans = append(s.spans, faultSpan{name: "handover", from: s.now - handoverBefore, to: s.now + handoverAfter})
+func (s *simulation) noteHandover() {
+	s.spans = append(s.spans, faultSpan{name: "handover", begin: s.now - handoverBefore, end: s.now + handoverAfter})
 }
 
 // apart cuts a zone off from everything else: its machines and the controllers
 // in it reach each other and nobody more. What is on its way is lost.
-func (s *sim) apart(zone string, d time.Duration) {
+func (s *simulation) partitionZone(zone string, d time.Duration) {
 	s.noteFault("zone-partition", d)
 	s.cutZone = zone
 	for _, h := range s.hosts {
 		if h.zone == zone {
-			h.cut("store", true)
-			h.cut("peers", true)
+			h.setPartition("store", true)
+			h.setPartition("peers", true)
 		}
 	}
 	s.after(d, func() {
 		s.cutZone = ""
 		for _, h := range s.hosts {
 			if h.zone == zone {
-				h.cut("store", false)
-				h.cut("peers", false)
+				h.setPartition("store", false)
+				h.setPartition("peers", false)
 			}
 		}
 	})
 }
 
 // reach reports whether messages pass between a controller and a machine.
-func (s *sim) reach(h *host, w *agent) bool {
-	return !h.noAgents && (s.cutZone == "" || (h.zone == s.cutZone) == (w.r.Zone == s.cutZone))
+func (s *simulation) reachable(h *host, w *fakeAgent) bool {
+	return !h.agentsPartitioned && (s.cutZone == "" || (h.zone == s.cutZone) == (w.machine.Zone == s.cutZone))
 }
 
 // overlaps reports how often two faults lasted at the same time.
-func (s *sim) overlaps(a, b string) int {
+func (s *simulation) overlaps(a, b string) int {
 	n := 0
 	for _, x := range s.spans {
 		for _, y := range s.spans {
 			if x.name != a || y.name != b || x == y {
 				continue
 			}
-			endX, endY := x.to, y.to
+			endX, endY := x.end, y.end
 			if endX < 0 {
 				endX = s.now
 			}
 			if endY < 0 {
 				endY = s.now
 			}
-			if max(x.from, y.from) <= min(endX, endY) {
+			if max(x.begin, y.begin) <= min(endX, endY) {
 				n++
 			}
 		}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -38,11 +38,11 @@
 				}
 				checkDigest(t, res)
 				if !shows {
-					for _, b := range res.Broken {
+					for _, b := range res.Violations {
 						t.Errorf("rule broken: %s", b)
 					}
 				}
-				for _, f := range res.Failed {
+				for _, f := range res.UnmetExpectations {
 					t.Errorf("expected %s", f)
 				}
 				if t.Failed() && testing.Verbose() {
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	checkDigest(t, res)
-	for _, s := range append(res.Broken, res.Failed...) {
+	for _, s := range append(res.Violations, res.UnmetExpectations...) {
 		t.Error(s)
 	}
 	if t.Failed() {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -13,8 +13,8 @@
 
 // Result is what came of a scenario.
 type Result struct {
-	Broken []string // rules, with when and how
-	Failed []string // expectations that were not met
+	Violations []string // rules, with when and how
+	UnmetExpectations []string // expectations that were not met
 
 	Digest  string              // of everything that controllers sent
 	Records []protocol.KeyValue // what lies in the state service at the end, by key
@@ -29,26 +29,26 @@
 	for _, f := range a.Files {
 		files[f.Name] = statements(f.Data)
 	}
-	s, err := buildWorld(files["world"], seed, log)
+	sim, err := buildWorld(files["world"], seed, log)
 	if err != nil {
 		return nil, err
 	}
-	end, err := s.schedule(files["script"])
+	end, err := sim.schedule(files["script"])
 	if err != nil {
 		return nil, err
 	}
-	s.run(end)
-	s.check.end()
-	failed, err := s.unmetExpectations(files["expect"])
+	sim.run(end)
+	sim.checker.end()
+	failed, err := sim.unmetExpectations(files["expect"])
 	if err != nil {
 		return nil, err
 	}
-	return &Result{Broken: s.check.broken, Failed: failed, Digest: s.trace.digest(), Records: s.store.list()}, nil
+	return &Result{Violations: sim.checker.violations, UnmetExpectations: failed, Digest: sim.trace.digest(), Records: sim.store.list()}, nil
 }
 
 // schedule reads the script: lines of a time, a verb and its arguments. It
 // returns when the scenario ends.
-func (s *sim) schedule(script []string) (end time.Duration, err error) {
+func (s *simulation) schedule(script []string) (end time.Duration, err error) {
 	end = defaultEnd
 	for _, text := range script {
 		at, rest, _ := strings.Cut(text, " ")
@@ -72,7 +72,7 @@
 }
 
 // unmetExpectations checks what must be true at the end.
-func (s *sim) unmetExpectations(expect []string) (failed []string, err error) {
+func (s *simulation) unmetExpectations(expect []string) (failed []string, err error) {
 	for _, text := range expect {
 		line := parseStatement(text)
 		check, ok := expectations[line.verb]
--- a/internal/scenario/sim.go
+++ b/internal/scenario/simulation.go
@@ -41,7 +41,7 @@
 }
 
 // sim is the world.
-type sim struct {
+type simulation struct {
 	now     time.Duration
 	seq     int
 	queue   events
@@ -51,11 +51,11 @@
 	options config.Options
 
 	hosts  []*host
-	store  *store
-	cloud  *cloud
-	agents map[string]*agent
-	users  *users
-	check  *checker
+	store  *fakeStore
+	cloud  *fakeCloud
+	agents map[string]*fakeAgent
+	users  *fakeUsers
+	checker  *checker
 	trace  *trace  // of what controllers send
 	echo   float64 // share of direct commands of which a late copy arrives
 	copies float64 // share of reports of which a late copy arrives
@@ -69,39 +69,39 @@
 	dragMost            time.Duration // how long
 	spans               []faultSpan
 	cutZone             string        // cut off from all else; "": none
-	calm                time.Duration // when all faults were over; 0: not yet
+	livenessFrom                time.Duration // when all faults were over; 0: not yet
 }
 
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var wallClockStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newSim(cluster config.Cluster, options config.Options, seed uint64, log io.Writer) *sim {
-	s := &sim{
-		rand: rand.New(rand.NewPCG(seed, 7)), cluster: cluster, options: options, agents: map[string]*agent{},
+func newSim(cluster config.Cluster, options config.Options, seed uint64, log io.Writer) *simulation {
+	s := &simulation{
+		rand: rand.New(rand.NewPCG(seed, 7)), cluster: cluster, options: options, agents: map[string]*fakeAgent{},
 	}
 	s.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: s.virtualTime}))
 	s.store = newStore(s)
-	s.cloud = &cloud{s: s, asks: map[string][]string{}, capacity: map[poolName]int{}}
-	s.check = newChecker(s)
+	s.cloud = &fakeCloud{sim: s, requests: map[string][]string{}, capacity: map[machinePool]int{}}
+	s.checker = newChecker(s)
 	s.trace = newTrace(s)
-	s.users = &users{s: s, jobs: map[string]*userJob{}}
+	s.users = &fakeUsers{sim: s, jobs: map[string]*userJob{}}
 	return s
 }
 
 // virtualTime lets log lines carry the time of the scenario.
-func (s *sim) virtualTime(groups []string, a slog.Attr) slog.Attr {
+func (s *simulation) virtualTime(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) == 0 && a.Key == slog.TimeKey {
 		return slog.Duration("at", s.now)
 	}
 	return a
 }
 
-func (s *sim) after(d time.Duration, f func()) {
+func (s *simulation) after(d time.Duration, f func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + max(d, 0), s.seq, f})
 }
 
 // run plays until the given time.
-func (s *sim) run(until time.Duration) {
+func (s *simulation) run(until time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= until {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
@@ -111,57 +111,57 @@
 }
 
 // delay is a message's way.
-func (s *sim) delay() time.Duration {
+func (s *simulation) delay() time.Duration {
 	return time.Millisecond + time.Duration(s.rand.Int64N(int64(3*time.Millisecond)))
 }
 
 // host is a controller's machine, on which processes come and go.
 type host struct {
-	s        *sim
+	sim        *simulation
 	name     string
 	zone     string // "": none in particular
-	p        *process
-	unaware  bool          // processes started here don't know the limits to come
-	noState  bool          // the state service refuses it
-	noPeers  bool          // it can't reach other controllers, nor they it
-	noAgents bool          // it can't reach workers, nor they it
-	thaw     time.Duration // until then the process stands still; what comes meanwhile is worked off afterwards
+	process        *process
+	unawareOfAnnouncedLimits  bool          // processes started here don't know the limits to come
+	storePartitioned  bool          // the state service refuses it
+	peersPartitioned  bool          // it can't reach other controllers, nor they it
+	agentsPartitioned bool          // it can't reach workers, nor they it
+	pausedUntil     time.Duration // until then the process stands still; what comes meanwhile is worked off afterwards
 }
 
 // process is one run of the program.
 type process struct {
-	h          *host
+	host          *host
 	controller *coordination.Controller
 	dead       bool
 }
 
 func (h *host) start() {
-	s := h.s
-	s.faultEnds("down", h.name)
-	p := &process{h: h}
-	set := &config.Settings{Controller: h.name, Cluster: s.cluster}
-	if h.unaware {
+	sim := h.sim
+	sim.faultEnds("down", h.name)
+	p := &process{host: h}
+	set := &config.Settings{Controller: h.name, Cluster: sim.cluster}
+	if h.unawareOfAnnouncedLimits {
 		set.Cluster.KVStore.Announced = nil
 	}
-	for _, o := range s.hosts {
+	for _, o := range sim.hosts {
 		if o != h {
 			set.Peers = append(set.Peers, config.Peer{Controller: o.name})
 		}
 	}
 	p.controller = coordination.New(coordination.Config{
-		Settings: set, Options: s.options, Clock: p, Store: storeLink{p}, Cloud: cloudLink{p}, Agents: agentLink{p}, Peers: peerLink{p},
-		Rand: rand.New(rand.NewPCG(s.rand.Uint64(), s.rand.Uint64())),
-		Log:  s.log.With("node", h.name),
+		Settings: set, Options: sim.options, Clock: p, Store: storeLink{p}, Cloud: cloudLink{p}, Agents: agentLink{p}, Peers: peerLink{p},
+		Rand: rand.New(rand.NewPCG(sim.rand.Uint64(), sim.rand.Uint64())),
+		Log:  sim.log.With("node", h.name),
 	})
-	h.p = p
-	s.after(0, p.guard(p.controller.Start))
+	h.process = p
+	sim.after(0, p.guard(p.controller.Start))
 }
 
 func (h *host) crash() {
-	if h.p != nil {
-		h.s.faultBegins("down", h.name)
-		h.p.dead = true
-		h.p = nil
+	if h.process != nil {
+		h.sim.faultBegins("down", h.name)
+		h.process.dead = true
+		h.process = nil
 	}
 }
 
@@ -170,10 +170,10 @@
 func (p *process) guard(f func()) func() {
 	var run func()
 	run = func() {
-		switch s := p.h.s; {
+		switch s := p.host.sim; {
 		case p.dead:
-		case s.now < p.h.thaw:
-			s.after(p.h.thaw-s.now, run)
+		case s.now < p.host.pausedUntil:
+			s.after(p.host.pausedUntil-s.now, run)
 		default:
 			f()
 		}
@@ -182,45 +182,45 @@
 }
 
 // Now implements coordination.Clock.
-func (p *process) Now() time.Duration { return p.h.s.now }
+func (p *process) Now() time.Duration { return p.host.sim.now }
 
 // Wall implements coordination.Clock.
-func (p *process) Wall() time.Time { return epoch.Add(p.h.s.now) }
+func (p *process) Wall() time.Time { return wallClockStart.Add(p.host.sim.now) }
 
 // After implements coordination.Clock.
-func (p *process) After(d time.Duration, f func()) { p.h.s.after(d, p.guard(f)) }
+func (p *process) After(d time.Duration, f func()) { p.host.sim.after(d, p.guard(f)) }
 
 // peerLink is the link between controllers.
-type peerLink struct{ p *process }
+type peerLink struct{ process *process }
 
 // Ask implements coordination.Peers.
 func (l peerLink) Ask(node string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
-	s := l.p.h.s
-	s.trace.asked(l.p.h.name, node, r)
+	sim := l.process.host.sim
+	sim.trace.asked(l.process.host.name, node, r)
 	fail := func() {
-		s.after(time.Second, l.p.guard(func() { done(protocol.PeerAnswer{}, protocol.ErrOutcomeUnknown) }))
+		sim.after(time.Second, l.process.guard(func() { done(protocol.PeerAnswer{}, protocol.ErrOutcomeUnknown) }))
 	}
-	for _, h := range s.hosts {
+	for _, h := range sim.hosts {
 		if h.name != node {
 			continue
 		}
-		if h.p == nil || h.noPeers || l.p.h.noPeers {
+		if h.process == nil || h.peersPartitioned || l.process.host.peersPartitioned {
 			break
 		}
-		to := h.p
-		s.after(s.delay(), func() {
+		to := h.process
+		sim.after(sim.delay(), func() {
 			if to.dead {
 				fail()
 				return
 			}
-			if h.thaw > s.now {
+			if h.pausedUntil > sim.now {
 				fail() // the sender doesn't wait; the message is read all the same
 				done = func(protocol.PeerAnswer, error) {}
 			}
 			to.guard(func() {
 				to.controller.OnPeer(r, func(a protocol.PeerAnswer) {
-					s.trace.replied(h.name, a)
-					s.after(s.delay(), l.p.guard(func() { done(a, nil) }))
+					sim.trace.replied(h.name, a)
+					sim.after(sim.delay(), l.process.guard(func() { done(a, nil) }))
 				})
 			})()
 		})
--- a/internal/scenario/statement.go
+++ b/internal/scenario/statement.go
@@ -47,7 +47,7 @@
 	return fallback
 }
 
-func (line *statement) num(name string, fallback float64) float64 {
+func (line *statement) number(name string, fallback float64) float64 {
 	v, ok := line.pairs[name]
 	if !ok {
 		return fallback
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -14,58 +14,58 @@
 )
 
 // store is the stand-in for the state service.
-type store struct {
-	s         *sim
+type fakeStore struct {
+	sim         *simulation
 	limits    config.StoreLimits
 	rejected  int // transactions that were rejected for good
-	inherited int // values over the limits to come when these came into force
+	inheritedOversized int // values over the limits to come when these came into force
 	revision  uint64
 	items     map[string]*protocol.KeyValue
-	leases    map[uint64]*lease
-	nextID    uint64
-	history   []change
-	watches   []*watch
+	leases    map[uint64]*storeLease
+	lastLeaseID    uint64
+	history   []storeChange
+	watches   []*storeWatch
 	outage    bool
 	writes    int     // puts and removals carried out or refused by a condition
-	grants    int     // grants that were carried out
+	grantWrites    int     // grants that were carried out
 	requests  int     // all calls
-	finals    int     // reads of final records
+	finalReads    int     // reads of final records
 	tokens    float64 // writes that may be made now
 	tokensAt  time.Duration
-	lose      float64 // share of transactions whose answer is lost
-	late      float64 // share of those that are applied late
-	slow      float64 // share of calls that take long
-	slowMost  time.Duration
+	lostAnswerShare      float64 // share of transactions whose answer is lost
+	delayedShare      float64 // share of those that are applied late
+	latencyShare      float64 // share of calls that take long
+	maxLatency  time.Duration
 }
 
-type lease struct {
+type storeLease struct {
 	ttl time.Duration
-	end time.Duration
+	expiresAt time.Duration
 }
 
-type change struct {
-	rev uint64
-	ev  protocol.Event
+type storeChange struct {
+	revision uint64
+	event  protocol.Event
 }
 
-type watch struct {
+type storeWatch struct {
 	prefix string
 	after  uint64
 	done   func(protocol.Changes)
 	host   *host
 }
 
-func newStore(s *sim) *store {
-	today := s.cluster.KVStore
+func newStore(sim *simulation) *fakeStore {
+	today := sim.cluster.KVStore
 	today.Announced = nil
 	limits := today.Limits()
-	return &store{s: s, limits: limits, items: map[string]*protocol.KeyValue{}, leases: map[uint64]*lease{}, tokens: limits.WriteRate}
+	return &fakeStore{sim: sim, limits: limits, items: map[string]*protocol.KeyValue{}, leases: map[uint64]*storeLease{}, tokens: limits.WriteRate}
 }
 
 // down reports whether a host is refused.
-func (st *store) down(h *host) bool { return st.outage || h.noState }
+func (st *fakeStore) refuses(h *host) bool { return st.outage || h.storePartitioned }
 
-func (st *store) setOutage(on bool) {
+func (st *fakeStore) setOutage(on bool) {
 	st.outage = on
 	if !on {
 		for _, id := range slices.Sorted(maps.Keys(st.leases)) {
@@ -75,21 +75,21 @@
 	}
 }
 
-func (st *store) extend(id uint64, l *lease) {
-	l.end = st.s.now + l.ttl
-	st.s.after(l.ttl+50*time.Millisecond, func() { st.expire(id) })
+func (st *fakeStore) extend(id uint64, l *storeLease) {
+	l.expiresAt = st.sim.now + l.ttl
+	st.sim.after(l.ttl+50*time.Millisecond, func() { st.expire(id) })
 }
 
-func (st *store) expire(id uint64) {
+func (st *fakeStore) expire(id uint64) {
 	l := st.leases[id]
-	if l == nil || st.outage || st.s.now < l.end {
+	if l == nil || st.outage || st.sim.now < l.expiresAt {
 		return
 	}
 	delete(st.leases, id)
 	for _, key := range st.keys("") {
 		if st.items[key].Lease == id {
 			if key == storage.KeyLeader {
-				st.s.faultBegins("leaderless", "")
+				st.sim.faultBegins("leaderless", "")
 			}
 			st.revision++
 			delete(st.items, key)
@@ -99,7 +99,7 @@
 	st.wake()
 }
 
-func (st *store) keys(prefix string) []string {
+func (st *fakeStore) keys(prefix string) []string {
 	var keys []string
 	for k := range st.items {
 		if strings.HasPrefix(k, prefix) {
@@ -111,7 +111,7 @@
 }
 
 // list is all that lies here, by key.
-func (st *store) list() []protocol.KeyValue {
+func (st *fakeStore) list() []protocol.KeyValue {
 	var items []protocol.KeyValue
 	for _, key := range st.keys("") {
 		items = append(items, *st.items[key])
@@ -119,15 +119,15 @@
 	return items
 }
 
-func (st *store) record(e protocol.Event) { st.history = append(st.history, change{st.revision, e}) }
+func (st *fakeStore) record(e protocol.Event) { st.history = append(st.history, storeChange{st.revision, e}) }
 
 // txn carries out a transaction.
-func (st *store) txn(t protocol.Transaction) (uint64, error) {
+func (st *fakeStore) commit(t protocol.Transaction) (uint64, error) {
 	if err := st.reject(t); err != nil {
 		return 0, err
 	}
-	st.tokens = min(st.limits.WriteRate, st.tokens+st.limits.WriteRate*(st.s.now-st.tokensAt).Seconds())
-	st.tokensAt = st.s.now
+	st.tokens = min(st.limits.WriteRate, st.tokens+st.limits.WriteRate*(st.sim.now-st.tokensAt).Seconds())
+	st.tokensAt = st.sim.now
 	if st.tokens < float64(len(t.Operations)) {
 		return 0, protocol.ErrRateLimited
 	}
@@ -148,22 +148,22 @@
 		}
 	}
 	st.revision++
-	for _, op := range t.Operations {
-		if op.Put != "" {
-			if op.Put == storage.KeyLeader {
-				st.s.faultEnds("leaderless", "")
-				st.s.noteFault("election", 0)
-				st.s.releaseCopies()
+	for _, operation := range t.Operations {
+		if operation.Put != "" {
+			if operation.Put == storage.KeyLeader {
+				st.sim.faultEnds("leaderless", "")
+				st.sim.noteFault("election", 0)
+				st.sim.releaseCopies()
 			}
-			st.items[op.Put] = &protocol.KeyValue{Key: op.Put, Value: op.Value, Version: st.revision, Lease: op.Lease}
-			st.record(protocol.Event{Put: op.Put, Value: op.Value, Version: st.revision})
-			if path.Dir(op.Put) == path.Dir(storage.GrantKey(0)) {
-				st.grants++
-				st.s.noteHandover()
+			st.items[operation.Put] = &protocol.KeyValue{Key: operation.Put, Value: operation.Value, Version: st.revision, Lease: operation.Lease}
+			st.record(protocol.Event{Put: operation.Put, Value: operation.Value, Version: st.revision})
+			if path.Dir(operation.Put) == path.Dir(storage.GrantKey(0)) {
+				st.grantWrites++
+				st.sim.noteHandover()
 			}
-		} else if st.items[op.Delete] != nil {
-			delete(st.items, op.Delete)
-			st.record(protocol.Event{Remove: op.Delete, Version: st.revision})
+		} else if st.items[operation.Delete] != nil {
+			delete(st.items, operation.Delete)
+			st.record(protocol.Event{Remove: operation.Delete, Version: st.revision})
 		}
 	}
 	st.wake()
@@ -171,7 +171,7 @@
 }
 
 // reject says whether a transaction is over a limit, whatever its conditions.
-func (st *store) reject(t protocol.Transaction) error {
+func (st *fakeStore) reject(t protocol.Transaction) error {
 	large := slices.ContainsFunc(t.Operations, func(op protocol.Operation) bool { return len(op.Value) > st.limits.ValueBytes })
 	if large || len(t.Operations) > st.limits.Operations || len(t.Conditions) > st.limits.Conditions {
 		st.rejected++
@@ -181,14 +181,14 @@
 }
 
 // lower makes the limits those to come.
-func (st *store) lower() {
-	st.limits = st.s.cluster.KVStore.Limits()
+func (st *fakeStore) lowerLimits() {
+	st.limits = st.sim.cluster.KVStore.Limits()
 	st.tokens = min(st.tokens, st.limits.WriteRate)
-	st.inherited = st.oversized()
+	st.inheritedOversized = st.oversized()
 }
 
 // oversized counts the values that lie here and could not be written any more.
-func (st *store) oversized() int {
+func (st *fakeStore) oversized() int {
 	count := 0
 	for _, it := range st.items {
 		if len(it.Value) > st.limits.ValueBytes {
@@ -199,14 +199,14 @@
 }
 
 // wake answers the watches that have something to tell.
-func (st *store) wake() {
+func (st *fakeStore) wake() {
 	if st.outage {
 		return
 	}
 	open := st.watches
 	st.watches = nil
 	for _, w := range open {
-		if w.host.noState {
+		if w.host.storePartitioned {
 			st.watches = append(st.watches, w)
 			continue
 		}
@@ -218,37 +218,37 @@
 	}
 }
 
-func (st *store) changes(prefix string, after uint64) protocol.Changes {
+func (st *fakeStore) changes(prefix string, after uint64) protocol.Changes {
 	c := protocol.Changes{Revision: st.revision}
-	first, _ := slices.BinarySearchFunc(st.history, after+1, func(h change, rev uint64) int { return cmp.Compare(h.rev, rev) })
+	first, _ := slices.BinarySearchFunc(st.history, after+1, func(h storeChange, rev uint64) int { return cmp.Compare(h.revision, rev) })
 	for _, h := range st.history[first:] {
-		if strings.HasPrefix(h.ev.Put+h.ev.Remove, prefix) {
-			c.Events = append(c.Events, h.ev)
+		if strings.HasPrefix(h.event.Put+h.event.Remove, prefix) {
+			c.Events = append(c.Events, h.event)
 		}
 	}
 	return c
 }
 
 // stateLink is a process's way to the state service.
-type storeLink struct{ p *process }
+type storeLink struct{ process *process }
 
-func (l storeLink) sent(kind string, values ...any) { l.p.h.s.trace.sent(l.p.h.name, kind, values...) }
+func (l storeLink) sent(kind string, values ...any) { l.process.host.sim.trace.sent(l.process.host.name, kind, values...) }
 
 // call makes a request there and back; refused is called when it is not done.
-func (l storeLink) call(do func(st *store) func(), refused func(error)) {
-	s := l.p.h.s
-	s.store.requests++
-	way := s.delay()
-	if s.store.slow > 0 && s.rand.Float64() < s.store.slow {
-		way += time.Duration(s.rand.Int64N(int64(s.store.slowMost)))
+func (l storeLink) call(do func(st *fakeStore) func(), refused func(error)) {
+	sim := l.process.host.sim
+	sim.store.requests++
+	way := sim.delay()
+	if sim.store.latencyShare > 0 && sim.rand.Float64() < sim.store.latencyShare {
+		way += time.Duration(sim.rand.Int64N(int64(sim.store.maxLatency)))
 	}
-	s.after(way, func() {
-		if s.store.down(l.p.h) {
-			s.after(s.delay(), l.p.guard(func() { refused(protocol.ErrNotExecuted) }))
+	sim.after(way, func() {
+		if sim.store.refuses(l.process.host) {
+			sim.after(sim.delay(), l.process.guard(func() { refused(protocol.ErrNotExecuted) }))
 			return
 		}
-		if back := do(s.store); back != nil {
-			s.after(s.delay(), l.p.guard(back))
+		if back := do(sim.store); back != nil {
+			sim.after(sim.delay(), l.process.guard(back))
 		}
 	})
 }
@@ -256,9 +256,9 @@
 // Get implements coordination.State.
 func (l storeLink) Get(key string, done func(protocol.KeyValue, bool, error)) {
 	l.sent("get", key)
-	l.call(func(st *store) func() {
+	l.call(func(st *fakeStore) func() {
 		if strings.HasPrefix(key, storage.FinalKey("")) {
-			st.finals++
+			st.finalReads++
 		}
 		it := st.items[key]
 		if it == nil {
@@ -272,7 +272,7 @@
 // List implements coordination.State. Pages are small so that paging is used.
 func (l storeLink) List(prefix, after string, done func(protocol.KeyValuePage, error)) {
 	l.sent("list", prefix, after)
-	l.call(func(st *store) func() {
+	l.call(func(st *fakeStore) func() {
 		p := protocol.KeyValuePage{Revision: st.revision}
 		for _, k := range st.keys(prefix) {
 			if k <= after {
@@ -290,26 +290,26 @@
 
 // Txn implements coordination.State.
 func (l storeLink) Commit(t protocol.Transaction, done func(uint64, error)) {
-	l.p.h.s.trace.sentJSON(l.p.h.name, "transaction", t)
-	l.call(func(st *store) func() {
-		s := st.s
-		if s.rand.Float64() < st.lose {
-			if s.rand.Float64() < st.late {
-				late := time.Duration(s.rand.Int64N(int64(20 * time.Second)))
-				s.noteFault("delayed-write", late)
-				s.after(late, func() {
+	l.process.host.sim.trace.sentJSON(l.process.host.name, "transaction", t)
+	l.call(func(st *fakeStore) func() {
+		sim := st.sim
+		if sim.rand.Float64() < st.lostAnswerShare {
+			if sim.rand.Float64() < st.delayedShare {
+				late := time.Duration(sim.rand.Int64N(int64(20 * time.Second)))
+				sim.noteFault("delayed-write", late)
+				sim.after(late, func() {
 					if !st.outage {
-						_, _ = st.txn(t) // whatever comes of it, nobody is told
+						_, _ = st.commit(t) // whatever comes of it, nobody is told
 					}
 				})
 			} else {
-				_, _ = st.txn(t)
+				_, _ = st.commit(t)
 			}
-			s.noteFault("lost-answer", 2*time.Second)
-			s.after(2*time.Second, l.p.guard(func() { done(0, protocol.ErrOutcomeUnknown) }))
+			sim.noteFault("lost-answer", 2*time.Second)
+			sim.after(2*time.Second, l.process.guard(func() { done(0, protocol.ErrOutcomeUnknown) }))
 			return nil
 		}
-		rev, err := st.txn(t)
+		rev, err := st.commit(t)
 		return func() { done(rev, err) }
 	}, func(err error) { done(0, err) })
 }
@@ -317,10 +317,10 @@
 // NewLease implements coordination.State.
 func (l storeLink) OpenLease(ttl time.Duration, done func(uint64, error)) {
 	l.sent("new lease", ttl)
-	l.call(func(st *store) func() {
-		st.nextID++
-		id := st.nextID
-		st.leases[id] = &lease{ttl: ttl}
+	l.call(func(st *fakeStore) func() {
+		st.lastLeaseID++
+		id := st.lastLeaseID
+		st.leases[id] = &storeLease{ttl: ttl}
 		st.extend(id, st.leases[id])
 		return func() { done(id, nil) }
 	}, func(err error) { done(0, err) })
@@ -329,7 +329,7 @@
 // Renew implements coordination.State.
 func (l storeLink) RenewLease(id uint64, done func(error)) {
 	l.sent("renew", id)
-	l.call(func(st *store) func() {
+	l.call(func(st *fakeStore) func() {
 		x := st.leases[id]
 		if x == nil {
 			return func() { done(protocol.ErrLeaseNotFound) }
@@ -342,9 +342,9 @@
 // EndLease implements coordination.State.
 func (l storeLink) RevokeLease(id uint64, done func(error)) {
 	l.sent("end lease", id)
-	l.call(func(st *store) func() {
+	l.call(func(st *fakeStore) func() {
 		if x := st.leases[id]; x != nil {
-			x.end = 0
+			x.expiresAt = 0
 			st.expire(id)
 		}
 		return func() { done(nil) }
@@ -354,35 +354,35 @@
 // Follow implements coordination.State.
 func (l storeLink) Watch(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
 	l.sent("follow", prefix, after, wait)
-	l.call(func(st *store) func() {
+	l.call(func(st *fakeStore) func() {
 		if c := st.changes(prefix, after); len(c.Events) > 0 || wait == 0 {
 			return func() { done(c, nil) }
 		}
-		s := st.s
-		var w *watch
+		sim := st.sim
+		var w *storeWatch
 		answer := func(c protocol.Changes) {
 			if w == nil {
 				return
 			}
 			w = nil
-			s.after(s.delay(), l.p.guard(func() { done(c, nil) }))
+			sim.after(sim.delay(), l.process.guard(func() { done(c, nil) }))
 		}
-		w = &watch{prefix: prefix, after: after, done: answer, host: l.p.h}
+		w = &storeWatch{prefix: prefix, after: after, done: answer, host: l.process.host}
 		st.watches = append(st.watches, w)
 		var timeout func()
 		timeout = func() {
-			if w == nil || l.p.dead {
+			if w == nil || l.process.dead {
 				return
 			}
-			if st.down(l.p.h) {
-				s.after(time.Second, timeout) // watches wait while it is away
+			if st.refuses(l.process.host) {
+				sim.after(time.Second, timeout) // watches wait while it is away
 				return
 			}
 			old := w
-			st.watches = slices.DeleteFunc(st.watches, func(x *watch) bool { return x == old })
+			st.watches = slices.DeleteFunc(st.watches, func(x *storeWatch) bool { return x == old })
 			answer(st.changes(prefix, after))
 		}
-		s.after(wait, timeout)
+		sim.after(wait, timeout)
 		return nil
 	}, func(err error) { done(protocol.Changes{}, err) })
 }
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -17,18 +17,18 @@
 // Log lines are no part of it, so rewording one does not change a digest, while any
 // other decision, or the same one at another time, does.
 type trace struct {
-	s    *sim
+	sim    *simulation
 	hash hash.Hash
 }
 
-func newTrace(s *sim) *trace { return &trace{s: s, hash: sha256.New()} }
+func newTrace(sim *simulation) *trace { return &trace{sim: sim, hash: sha256.New()} }
 
 // digest identifies all that was sent so far.
 func (t *trace) digest() string { return hex.EncodeToString(t.hash.Sum(nil)[:12]) }
 
 // sent takes in a message of a controller as its values, without the names of fields.
 func (t *trace) sent(controller, kind string, values ...any) {
-	fmt.Fprintln(t.hash, t.s.now.Nanoseconds(), controller, kind, values)
+	fmt.Fprintln(t.hash, t.sim.now.Nanoseconds(), controller, kind, values)
 }
 
 // sentJSON takes in a message of a controller in its form on the wire.
@@ -47,18 +47,18 @@
 
 // asked takes in a request to another controller. The heartbeats that it passes on are
 // named only: they are the agents' words, not the controller's.
-func (t *trace) asked(controller, to string, r protocol.PeerRequest) {
-	t.sent(controller, "cancelled", to, r.Cancelled)
-	h := r.Heartbeat
-	if h == nil {
+func (t *trace) asked(controller, receiver string, r protocol.PeerRequest) {
+	t.sent(controller, "cancelled", receiver, r.Cancelled)
+	heartbeat := r.Heartbeat
+	if heartbeat == nil {
 		return
 	}
 	var unrecorded []string
-	for i := range h.UnrecordedAgents {
-		unrecorded = append(unrecorded, h.UnrecordedAgents[i].Machine)
+	for i := range heartbeat.UnrecordedAgents {
+		unrecorded = append(unrecorded, heartbeat.UnrecordedAgents[i].Machine)
 	}
-	within := slices.Sorted(slices.Values(h.GrantsWithinQuota)) // a set
-	t.sent(controller, "heartbeat", to, h.Controller, h.Incarnation, h.SentAt, h.Term, h.StoreStaleness, h.Leaving, h.Machines, unrecorded, h.QuotaSplitVersion, within, h.ShardHeardAgo)
+	within := slices.Sorted(slices.Values(heartbeat.GrantsWithinQuota)) // a set
+	t.sent(controller, "heartbeat", receiver, heartbeat.Controller, heartbeat.Incarnation, heartbeat.SentAt, heartbeat.Term, heartbeat.StoreStaleness, heartbeat.Leaving, heartbeat.Machines, unrecorded, heartbeat.QuotaSplitVersion, within, heartbeat.ShardHeardAgo)
 }
 
 // replied takes in an answer to another controller.
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -11,63 +11,63 @@
 )
 
 // users submit jobs, poll them and withdraw some.
-type users struct {
-	s    *sim
+type fakeUsers struct {
+	sim    *simulation
 	jobs map[string]*userJob
 
-	atEnd float64 // share of jobs that are called off at the moment of their end
-	oddID int     // odd submissions so far
+	cancelOnCompletionShare float64 // share of jobs that are called off at the moment of their end
+	invalidRequests int     // odd submissions so far
 
-	closeLooks   time.Duration // until then users look closely, see lookClosely
-	cancelAtOnce float64       // share of them that cancel an accepted job at once
+	probeUntil   time.Duration // until then users look closely, see lookClosely
+	cancelOnAcceptShare float64       // share of them that cancel an accepted job at once
 
-	looks int // answers to close looks
+	probeAnswers int // answers to close looks
 
-	onlyWell bool // users come to controllers that the state service serves
+	healthyControllersOnly bool // users come to controllers that the state service serves
 }
 
 type userJob struct {
 	spec        protocol.JobSpec
-	run         float64 // what a task really takes
-	runs        []float64
-	broken      bool // fails wherever it runs
-	submitted   time.Duration
+	runSeconds         float64 // what a task really takes
+	taskRunSeconds        []float64
+	failsEverywhere      bool // fails wherever it runs
+	submittedAt   time.Duration
 	accepted    bool
 	acceptedAt  time.Duration
 	status      int // last answer to the submission
-	asked       bool
-	withdrawnAt time.Duration
-	final       string
-	finalAt     time.Duration
-	unheard     time.Duration // since when no poll was answered
-	heard       time.Duration // last answered poll
-	muted       bool          // answers to its polls are lost on purpose
-	beganAt     time.Duration // first task started
-	idleSince   time.Duration // since when it waits though there is room; 0: not so
-	repeats     int
-	completeAt  time.Duration // when its last task completed
+	cancelRequested       bool
+	cancelledAt time.Duration
+	outcome       string
+	outcomeAt     time.Duration
+	unansweredSince     time.Duration // since when no poll was answered
+	answeredAt       time.Duration // last answered poll
+	answersLost       bool          // answers to its polls are lost on purpose
+	startedAt     time.Duration // first task started
+	waitingSince   time.Duration // since when it waits though there is room; 0: not so
+	resubmissions     int
+	completedAt  time.Duration // when its last task completed
 }
 
 // ask makes a request to some node that is up; answer is called once, with
 // status 0 when no answer came.
-func (u *users) ask(call func(n *coordination.Controller, reply func(api.Answer)), answer func(api.Answer)) {
-	s := u.s
-	var up []*host
-	for _, h := range s.hosts {
-		if h.p != nil && (!u.onlyWell || !s.store.down(h)) {
-			up = append(up, h)
+func (u *fakeUsers) request(call func(n *coordination.Controller, reply func(api.Answer)), answer func(api.Answer)) {
+	sim := u.sim
+	var serving []*host
+	for _, h := range sim.hosts {
+		if h.process != nil && (!u.healthyControllersOnly || !sim.store.refuses(h)) {
+			serving = append(serving, h)
 		}
 	}
-	if len(up) == 0 {
-		s.after(time.Millisecond, func() { answer(api.Answer{}) })
+	if len(serving) == 0 {
+		sim.after(time.Millisecond, func() { answer(api.Answer{}) })
 		return
 	}
-	u.askNode(up[s.rand.IntN(len(up))].p, call, answer)
+	u.requestAt(serving[sim.rand.IntN(len(serving))].process, call, answer)
 }
 
 // askNode is ask at a certain controller.
-func (u *users) askNode(p *process, call func(n *coordination.Controller, reply func(api.Answer)), answer func(api.Answer)) {
-	s := u.s
+func (u *fakeUsers) requestAt(process *process, call func(n *coordination.Controller, reply func(api.Answer)), answer func(api.Answer)) {
+	sim := u.sim
 	told := false
 	once := func(a api.Answer) {
 		if !told {
@@ -75,137 +75,137 @@
 			answer(a)
 		}
 	}
-	s.after(5*time.Second, func() { once(api.Answer{}) })
-	s.after(s.delay(), p.guard(func() {
-		call(p.controller, func(a api.Answer) {
-			s.trace.answered(p.h.name, "user", a)
-			s.after(s.delay(), func() { once(a) })
+	sim.after(5*time.Second, func() { once(api.Answer{}) })
+	sim.after(sim.delay(), process.guard(func() {
+		call(process.controller, func(a api.Answer) {
+			sim.trace.answered(process.host.name, "user", a)
+			sim.after(sim.delay(), func() { once(a) })
 		})
 	}))
 }
 
-func (u *users) body(j *userJob) []byte {
-	m := map[string]any{}
+func (u *fakeUsers) body(j *userJob) []byte {
+	fields := map[string]any{}
 	data, err := json.Marshal(j.spec)
 	if err == nil {
-		err = json.Unmarshal(data, &m)
+		err = json.Unmarshal(data, &fields)
 	}
 	if err != nil {
 		panic(err) // the spec is our own
 	}
 	for _, f := range []string{"together", "spread", "loaner"} {
-		if m[f] == nil {
-			m[f] = false
+		if fields[f] == nil {
+			fields[f] = false
 		}
 	}
 	for _, f := range []string{"guessS", "markS", "stashS"} {
-		if m[f] == nil {
-			m[f] = 0
+		if fields[f] == nil {
+			fields[f] = 0
 		}
 	}
-	if data, err = json.Marshal(m); err != nil {
+	if data, err = json.Marshal(fields); err != nil {
 		panic(err)
 	}
 	return data
 }
 
 // submit repeats a submission until it is decided, for a minute.
-func (u *users) submit(j *userJob) {
-	s := u.s
+func (u *fakeUsers) submit(j *userJob) {
+	sim := u.sim
 	body := u.body(j)
-	accepted, final := j.accepted, j.final // what the user knew when it asked
+	accepted, final := j.accepted, j.outcome // what the user knew when it asked
 	allAccepted := u.allAccepted(j)
-	u.ask(func(n *coordination.Controller, reply func(api.Answer)) { n.Submit(body, reply) }, func(a api.Answer) {
-		if a.Status != 0 {
-			j.status = a.Status
+	u.request(func(n *coordination.Controller, reply func(api.Answer)) { n.Submit(body, reply) }, func(answer api.Answer) {
+		if answer.Status != 0 {
+			j.status = answer.Status
 		}
-		s.check.acceptedNeeds(j, a.Status, allAccepted)
-		switch a.Status {
+		sim.checker.checkDependencyAnswer(j, answer.Status, allAccepted)
+		switch answer.Status {
 		case http.StatusOK, http.StatusCreated:
 			if !j.accepted {
-				j.accepted, j.acceptedAt = true, s.now
+				j.accepted, j.acceptedAt = true, sim.now
 				u.poll(j)
-				u.lookClosely(j)
-				if s.now < u.closeLooks && s.rand.Float64() < u.cancelAtOnce {
-					u.withdraw(j)
+				u.probe(j)
+				if sim.now < u.probeUntil && sim.rand.Float64() < u.cancelOnAcceptShare {
+					u.cancel(j)
 				}
 			}
-			s.check.told(j.spec.ID, j, final, a.Body.(protocol.JobReceipt).Stage)
-			if j.repeats > 0 {
-				j.repeats--
-				s.after(time.Duration(s.rand.Int64N(int64(30*time.Second))), func() { u.submit(j) })
+			sim.checker.jobAnswered(j.spec.ID, j, final, answer.Body.(protocol.JobReceipt).Stage)
+			if j.resubmissions > 0 {
+				j.resubmissions--
+				sim.after(time.Duration(sim.rand.Int64N(int64(30*time.Second))), func() { u.submit(j) })
 			}
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			if accepted {
-				s.check.refused(j.spec.ID, j, a.Status)
+				sim.checker.jobDenied(j.spec.ID, j, answer.Status)
 			}
 		default:
-			if s.now-j.submitted < time.Minute {
-				s.after(max(time.Second, a.RetryAfter), func() { u.submit(j) })
+			if sim.now-j.submittedAt < time.Minute {
+				sim.after(max(time.Second, answer.RetryAfter), func() { u.submit(j) })
 			}
 		}
 	})
 }
 
 // poll asks about a job every 5 s, and now and then after its end.
-func (u *users) poll(j *userJob) {
-	s := u.s
-	id, final := j.spec.ID, j.final
-	u.ask(func(n *coordination.Controller, reply func(api.Answer)) { n.Status(id, reply) }, func(a api.Answer) {
-		if j.muted {
-			a = api.Answer{}
+func (u *fakeUsers) poll(j *userJob) {
+	sim := u.sim
+	id, final := j.spec.ID, j.outcome
+	u.request(func(n *coordination.Controller, reply func(api.Answer)) { n.Status(id, reply) }, func(answer api.Answer) {
+		if j.answersLost {
+			answer = api.Answer{}
 		}
-		switch a.Status {
+		switch answer.Status {
 		case http.StatusOK:
-			j.unheard, j.heard = 0, s.now
-			v := a.Body.(*protocol.JobStatus)
-			before := j.final
-			s.check.told(id, j, final, v.Stage)
-			if before == "" && j.final != "" {
-				j.finalAt = s.now
-				u.lookClosely(j)
+			j.unansweredSince, j.answeredAt = 0, sim.now
+			v := answer.Body.(*protocol.JobStatus)
+			before := j.outcome
+			sim.checker.jobAnswered(id, j, final, v.Stage)
+			if before == "" && j.outcome != "" {
+				j.outcomeAt = sim.now
+				u.probe(j)
 			}
 		case http.StatusNotFound:
-			s.check.refused(id, j, a.Status)
+			sim.checker.jobDenied(id, j, answer.Status)
 		default:
-			if j.unheard == 0 {
-				j.unheard = s.now
+			if j.unansweredSince == 0 {
+				j.unansweredSince = sim.now
 			}
 		}
 		pause := 5 * time.Second
-		if j.final != "" {
+		if j.outcome != "" {
 			pause = 40 * time.Second
 		}
-		s.after(pause, func() { u.poll(j) })
+		sim.after(pause, func() { u.poll(j) })
 	})
 }
 
 // withdraw repeats a withdrawal until it is answered.
-func (u *users) withdraw(j *userJob) {
-	s := u.s
-	j.asked = true
-	id, accepted, final := j.spec.ID, j.accepted, j.final
-	u.ask(func(n *coordination.Controller, reply func(api.Answer)) { n.Cancel(id, reply) }, func(a api.Answer) {
-		switch a.Status {
+func (u *fakeUsers) cancel(j *userJob) {
+	sim := u.sim
+	j.cancelRequested = true
+	id, accepted, final := j.spec.ID, j.accepted, j.outcome
+	u.request(func(n *coordination.Controller, reply func(api.Answer)) { n.Cancel(id, reply) }, func(answer api.Answer) {
+		switch answer.Status {
 		case http.StatusOK:
-			s.check.told(id, j, final, a.Body.(protocol.JobReceipt).Stage)
+			sim.checker.jobAnswered(id, j, final, answer.Body.(protocol.JobReceipt).Stage)
 			if final == "" {
-				u.lookClosely(j)
+				u.probe(j)
 			}
 		case http.StatusNotFound:
 			if accepted {
-				s.check.refused(id, j, a.Status)
+				sim.checker.jobDenied(id, j, answer.Status)
 			}
 		default:
-			s.after(time.Second, func() { u.withdraw(j) })
+			sim.after(time.Second, func() { u.cancel(j) })
 		}
 	})
 }
 
 // takes is how long a task of the job really runs.
-func (j *userJob) takes(name string) float64 {
-	if _, task, err := protocol.ParseTaskName(name); err == nil && task < len(j.runs) {
-		return j.runs[task]
+func (j *userJob) runSecondsOf(name string) float64 {
+	if _, task, err := protocol.ParseTaskName(name); err == nil && task < len(j.taskRunSeconds) {
+		return j.taskRunSeconds[task]
 	}
-	return j.run
+	return j.runSeconds
 }
--- a/internal/scenario/users_pipelines.go
+++ b/internal/scenario/users_pipelines.go
@@ -15,28 +15,28 @@
 // are accepted, or only once these are over.
 
 // submitWhen submits a job once all that it needs is accepted, or over.
-func (u *users) submitWhen(j *userJob, over bool) {
-	ready := u.allAccepted(j) && !(over && slices.ContainsFunc(j.spec.Dependencies, func(id string) bool { return u.jobs[id].final == "" }))
+func (u *fakeUsers) submitWhen(j *userJob, over bool) {
+	ready := u.allAccepted(j) && !(over && slices.ContainsFunc(j.spec.Dependencies, func(id string) bool { return u.jobs[id].outcome == "" }))
 	if !ready {
-		u.s.after(needPause, func() { u.submitWhen(j, over) })
+		u.sim.after(dependencyPollPause, func() { u.submitWhen(j, over) })
 		return
 	}
 	u.submitFirst(j)
 }
 
 // submitFirst submits a job for the first time.
-func (u *users) submitFirst(j *userJob) {
-	j.submitted = u.s.now
+func (u *fakeUsers) submitFirst(j *userJob) {
+	j.submittedAt = u.sim.now
 	u.jobs[j.spec.ID] = j
 	u.submit(j)
 }
 
 // needPause is how often a user looks whether the next job can be submitted: those that
 // it needs were accepted this little ago.
-const needPause = time.Millisecond
+const dependencyPollPause = time.Millisecond
 
 // allAccepted reports whether all jobs that a job names are accepted.
-func (u *users) allAccepted(j *userJob) bool {
+func (u *fakeUsers) allAccepted(j *userJob) bool {
 	return !slices.ContainsFunc(j.spec.Dependencies, func(id string) bool {
 		need := u.jobs[id]
 		return need == nil || !need.accepted
@@ -55,7 +55,7 @@
 
 // actPipeline lets users submit pipelines: one every so often. Arguments are those of a
 // job, which all of its jobs are like; rank and deadline are the last one's.
-func actPipeline(s *sim, line *statement) func() {
+func actPipeline(sim *simulation, line *statement) func() {
 	first, err := strconv.Atoi(strings.TrimPrefix(line.arg(0), "run-"))
 	if err != nil {
 		line.fail("pipeline: %v", err)
@@ -65,21 +65,21 @@
 		line.fail("pipeline: shape %s", line.pairs["shape"])
 		return nil
 	}
-	every, count := line.duration(line.text("every", "1s")), int(line.num("count", 1))
-	cancelled, late := line.num("cancelled", 0), line.num("late", 0)
+	every, count := line.duration(line.text("every", "1s")), int(line.number("count", 1))
+	cancelled, late := line.number("cancelled", 0), line.number("late", 0)
 	after := line.duration(line.text("after", "20s"))
 	pipelines := make([][]*userJob, count)
 	for i := range pipelines {
-		pipelines[i] = s.pipeline(line, first+i*len(shape), shape)
+		pipelines[i] = sim.pipeline(line, first+i*len(shape), shape)
 	}
 	return func() {
 		for i, jobs := range pipelines {
-			s.after(time.Duration(i)*every, func() { s.users.submitPipeline(jobs, s.rand.Float64() < late) })
-			if s.rand.Float64() < cancelled {
-				victim := jobs[s.rand.IntN(len(jobs)-1)]
-				s.after(time.Duration(i)*every+time.Duration(s.rand.Int64N(int64(after))), func() {
+			sim.after(time.Duration(i)*every, func() { sim.users.submitPipeline(jobs, sim.rand.Float64() < late) })
+			if sim.rand.Float64() < cancelled {
+				victim := jobs[sim.rand.IntN(len(jobs)-1)]
+				sim.after(time.Duration(i)*every+time.Duration(sim.rand.Int64N(int64(after))), func() {
 					if victim.accepted {
-						s.users.withdraw(victim)
+						sim.users.cancel(victim)
 					}
 				})
 			}
@@ -88,11 +88,11 @@
 }
 
 // pipeline reads the description of one pipeline.
-func (s *sim) pipeline(line *statement, first int, shape [][]int) []*userJob {
+func (s *simulation) pipeline(line *statement, first int, shape [][]int) []*userJob {
 	jobs := make([]*userJob, len(shape))
 	for k, needs := range shape {
 		line.args[0] = fmt.Sprintf("run-%d", first+k)
-		j := s.job(line)
+		j := s.parseJob(line)
 		if k < len(shape)-1 {
 			j.spec.DeadlineSeconds = 0
 			j.spec.Priority = "best_effort"
@@ -107,7 +107,7 @@
 
 // submitPipeline submits the jobs of a pipeline; late is for the last one to come only
 // when the others are over.
-func (u *users) submitPipeline(jobs []*userJob, late bool) {
+func (u *fakeUsers) submitPipeline(jobs []*userJob, late bool) {
 	for k, j := range jobs {
 		u.submitWhen(j, late && k == len(jobs)-1)
 	}
@@ -115,25 +115,25 @@
 
 // expectReleased: the first task of a job started within a time of the end of the last
 // job that it needs.
-func expectReleased(s *sim, line *statement) string {
-	j := s.users.jobs[line.arg(0)]
-	if j == nil || j.beganAt == 0 {
+func expectReleased(sim *simulation, line *statement) string {
+	j := sim.users.jobs[line.arg(0)]
+	if j == nil || j.startedAt == 0 {
 		return "it never began"
 	}
-	return exceeds(line, j.beganAt-s.readyAt(j))
+	return exceeds(line, j.startedAt-sim.readyAt(j))
 }
 
 // expectReleasedAll is the same for all jobs that need others and are not cancelled.
-func expectReleasedAll(s *sim, line *statement) string {
-	for _, id := range slices.Sorted(maps.Keys(s.users.jobs)) {
-		j := s.users.jobs[id]
-		if _, cancelled := s.check.cancelledBefore(j); len(j.spec.Dependencies) == 0 || j.asked || cancelled || !s.check.needsDone(j) {
+func expectReleasedAll(sim *simulation, line *statement) string {
+	for _, id := range slices.Sorted(maps.Keys(sim.users.jobs)) {
+		j := sim.users.jobs[id]
+		if _, cancelled := sim.checker.dependencyCancelledAt(j); len(j.spec.Dependencies) == 0 || j.cancelRequested || cancelled || !sim.checker.dependenciesComplete(j) {
 			continue
 		}
-		if j.beganAt == 0 {
+		if j.startedAt == 0 {
 			return id + " never began"
 		}
-		if why := exceeds(line, j.beganAt-s.readyAt(j)); why != "" {
+		if why := exceeds(line, j.startedAt-sim.readyAt(j)); why != "" {
 			return id + ": " + why
 		}
 	}
@@ -141,15 +141,15 @@
 }
 
 // expectCancelledWith: a job is cancelled, and its own user didn't ask for it.
-func expectCancelledWith(s *sim, line *statement) string {
-	j := s.users.jobs[line.arg(0)]
+func expectCancelledByDependency(sim *simulation, line *statement) string {
+	j := sim.users.jobs[line.arg(0)]
 	switch {
 	case j == nil:
 		return "no such job"
-	case j.asked:
+	case j.cancelRequested:
 		return "its own user cancelled it"
-	case j.final != protocol.StageCancelled:
-		return fmt.Sprintf("it is %q", j.final)
+	case j.outcome != protocol.StageCancelled:
+		return fmt.Sprintf("it is %q", j.outcome)
 	}
 	return ""
 }
