--- a/internal/scenario/actions_injections.go
+++ b/internal/scenario/actions_injections.go
@@ -2,40 +2,47 @@
 
 import (
 	"math"
+	"net/http"
 
 	"rockrun/internal/protocol"
 )
 
 // Actions that break a rule on purpose, to show that the checker sees it.
 
+// injectedAttempt is an attempt number that no controller gives.
+const injectedAttempt = math.MaxUint32
+
+// actInjectStart: "inject-start m-000000 run-1/0" starts a task on a machine behind the
+// controllers' back.
 func actInjectStart(sim *simulation, line *statement) func() {
-	// A breach on purpose, to show that the checker sees it: the task is
-	// started on a machine behind the controllers' back.
-	name, task := line.arg(0), line.arg(1)
+	machine, task := line.arg(0), line.arg(1)
 	return func() {
-		if x := sim.agents[name]; x != nil {
-			x.apply([]protocol.Command{{Verb: protocol.VerbStart, Task: task, Attempt: math.MaxUint32}})
+		if agent := sim.agents[machine]; agent != nil {
+			agent.apply([]protocol.Command{{Verb: protocol.VerbStart, Task: task, Attempt: injectedAttempt}})
 		}
 	}
 }
 
+// actInjectAnswer: "inject-answer run-1 done" tells a user of a stage, in the wire's words.
 func actInjectAnswer(sim *simulation, line *statement) func() {
 	id, stage := line.arg(0), line.arg(1)
 	return func() {
-		j := sim.users.jobs[id]
-		final := ""
-		if j != nil {
-			final = j.outcome
+		job := sim.users.jobs[id]
+		outcome := ""
+		if job != nil {
+			outcome = job.outcome
 		}
-		sim.checker.jobAnswered(id, j, final, stage)
+		sim.checker.jobAnswered(id, job, outcome, stage)
 	}
 }
 
+// actInjectRefusal: "inject-refusal run-1" tells a user that its job is unknown.
 func actInjectRefusal(sim *simulation, line *statement) func() {
 	id := line.arg(0)
-	return func() { sim.checker.jobDenied(id, sim.users.jobs[id], 404) }
+	return func() { sim.checker.jobDenied(sim.users.jobs[id], id, http.StatusNotFound) }
 }
 
+// actInjectLostAnswers: "inject-lost-answers run-1" loses the answers to all polls of a job.
 func actInjectLostAnswers(sim *simulation, line *statement) func() {
 	id := line.arg(0)
 	return func() { sim.users.jobs[id].answersLost = true }
--- a/internal/scenario/actions_machines.go
+++ b/internal/scenario/actions_machines.go
@@ -1,117 +1,93 @@
 package scenario
 
-// Actions on machines and on the messages from and to their workers.
+// Actions on machines. Those that begin with a machine take "some" for a share of them all,
+// as in "machine-pause some 20s share=0.3 zone=north".
 
+// actMachinePause: "machine-pause m-000000 20s" lets machines stand still.
 func actMachinePause(sim *simulation, line *statement) func() {
-	pick, d := sim.machinesOf(line), line.duration(line.arg(1))
+	pick, lasting := sim.machinesOf(line), line.duration(line.arg(1))
 	return func() {
-		for _, x := range pick() {
-			sim.noteFault("machine-pause", d)
-			x.pause(d)
+		for _, agent := range pick() {
+			sim.faults.note("machine-pause", lasting)
+			agent.pause(lasting)
 		}
 	}
 }
 
-func actMachineOneWayPartition(sim *simulation, line *statement) func() {
-	pick, lasting, mute := sim.machinesOf(line), line.duration(line.arg(1)), line.verb == "outbound-partition"
+// actOneWayPartition: "inbound-partition m-000000 60s" keeps messages from reaching
+// machines, "outbound-partition m-000000 60s" those that they send from reaching others.
+func actOneWayPartition(sim *simulation, line *statement) func() {
+	pick, lasting, outbound := sim.machinesOf(line), line.duration(line.arg(1)), line.verb == "outbound-partition"
 	return func() {
 		for _, agent := range pick() {
-			sim.noteFault(line.verb, lasting)
-			if mute {
-				agent.outboundPartition = true
-			} else {
-				agent.inboundPartition = true
+			sim.faults.note(line.verb, lasting)
+			cut := &agent.inboundPartition
+			if outbound {
+				cut = &agent.outboundPartition
 			}
-			sim.after(lasting, func() {
-				if mute {
-					agent.outboundPartition = false
-				} else {
-					agent.inboundPartition = false
-				}
-			})
+			*cut = true
+			sim.after(lasting, func() { *cut = false })
 		}
 	}
 }
 
+// actMachineRestart: "machine-restart m-000000" ends everything on a machine, which is back
+// at once.
 func actMachineRestart(sim *simulation, line *statement) func() {
-	name := line.arg(0)
-	return func() {
-		if x := sim.agents[name]; x != nil {
-			x.restart()
-		}
-	}
+	return sim.withAgent(line.arg(0), (*fakeAgent).restart)
 }
 
+// actMachineCrash: "machine-crash m-000000" ends machines; the cloud notices later.
 func actMachineCrash(sim *simulation, line *statement) func() {
 	pick := sim.machinesOf(line)
 	return func() {
-		for _, x := range pick() {
-			sim.cloud.crash(x.machine.Name)
+		for _, agent := range pick() {
+			sim.cloud.crash(agent.machine.Name)
 		}
 	}
 }
 
+// actReclaim: "reclaim m-000000 notice=8s" lets the cloud take a machine back.
 func actReclaim(sim *simulation, line *statement) func() {
-	name, notice := line.arg(0), line.duration(line.text("notice", "0s"))
+	machine, notice := line.arg(0), line.duration(line.text("notice", "0s"))
 	return func() {
-		if x := sim.agents[name]; x != nil && notice > 0 {
-			x.terminatedAt = sim.now + notice
-			x.wantHeartbeat()
+		if agent := sim.agents[machine]; agent != nil && notice > 0 {
+			agent.terminatedAt = sim.now + notice
+			agent.wantHeartbeat()
 		}
-		sim.after(notice, func() { sim.cloud.delete([]string{name}) })
+		sim.after(notice, func() { sim.cloud.delete([]string{machine}) })
 	}
 }
 
+// actMachinePartition: "machine-partition m-000000 25s" cuts machines off; what is sent
+// meanwhile arrives afterwards.
 func actMachinePartition(sim *simulation, line *statement) func() {
-	pick, d := sim.machinesOf(line), line.duration(line.arg(1))
+	pick, lasting := sim.machinesOf(line), line.duration(line.arg(1))
 	return func() {
-		for _, x := range pick() {
-			sim.noteFault("machine-partition", d)
-			x.partitioned = true
-			sim.after(d, x.heal)
+		for _, agent := range pick() {
+			sim.faults.note("machine-partition", lasting)
+			agent.partitioned = true
+			sim.after(lasting, agent.heal)
 		}
 	}
 }
 
+// actMachineFaulty: "machine-faulty m-000000" lets all tasks fail that run there.
 func actMachineFaulty(sim *simulation, line *statement) func() {
-	name := line.arg(0)
-	return func() {
-		if x := sim.agents[name]; x != nil {
-			x.faulty = true
-		}
-	}
+	return sim.withAgent(line.arg(0), func(agent *fakeAgent) { agent.faulty = true })
 }
 
+// actMachineSlow: "machine-slow m-000000 factor=4" lets tasks take longer there.
 func actMachineSlow(sim *simulation, line *statement) func() {
-	name, factor := line.arg(0), line.number("factor", 3)
+	factor := line.number("factor", 3)
+	return sim.withAgent(line.arg(0), func(agent *fakeAgent) { agent.slowdown = factor })
+}
+
+// withAgent returns what does something with a machine's agent, if it is up by then.
+func (s *simulation) withAgent(machine string, do func(*fakeAgent)) func() {
 	return func() {
-		if x := sim.agents[name]; x != nil {
-			x.slowdown = factor
+		if agent := s.agents[machine]; agent != nil {
+			do(agent)
 		}
 	}
 }
-
-func actCommandLatency(sim *simulation, line *statement) func() {
-	share, most := line.number("share", 0.3), line.duration(line.text("most", "10s"))
-	return func() { sim.drag, sim.dragMost = share, most }
-}
-
-func actDuplicateHeartbeats(sim *simulation, line *statement) func() {
-	share, least, most := line.number("share", 0.3), line.duration(line.text("least", "1s")), line.duration(line.text("most", "90s"))
-	return func() { sim.copies, sim.copyLeast, sim.copyMost = share, least, most }
-}
-
-func actReplayHeartbeats(sim *simulation, line *statement) func() {
-	share := line.number("share", 0.5)
-	return func() { sim.keptCopies = share }
-}
-
-func actDelayedCommands(sim *simulation, line *statement) func() {
-	share, least, most := line.number("share", 0.3), line.duration(line.text("least", "2s")), line.duration(line.text("most", "16s"))
-	return func() { sim.lateCommands, sim.lateLeast, sim.lateMost = share, least, most }
-}
-
-func actDuplicateCommands(sim *simulation, line *statement) func() {
-	share := line.number("share", 0.3)
-	return func() { sim.echo = share }
-}
--- /dev/null
+++ b/internal/scenario/actions_messages.go
@@ -0,0 +1,41 @@
+package scenario
+
+// Actions on the messages between controllers and agents. Each holds until it is set anew;
+// share=0 ends it.
+
+// actCommandLatency: "command-latency share=0.3 most=10s" holds commands or their answers
+// up.
+func actCommandLatency(sim *simulation, line *statement) func() {
+	share, most := line.number("share", 0.3), line.duration(line.text("most", "10s"))
+	return func() { sim.commands.latencyShare, sim.commands.maxLatency = share, most }
+}
+
+// actDelayedCommands: "delayed-commands share=0.3 least=2s most=16s" lets commands be
+// carried out late, unanswered.
+func actDelayedCommands(sim *simulation, line *statement) func() {
+	share := line.number("share", 0.3)
+	least, most := line.duration(line.text("least", "2s")), line.duration(line.text("most", "16s"))
+	return func() { sim.commands.delayedShare, sim.commands.least, sim.commands.most = share, least, most }
+}
+
+// actDuplicateCommands: "duplicate-commands share=0.3" lets a second copy of commands
+// arrive late.
+func actDuplicateCommands(sim *simulation, line *statement) func() {
+	share := line.number("share", 0.3)
+	return func() { sim.commands.duplicateShare = share }
+}
+
+// actDuplicateHeartbeats: "duplicate-heartbeats share=0.3 least=1s most=90s" lets a second
+// copy of heartbeats arrive late, at any controller.
+func actDuplicateHeartbeats(sim *simulation, line *statement) func() {
+	share := line.number("share", 0.3)
+	least, most := line.duration(line.text("least", "1s")), line.duration(line.text("most", "90s"))
+	return func() { sim.heartbeats.duplicateShare, sim.heartbeats.least, sim.heartbeats.most = share, least, most }
+}
+
+// actReplayHeartbeats: "replay-heartbeats share=0.5" keeps copies of heartbeats, which
+// arrive at every controller when a new leader begins.
+func actReplayHeartbeats(sim *simulation, line *statement) func() {
+	share := line.number("share", 0.5)
+	return func() { sim.heartbeats.replayShare = share }
+}
--- a/internal/scenario/agent_link.go
+++ b/internal/scenario/agent_link.go
@@ -6,75 +6,123 @@
 	"rockrun/internal/protocol"
 )
 
-// workerLink is a process's way to the workers.
+// commandFaults are what happens to commands on their way to agents.
+type commandFaults struct {
+	duplicateShare float64 // of which a second copy arrives late
+
+	delayedShare float64 // that are carried out late, unanswered
+	least, most  time.Duration
+
+	latencyShare float64 // that are held up on their way there or back
+	maxLatency   time.Duration
+}
+
+const (
+	// commandTimeout is how long a controller waits for the answer to commands.
+	commandTimeout = 2 * time.Second
+	// maxDuplicateDelay is how long after commands their copy arrives at the latest.
+	maxDuplicateDelay = 20 * time.Second
+)
+
+// agentLink is a process's way to the agents.
 type agentLink struct{ process *process }
 
-// Command implements coordination.Workers.
-func (l agentLink) Execute(addr string, o protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
+// Execute implements coordination.Agents.
+func (l agentLink) Execute(address string, request protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
 	sim := l.process.host.sim
-	sim.trace.sentJSON(l.process.host.name, "command "+addr, o)
-	fail := func() {
-		sim.after(2*time.Second, l.process.guard(func() { done(nil, false, protocol.ErrOutcomeUnknown) }))
+	sim.trace.sentJSON(l.process.host.name, "command "+address, request)
+	d := &commandDelivery{sim: sim, sender: l.process, request: request, done: done}
+	agent := sim.agentAt(address)
+	switch {
+	case agent == nil || !sim.reachable(l.process.host, agent):
+		d.fail()
+	case agent.partitioned || agent.isPaused():
+		// Held back, and carried out once that ends.
+		agent.heldBack = append(agent.heldBack, func() { agent.execute(request) })
+		d.fail()
+	case sim.commands.delayedShare > 0 && sim.rand.Float64() < sim.commands.delayedShare:
+		d.deliverLate(agent)
+		d.fail()
+	default:
+		d.deliver(agent)
 	}
-	for _, w := range sim.agents {
-		if w.machine.Address != addr {
-			continue
-		}
-		if !sim.reachable(l.process.host, w) {
-			break
-		}
-		if w.partitioned || w.isPaused() {
-			// Held back, and carried out once the cut ends.
-			w.heldBack = append(w.heldBack, func() { w.execute(o) })
-			break
+}
+
+// agentAt finds the agent with an address, or returns nil.
+func (s *simulation) agentAt(address string) *fakeAgent {
+	for _, agent := range s.agents {
+		if agent.machine.Address == address {
+			return agent
 		}
-		if sim.lateCommands > 0 && sim.rand.Float64() < sim.lateCommands {
-			// Held up on its way, and carried out once if token and session still match.
-			late := sim.lateLeast + time.Duration(sim.rand.Int64N(int64(sim.lateMost-sim.lateLeast)+1))
-			sim.noteFault("delayed-command", late)
-			sim.after(late, func() {
-				if !w.dead && !w.isPaused() {
-					w.execute(o)
-				}
-			})
-			break
+	}
+	return nil
+}
+
+// commandDelivery is a request with commands on its way to an agent.
+type commandDelivery struct {
+	sim       *simulation
+	sender    *process
+	request   protocol.CommandRequest
+	done      func(*protocol.AgentHeartbeat, bool, error)
+	abandoned bool // the sender waits no longer
+}
+
+// fail lets the sender hear after a while that there was no answer.
+func (d *commandDelivery) fail() {
+	d.sim.after(commandTimeout, d.sender.guard(func() { d.done(nil, false, protocol.ErrOutcomeUnknown) }))
+}
+
+// deliverLate lets the commands arrive late. They are carried out if token and epoch still
+// match.
+func (d *commandDelivery) deliverLate(agent *fakeAgent) {
+	delay := d.sim.randomBetween(d.sim.commands.least, d.sim.commands.most)
+	d.sim.faults.note("delayed-command", delay)
+	d.sim.after(delay, func() {
+		if !agent.dead && !agent.isPaused() {
+			agent.execute(d.request)
 		}
-		there, back := sim.delay(), time.Duration(0)
-		if sim.drag > 0 && sim.rand.Float64() < sim.drag {
-			// Held up on its way there or back; the sender may give up meanwhile.
-			sim.noteFault("command-latency", sim.dragMost)
-			d := time.Duration(sim.rand.Int64N(int64(sim.dragMost)))
-			if sim.rand.IntN(2) == 0 {
-				there += d
-			} else {
-				back += d
-			}
+	})
+}
+
+// deliver sends the commands. They or their answer may be held up on the way, and the
+// sender may give up meanwhile.
+func (d *commandDelivery) deliver(agent *fakeAgent) {
+	sim := d.sim
+	there, back := sim.latency(), time.Duration(0)
+	if sim.commands.latencyShare > 0 && sim.rand.Float64() < sim.commands.latencyShare {
+		sim.faults.note("command-latency", sim.commands.maxLatency)
+		delay := sim.randomBelow(sim.commands.maxLatency)
+		if sim.rand.IntN(2) == 0 {
+			there += delay
+		} else {
+			back += delay
 		}
-		given := there+back > 2*time.Second
-		if given {
-			fail()
+	}
+	d.abandoned = there+back > commandTimeout
+	if d.abandoned {
+		d.fail()
+	}
+	sim.after(there, func() { d.arrive(agent, back) })
+}
+
+// arrive carries the commands out, and answers after some more time than a message takes.
+func (d *commandDelivery) arrive(agent *fakeAgent, extra time.Duration) {
+	if agent.dead || agent.partitioned || agent.inboundPartition || agent.isPaused() {
+		if !d.abandoned {
+			d.fail()
 		}
-		sim.after(there, func() {
-			if w.dead || w.partitioned || w.inboundPartition || w.isPaused() {
-				if !given {
-					fail()
-				}
-				return
-			}
-			r, ok := w.execute(o)
-			if sim.rand.Float64() < sim.echo {
-				// A late copy of a request that was carried out.
-				sim.after(time.Duration(sim.rand.Int64N(int64(20*time.Second))), func() {
-					if !w.dead {
-						w.execute(o)
-					}
-				})
-			}
-			if !given {
-				sim.after(back+sim.delay(), l.process.guard(func() { done(r, ok, nil) }))
+		return
+	}
+	sim := d.sim
+	heartbeat, executed := agent.execute(d.request)
+	if sim.rand.Float64() < sim.commands.duplicateShare {
+		sim.after(sim.randomBelow(maxDuplicateDelay), func() {
+			if !agent.dead {
+				agent.execute(d.request)
 			}
 		})
-		return
 	}
-	fail()
+	if !d.abandoned {
+		sim.after(extra+sim.latency(), d.sender.guard(func() { d.done(heartbeat, executed, nil) }))
+	}
 }
--- a/internal/scenario/checker.go
+++ b/internal/scenario/checker.go
@@ -13,220 +13,196 @@
 // checker watches the rules of the protocol. It sees what really runs, not what
 // the controllers believe.
 type checker struct {
-	sim        *simulation
-	runningOn       map[string][]*fakeAgent // where a task is on its machine
-	completedTasks map[string]bool     // tasks that have completed
-	starts   int
-	startsAfterCancellation int // starts after a confirmed withdrawal, within the time for cancelling or not
-	violations   []string
+	sim                     *simulation
+	runningOn               map[string][]*fakeAgent // by task
+	completedTasks          map[string]bool
+	starts                  int
+	startsAfterCancellation int           // after a confirmed one, within the time for cancelling or not
+	livenessFrom            time.Duration // when all faults were over; 0: not yet
+	violations              []string
 }
 
 func newChecker(sim *simulation) *checker {
 	return &checker{sim: sim, runningOn: map[string][]*fakeAgent{}, completedTasks: map[string]bool{}}
 }
 
-func (c *checker) violate(rule, format string, args ...any) {
-	c.violations = append(c.violations, fmt.Sprintf("%s at %s: %s", rule, c.sim.now, fmt.Sprintf(format, args...)))
+// violate notes that a rule is broken.
+func (c *checker) violate(broken rule, format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%s at %s: %s", broken, c.sim.now, fmt.Sprintf(format, args...)))
 }
 
-// began is called when a task has its image and starts.
-func (c *checker) taskStarted(agent *fakeAgent, t *agentTask) {
+// jobOf is the job of a task, as its user knows it.
+func (c *checker) jobOf(task *agentTask) *userJob { return c.sim.users.jobs[task.spec.ID] }
+
+// taskStarted is called when a task has its image and starts.
+func (c *checker) taskStarted(agent *fakeAgent, task *agentTask) {
 	c.starts++
-	if j := c.sim.users.jobs[t.spec.ID]; j.startedAt == 0 {
-		j.startedAt = c.sim.now
-	}
-	if others := c.runningOn[t.Task]; len(others) > 0 {
-		c.violate("ran_twice", "%s starts on %s while on %s", t.Task, agent.machine.Name, others[0].machine.Name)
-	}
-	c.checkPlacement(agent, t)
-	c.checkDependencies(t.Task, c.sim.users.jobs[t.spec.ID])
-	c.runningOn[t.Task] = append(c.runningOn[t.Task], agent)
-	if c.sim.users.jobs[t.spec.ID].cancelledAt > 0 {
-		c.startsAfterCancellation++
+	job := c.jobOf(task)
+	if job.startedAt == 0 {
+		job.startedAt = c.sim.now
+	}
+	if others := c.runningOn[task.Task]; len(others) > 0 {
+		c.violate(ruleRanTwice, "%s starts on %s while on %s", task.Task, agent.machine.Name, others[0].machine.Name)
+	}
+	c.checkPlacement(agent, task)
+	c.checkDependencies(task.Task, job)
+	c.runningOn[task.Task] = append(c.runningOn[task.Task], agent)
+	c.checkNotCancelled(task, job)
+	c.checkQuota(task)
+}
+
+// checkNotCancelled checks that a task that starts is of no job that was cancelled for
+// longer than a cancellation may take.
+func (c *checker) checkNotCancelled(task *agentTask, job *userJob) {
+	if job.cancelledAt == 0 {
+		return
 	}
-	if j := c.sim.users.jobs[t.spec.ID]; j.cancelledAt > 0 && c.sim.now > j.cancelledAt+c.sim.cluster.Agents.CancelTimeout() {
-		c.violate("ran_cancelled", "%s starts %s after its withdrawal", t.Task, c.sim.now-j.cancelledAt)
+	c.startsAfterCancellation++
+	if c.sim.now > job.cancelledAt+c.sim.cluster.Agents.CancelTimeout() {
+		c.violate(ruleRanCancelled, "%s starts %s after its cancellation", task.Task, c.sim.now-job.cancelledAt)
 	}
-	c.checkQuota(t)
 }
 
-// quota checks that what runs of a team stays within its limit.
-func (c *checker) checkQuota(t *agentTask) {
-	i := slices.IndexFunc(c.sim.cluster.Teams, func(x config.Team) bool { return x.Name == t.spec.Team })
+// checkQuota checks that what runs of a task's team stays within its maximum.
+func (c *checker) checkQuota(task *agentTask) {
+	team := task.spec.Team
+	i := slices.IndexFunc(c.sim.cluster.Teams, func(t config.Team) bool { return t.Name == team })
 	most := c.sim.cluster.Teams[i].MaxCPUs
 	if most <= 0 {
-		return // no limit
+		return // no maximum
 	}
 	cpus := 0.0
-	for _, x := range c.sim.agents {
-		for _, o := range x.tasks {
-			if (o == t || o.State == protocol.TaskRunning || o.State == protocol.TaskSaving) && o.spec != nil && o.spec.Team == t.spec.Team {
-				cpus += o.spec.CPUs
+	for _, agent := range c.sim.agents {
+		for _, other := range agent.tasks {
+			if (other == task || other.active()) && other.spec != nil && other.spec.Team == team {
+				cpus += other.spec.CPUs
 			}
 		}
 	}
-	if cpus > most+1e-6 {
-		c.violate("quota", "team %s uses %v of %v CPUs", t.spec.Team, cpus, most)
+	if cpus > most+capacityTolerance {
+		c.violate(ruleQuota, "team %s uses %v of %v CPUs", team, cpus, most)
 	}
 }
 
-// place checks that a task starts where its job allows.
-func (c *checker) checkPlacement(agent *fakeAgent, t *agentTask) {
-	spec := t.spec
-	if agent.machine.Spot && !spec.Spot || spec.Zone != "" && spec.Zone != agent.machine.Zone || len(spec.Types) > 0 && !slices.Contains(spec.Types, agent.machine.Type) {
-		c.violate("wrong_place", "%s on %s", t.Task, agent.machine.Name)
+// checkPlacement checks that a task starts where its job allows.
+func (c *checker) checkPlacement(agent *fakeAgent, task *agentTask) {
+	spec := task.spec
+	if !allowedOn(spec, agent.machine) {
+		c.violate(ruleWrongPlace, "%s on %s", task.Task, agent.machine.Name)
 	}
 	if !spec.OneZone && !spec.Spread {
 		return // any zone will do
 	}
-	here, elsewhere := 1, 0
-	for task, workers := range c.runningOn {
-		id, _, err := protocol.ParseTaskName(task)
-		if err != nil || id != spec.ID || task == t.Task {
+	here, elsewhere := c.tasksByZone(task, agent.machine.Zone)
+	here++
+	if spec.OneZone && elsewhere > 0 {
+		c.violate(ruleWrongPlace, "%s in zone %s, others elsewhere", task.Task, agent.machine.Zone)
+	}
+	if spec.Spread && here > (spec.Tasks+1)/2 {
+		c.violate(ruleWrongPlace, "%d of %d tasks of %s in zone %s", here, spec.Tasks, spec.ID, agent.machine.Zone)
+	}
+}
+
+// allowedOn reports whether a job's tasks may be on a machine, for its type, its zone and
+// whether it is a spot machine.
+func allowedOn(spec *protocol.JobSpec, machine *fakeMachine) bool {
+	switch {
+	case machine.Spot && !spec.Spot:
+		return false
+	case spec.Zone != "" && spec.Zone != machine.Zone:
+		return false
+	default:
+		return len(spec.Types) == 0 || slices.Contains(spec.Types, machine.Type)
+	}
+}
+
+// tasksByZone counts the other tasks of a task's job that are on machines, those in a zone
+// and those in others.
+func (c *checker) tasksByZone(task *agentTask, zone string) (here, elsewhere int) {
+	for name, agents := range c.runningOn {
+		if !isTaskOf(name, task.spec.ID) || name == task.Task {
 			continue
 		}
-		for _, x := range workers {
-			if x.machine.Zone == agent.machine.Zone {
+		for _, agent := range agents {
+			if agent.machine.Zone == zone {
 				here++
 			} else {
 				elsewhere++
 			}
 		}
 	}
-	if spec.OneZone && elsewhere > 0 {
-		c.violate("wrong_place", "%s in zone %s, others elsewhere", t.Task, agent.machine.Zone)
-	}
-	if spec.Spread && here > (spec.Tasks+1)/2 {
-		c.violate("wrong_place", "%d of %d tasks of %s in zone %s", here, spec.Tasks, spec.ID, agent.machine.Zone)
-	}
+	return here, elsewhere
 }
 
-// left is called when a task is no longer on its machine.
-func (c *checker) taskLeft(w *fakeAgent, t *agentTask) {
-	c.runningOn[t.Task] = slices.DeleteFunc(c.runningOn[t.Task], func(x *fakeAgent) bool { return x == w })
-	if len(c.runningOn[t.Task]) == 0 {
-		delete(c.runningOn, t.Task)
-	}
+// isTaskOf reports whether a name is that of a task of a job.
+func isTaskOf(task, job string) bool {
+	id, _, err := protocol.ParseTaskName(task)
+	return err == nil && id == job
 }
 
-// told is called with every answer of the service about a job; final is the
-// final state that the user had been told when it asked, if any.
-func (c *checker) jobAnswered(id string, j *userJob, final, stage string) {
-	if j == nil {
-		c.violate("invented", "%s is %s", id, stage)
-		return
+// taskLeft is called when a task is no longer on its machine.
+func (c *checker) taskLeft(agent *fakeAgent, task *agentTask) {
+	c.runningOn[task.Task] = slices.DeleteFunc(c.runningOn[task.Task], func(other *fakeAgent) bool { return other == agent })
+	if len(c.runningOn[task.Task]) == 0 {
+		delete(c.runningOn, task.Task)
 	}
-	if final != "" && stage != final {
-		c.violate("went_back", "%s was %s and is %s", id, final, stage)
-	}
-	switch stage {
-	case protocol.StageDone:
-		if !c.complete(j) {
-			c.violate("not_done", "%s is called done, not all of its tasks are", id)
-		}
-	case protocol.StageCancelled:
-		if !j.cancelRequested && !c.mayBeCancelled(j) {
-			c.violate("went_back", "%s is called withdrawn and nobody asked for it", id)
-		}
-		if j.cancelledAt == 0 {
-			j.cancelledAt = c.sim.now
-			c.sim.noteFault("cancel-confirmed", 0)
-			c.sim.after(c.sim.cluster.Agents.CancelTimeout(), func() { c.checkCancelled(id) })
+}
+
+// machinesOf lists the machines that tasks of a job are on.
+func (c *checker) machinesOf(job string) []*fakeAgent {
+	var tasks []string
+	for task := range c.runningOn {
+		if isTaskOf(task, job) {
+			tasks = append(tasks, task)
 		}
-	default:
-		c.checkOrphaned(j, stage)
-		return
 	}
-	if j.outcome != "" && j.outcome != stage {
-		c.violate("went_back", "%s was %s and is %s", id, j.outcome, stage)
+	slices.Sort(tasks)
+	var agents []*fakeAgent
+	for _, task := range tasks {
+		agents = append(agents, c.runningOn[task]...)
 	}
-	j.outcome = stage
+	return agents
 }
 
 // complete reports whether all tasks of a job have completed.
-func (c *checker) complete(j *userJob) bool {
-	for task := range j.spec.Tasks {
-		if !c.completedTasks[protocol.TaskName(j.spec.ID, task)] {
+func (c *checker) complete(job *userJob) bool {
+	for task := range job.spec.Tasks {
+		if !c.completedTasks[protocol.TaskName(job.spec.ID, task)] {
 			return false
 		}
 	}
 	return true
 }
 
-// gone checks that a withdrawn job has left every machine.
-func (c *checker) checkCancelled(id string) {
-	for task, workers := range c.runningOn {
-		if job, _, err := protocol.ParseTaskName(task); err == nil && job == id && len(workers) > 0 {
-			c.violate("ran_cancelled", "%s is still on %s", task, workers[0].machine.Name)
-		}
-	}
-}
+// maxUnpolled is for how long polls of a job may be unanswered at the end.
+const maxUnpolled = 90 * time.Second
 
-// refused is called with an answer that denies an accepted job.
-func (c *checker) jobDenied(id string, j *userJob, status int) {
-	if j != nil && j.accepted {
-		c.violate("forgotten", "%s is answered %d", id, status)
+// end checks what only the end of the scenario shows.
+func (c *checker) end() {
+	if c.starts == 0 {
+		c.violate(ruleNothingRan, "no task was started")
 	}
-}
-
-// answeredBad is called with the answer to a submission that can't run, or that is
-// malformed.
-func (c *checker) invalidAnswered(body string, status int) {
-	if status == http.StatusOK || status == http.StatusCreated {
-		c.violate("accepted_bad", "%.60q is answered %d", body, status)
+	if id := c.cancelledWithoutCause(); id != "" {
+		c.violate(ruleWentBack, "%s is called cancelled and nothing before it is", id)
 	}
-}
-
-// answerWithin is how long after the last fault a job may go unanswered.
-const maxUnanswered = 75 * time.Second
-
-// calm is called once all faults are over: from then on no accepted job may go
-// unanswered for long, however others fare.
-func (c *checker) checkLiveness() {
-	c.sim.livenessFrom = max(c.sim.now, 1)
-	var look func()
-	look = func() {
-		for _, j := range c.sim.users.jobs {
-			if since := max(c.sim.livenessFrom, j.answeredAt, j.acceptedAt); j.accepted && j.outcome == "" && c.sim.now-since > maxUnanswered {
-				c.violate("forgotten", "no question about %s was answered since %s", j.spec.ID, since)
-			}
+	for _, job := range c.sim.users.jobs {
+		if job.accepted && job.unansweredSince > 0 && c.sim.now-job.unansweredSince > maxUnpolled {
+			c.violate(ruleForgotten, "no poll for %s was answered since %s", job.spec.ID, job.unansweredSince)
 		}
-		c.checkWaiting()
-		c.sim.after(5*time.Second, look)
 	}
-	look()
 }
 
-// unserved names an accepted job that neither is over nor runs as it should.
-func (c *checker) unservedJob() string {
-	running := map[string]int{}
-	for task, workers := range c.runningOn {
-		if id, _, err := protocol.ParseTaskName(task); err == nil && len(workers) > 0 {
-			running[id]++
-		}
+// jobDenied is called with an answer that denies a job, which must not be an accepted one.
+func (c *checker) jobDenied(job *userJob, id string, status int) {
+	if job != nil && job.accepted {
+		c.violate(ruleForgotten, "%s is answered %d", id, status)
 	}
-	for id, j := range c.sim.users.jobs {
-		if _, cancelled := c.dependencyCancelledAt(j); !j.accepted || j.cancelRequested || j.outcome != "" || cancelled {
-			continue
-		}
-		if j.spec.Kind != protocol.KindService || running[id] < j.spec.Tasks {
-			return id
-		}
-	}
-	return ""
 }
 
-// end checks what only the end of the day shows.
-func (c *checker) end() {
-	if c.starts == 0 {
-		c.violate("nothing_ran", "no task was started")
-	}
-	if id := c.cancelledWithoutCause(); id != "" {
-		c.violate("went_back", "%s is called withdrawn and nothing before it is", id)
-	}
-	for _, j := range c.sim.users.jobs {
-		if j.accepted && j.unansweredSince > 0 && c.sim.now-j.unansweredSince > 90*time.Second {
-			c.violate("forgotten", "no poll for %s was answered since %s", j.spec.ID, j.unansweredSince)
-		}
+// invalidAnswered is called with the answer to a submission that can't run, or that is
+// malformed.
+func (c *checker) invalidAnswered(body string, status int) {
+	if status == http.StatusOK || status == http.StatusCreated {
+		c.violate(ruleAcceptedBad, "%.60q is answered %d", body, status)
 	}
 }
--- a/internal/scenario/checker_dependencies.go
+++ b/internal/scenario/checker_dependencies.go
@@ -8,101 +8,91 @@
 	"rockrun/internal/protocol"
 )
 
-// Rules on jobs that wait for others.
+// Rules on jobs that depend on others.
 
-// needsDone reports whether all jobs that a job needs are done: as it is, not as
-// anybody was told.
-func (c *checker) dependenciesComplete(j *userJob) bool {
-	return !slices.ContainsFunc(j.spec.Dependencies, c.incomplete)
+// dependenciesComplete reports whether all jobs that a job depends on are done: as it is,
+// not as anybody was told.
+func (c *checker) dependenciesComplete(job *userJob) bool {
+	return !slices.ContainsFunc(job.spec.Dependencies, c.incomplete)
 }
 
 // incomplete reports whether a job that another one names is not done.
 func (c *checker) incomplete(id string) bool {
-	need := c.sim.users.jobs[id]
-	return need == nil || !c.complete(need)
+	job := c.sim.users.jobs[id]
+	return job == nil || !c.complete(job)
 }
 
-// tooEarly is called when a task of a job starts.
-func (c *checker) checkDependencies(task string, j *userJob) {
-	for _, id := range j.spec.Dependencies {
+// checkDependencies is called when a task of a job starts.
+func (c *checker) checkDependencies(task string, job *userJob) {
+	for _, id := range job.spec.Dependencies {
 		if c.incomplete(id) {
-			c.violate("too_early", "%s starts before %s is done", task, id)
+			c.violate(ruleTooEarly, "%s starts before %s is done", task, id)
 		}
 	}
 }
 
-// before lists the jobs that a job needs, directly or through others.
-func (c *checker) dependenciesOf(j *userJob) []*userJob {
-	var list []*userJob
-	for next := []*userJob{j}; len(next) > 0; {
-		last := next[len(next)-1]
-		next = next[:len(next)-1]
+// dependenciesOf lists the jobs that a job depends on, directly or through others.
+func (c *checker) dependenciesOf(job *userJob) []*userJob {
+	var found []*userJob
+	for open := []*userJob{job}; len(open) > 0; {
+		last := open[len(open)-1]
+		open = open[:len(open)-1]
 		for _, id := range last.spec.Dependencies {
-			if need := c.sim.users.jobs[id]; need != nil && !slices.Contains(list, need) {
-				list = append(list, need)
-				next = append(next, need)
+			if dependency := c.sim.users.jobs[id]; dependency != nil && !slices.Contains(found, dependency) {
+				found = append(found, dependency)
+				open = append(open, dependency)
 			}
 		}
 	}
-	return list
+	return found
 }
 
-// cancelledBefore returns since when the user of a job has known that one before it is
-// cancelled, or false.
-func (c *checker) dependencyCancelledAt(j *userJob) (time.Duration, bool) {
-	since, found := time.Duration(0), false
-	for _, need := range c.dependenciesOf(j) {
-		if need.outcome == protocol.StageCancelled && (!found || need.cancelledAt < since) {
-			since, found = need.cancelledAt, true
+// dependencyCancelledAt returns since when the users have known that a dependency of a job
+// is cancelled, or false.
+func (c *checker) dependencyCancelledAt(job *userJob) (since time.Duration, found bool) {
+	for _, dependency := range c.dependenciesOf(job) {
+		if dependency.outcome == protocol.StageCancelled && (!found || dependency.cancelledAt < since) {
+			since, found = dependency.cancelledAt, true
 		}
 	}
 	return since, found
 }
 
 // mayBeCancelled reports whether a job may be called cancelled that its own user
-// didn't cancel: one before it was asked to be, and isn't known to be done instead.
-func (c *checker) mayBeCancelled(j *userJob) bool {
-	return slices.ContainsFunc(c.dependenciesOf(j), func(need *userJob) bool { return need.cancelRequested && need.outcome != protocol.StageDone })
+// didn't cancel: a dependency was asked to be, and isn't known to be done instead.
+func (c *checker) mayBeCancelled(job *userJob) bool {
+	return slices.ContainsFunc(c.dependenciesOf(job), func(dependency *userJob) bool {
+		return dependency.cancelRequested && dependency.outcome != protocol.StageDone
+	})
 }
 
-// orphaned is called when a job is called queued or running.
-func (c *checker) checkOrphaned(j *userJob, stage string) {
-	since, found := c.dependencyCancelledAt(j)
-	since = max(since, j.acceptedAt)
+// checkOrphaned is called when a job is called queued or running.
+func (c *checker) checkOrphaned(job *userJob, stage string) {
+	since, found := c.dependencyCancelledAt(job)
+	since = max(since, job.acceptedAt)
 	if found && c.sim.now > since+c.sim.cluster.Agents.CancelTimeout() {
-		c.violate("orphaned", "%s is called %s, one before it has been cancelled since %s", j.spec.ID, stage, since)
+		c.violate(ruleOrphaned, "%s is called %s, one before it has been cancelled since %s", job.spec.ID, stage, since)
 	}
 }
 
-// acceptedNeeds is called with the answer to a submission; whether all jobs that it
+// checkDependencyAnswer is called with the answer to a submission; whether all jobs that it
 // names had been accepted is what was so when it was sent.
-func (c *checker) checkDependencyAnswer(j *userJob, status int, allAccepted bool) {
+func (c *checker) checkDependencyAnswer(job *userJob, status int, allAccepted bool) {
+	dependencies := job.spec.Dependencies
 	switch {
-	case allAccepted && status == http.StatusUnprocessableEntity && len(j.spec.Dependencies) > 0 && !c.dependsOnService(j):
-		c.violate("refused_needs", "%s is answered %d, all that it needs was accepted", j.spec.ID, status)
-	case status == http.StatusCreated && slices.ContainsFunc(j.spec.Dependencies, func(id string) bool { return c.sim.users.jobs[id] == nil }):
-		c.violate("invented", "%s is accepted, and needs one that nobody has submitted", j.spec.ID)
+	case allAccepted && status == http.StatusUnprocessableEntity && len(dependencies) > 0 && !c.dependsOnService(job):
+		c.violate(ruleRefusedNeeds, "%s is answered %d, all that it needs was accepted", job.spec.ID, status)
+	case status == http.StatusCreated && slices.ContainsFunc(dependencies, c.neverSubmitted):
+		c.violate(ruleInvented, "%s is accepted, and needs one that nobody has submitted", job.spec.ID)
 	}
 }
 
-// needsService reports whether a job names a service, as no user should.
-func (c *checker) dependsOnService(j *userJob) bool {
-	return slices.ContainsFunc(j.spec.Dependencies, func(id string) bool {
-		need := c.sim.users.jobs[id]
-		return need != nil && need.spec.Kind == protocol.KindService
-	})
-}
+func (c *checker) neverSubmitted(id string) bool { return c.sim.users.jobs[id] == nil }
 
-// causeless names a job that is called cancelled though neither its user cancelled it
-// nor any job before it is cancelled.
-func (c *checker) cancelledWithoutCause() string {
-	for id, j := range c.sim.users.jobs {
-		if j.outcome != protocol.StageCancelled || j.cancelRequested {
-			continue
-		}
-		if _, found := c.dependencyCancelledAt(j); !found {
-			return id
-		}
-	}
-	return ""
+// dependsOnService reports whether a job names a service, as no user should.
+func (c *checker) dependsOnService(job *userJob) bool {
+	return slices.ContainsFunc(job.spec.Dependencies, func(id string) bool {
+		dependency := c.sim.users.jobs[id]
+		return dependency != nil && dependency.spec.Kind == protocol.KindService
+	})
 }
--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -12,11 +12,12 @@
 
 // idleWorld has one machine with room and one accepted job that fits there.
 func idleWorld() (*simulation, *userJob) {
-	s := newSim(config.Cluster{Teams: []config.Team{{Name: "red", MaxCPUs: 4}}, Agents: config.Agents{LeaseSeconds: 30, CancelSeconds: 60}}, config.DefaultOptions(), 1, io.Discard)
-	r := &fakeMachine{machinePool: machinePool{"small", "north", false}}
+	s := newSimulation(config.Cluster{Teams: []config.Team{{Name: "red", MaxCPUs: 4}}, Agents: config.Agents{LeaseSeconds: 30, CancelSeconds: 60}}, config.DefaultOptions(), 1, io.Discard)
+	r := &fakeMachine{pool: machinePool{machineType: "small", zone: "north"}}
 	r.Name, r.Type, r.Zone = "m-1", "small", "north"
 	s.agents["m-1"] = &fakeAgent{sim: s, machine: r, machineType: &protocol.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}}
-	j := &userJob{accepted: true, spec: protocol.JobSpec{ID: "run-1", Class: "c", Team: "red", Kind: protocol.KindArray, Tasks: 1, CPUs: 2, MemoryGB: 1}}
+	j := &userJob{spec: protocol.JobSpec{ID: "run-1", Class: "c", Team: "red", Kind: protocol.KindArray, Tasks: 1, CPUs: 2, MemoryGB: 1}}
+	j.accepted = true
 	s.users.jobs["run-1"] = j
 	return s, j
 }
@@ -54,22 +55,23 @@
 	s, small := idleWorld()
 	s.now = 10 * time.Minute
 	small.outcome, small.startedAt = protocol.StageDone, time.Second
-	large := &userJob{accepted: true, outcome: protocol.StageDone, startedAt: 2 * time.Minute, spec: small.spec}
+	large := &userJob{spec: small.spec}
+	large.accepted, large.outcome, large.startedAt = true, protocol.StageDone, 2*time.Minute
 	large.spec.ID, large.spec.Tasks = "run-2", 100
 	s.users.jobs["run-2"] = large
-	if why := s.servedWell(0.5, 4*time.Minute); why != "" {
+	if why := s.unserved(0.5, 4*time.Minute); why != "" {
 		t.Errorf("all is served: %s", why)
 	}
 	large.startedAt = 5 * time.Minute
-	if why := s.servedWell(0.5, 4*time.Minute); !strings.Contains(why, "begin") {
+	if why := s.unserved(0.5, 4*time.Minute); !strings.Contains(why, "begin") {
 		t.Errorf("a largest job began late: %q", why)
 	}
 	large.startedAt, large.outcome = time.Second, ""
-	if why := s.servedWell(0.5, 4*time.Minute); !strings.Contains(why, "largest") {
+	if why := s.unserved(0.5, 4*time.Minute); !strings.Contains(why, "largest") {
 		t.Errorf("no largest job is served: %q", why)
 	}
 	large.outcome, small.outcome, small.spec.Class, small.spec.Team = protocol.StageDone, "", "d", "red"
-	if why := s.servedWell(0.5, 4*time.Minute); why == "" {
+	if why := s.unserved(0.5, 4*time.Minute); why == "" {
 		t.Error("a class is not served")
 	}
 }
@@ -105,11 +107,11 @@
 	play(11*time.Second, "partition", "a peers")
 	play(20*time.Second, "heal", "all store")
 	s.now = 21 * time.Second
-	s.noteFault("while one part is cut", 0)
+	s.faults.note("while one part is cut", 0)
 	play(22*time.Second, "heal", "all peers")
 	s.now = 23 * time.Second
-	s.noteFault("after it", 0)
-	if s.overlaps("partition", "while one part is cut") != 1 || s.overlaps("partition", "after it") != 0 {
-		t.Errorf("spans: %+v", s.spans)
+	s.faults.note("after it", 0)
+	if s.faults.overlaps("partition", "while one part is cut") != 1 || s.faults.overlaps("partition", "after it") != 0 {
+		t.Errorf("spans: %+v", s.faults.spans)
 	}
 }
--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -8,195 +8,187 @@
 	"rockrun/internal/protocol"
 )
 
+// machinePool is a kind of machines that the cloud has a number of.
 type machinePool struct {
-	machineType, zone string
-	spot      bool
+	machineType string
+	zone        string
+	spot        bool
 }
 
-// cloud is the stand-in for the cloud.
+// fakeCloud is the stand-in for the cloud.
 type fakeCloud struct {
-	sim        *simulation
+	sim      *simulation
 	types    []protocol.MachineType
 	capacity map[machinePool]int
-	machines   []*fakeMachine
-	nextNumber     int
-	requests     map[string][]string
-	outage   bool
-	calls    int
-	lostAnswerShare     float64 // share of answers that are lost, the request being carried out
-	bootFailures   int     // so many of the next machines never come up
+	machines []*fakeMachine      // all that there ever were, in the order of their creation
+	requests map[string][]string // names of the machines that were created, by request
+
+	calls           int
+	outage          bool
+	lostAnswerShare float64 // of answers that are lost, the request being carried out
+	bootFailures    int     // so many of the next machines never boot
 }
 
+// fakeMachine is a machine that the cloud created.
 type fakeMachine struct {
 	protocol.CloudMachine
-	machinePool
-	createdAt      time.Duration
-	deleted    bool
-	stages []stageChange
+	pool      machinePool
+	createdAt time.Duration
+	deleted   bool
+	stages    []stageChange
 }
 
-// seen is how a machine stood from a time on; lists are as old as the lag.
+// stageChange is the stage of a machine from a time on. Lists show it after a lag.
 type stageChange struct {
 	at    time.Duration
-	stage string // "" once it is gone
+	stage string // stageDeleted or one of protocol's
+}
+
+const (
+	stageDeleted = ""
+	// crashNoticeDelay is how long after a crash of a machine the cloud notices.
+	crashNoticeDelay = 30 * time.Second
+	// Machines boot within this range of the time that their type states.
+	minBootFactor   = 0.6
+	bootFactorRange = 0.9
+	// Lists are this range of the stated lag old.
+	minLagFactor   = 0.5
+	lagFactorRange = 1.5
+)
+
+func (m *fakeMachine) setStage(now time.Duration, stage string) {
+	m.stages = append(m.stages, stageChange{at: now, stage: stage})
 }
 
-func (c *fakeCloud) find(name string) *fakeMachine {
-	for _, r := range c.machines {
-		if r.Name == name {
-			return r
+// stageAt is the stage of a machine at a time, or stageDeleted before its creation.
+func (m *fakeMachine) stageAt(when time.Duration) string {
+	stage := stageDeleted
+	for _, change := range m.stages {
+		if change.at <= when {
+			stage = change.stage
 		}
 	}
-	return nil
+	return stage
 }
 
-func (r *fakeMachine) setStage(now time.Duration, stage string) {
-	r.stages = append(r.stages, stageChange{now, stage})
+// find looks a machine up by its name, or returns nil.
+func (c *fakeCloud) find(name string) *fakeMachine {
+	i := slices.IndexFunc(c.machines, func(m *fakeMachine) bool { return m.Name == name })
+	if i < 0 {
+		return nil
+	}
+	return c.machines[i]
 }
 
+// create creates as many machines as there is capacity for and returns their names; a
+// request that was carried out before gets the names that it got then.
 func (c *fakeCloud) create(request protocol.CreateMachinesRequest) ([]string, error) {
 	if names, ok := c.requests[request.Request]; ok {
 		return names, nil
 	}
-	pool := machinePool{request.Type, request.Zone, request.Spot}
-	free := c.capacity[pool]
-	for _, r := range c.machines {
-		if r.machinePool == pool && !r.deleted {
-			free--
-		}
-	}
-	n := min(free, request.Count)
-	if n <= 0 {
+	pool := machinePool{machineType: request.Type, zone: request.Zone, spot: request.Spot}
+	count := min(c.free(pool), request.Count)
+	if count <= 0 {
 		return nil, protocol.ErrNoCapacity
 	}
 	var names []string
-	for range n {
-		machine := &fakeMachine{machinePool: pool, createdAt: c.sim.now}
-		machine.CloudMachine = protocol.CloudMachine{Name: fmt.Sprintf("m-%06d", c.nextNumber), Address: fmt.Sprintf("w:%d", c.nextNumber), Type: request.Type, Zone: request.Zone, Spot: request.Spot}
-		c.nextNumber++
-		c.machines = append(c.machines, machine)
-		machine.setStage(c.sim.now, protocol.MachineBooting)
-		names = append(names, machine.Name)
-		if c.bootFailures > 0 {
-			c.bootFailures--
-			continue
-		}
-		i := slices.IndexFunc(c.types, func(t protocol.MachineType) bool { return t.Name == request.Type })
-		boot := time.Duration(c.types[i].BootSeconds * (0.6 + 0.9*c.sim.rand.Float64()) * float64(time.Second))
-		c.sim.after(boot, func() {
-			if !machine.deleted {
-				machine.setStage(c.sim.now, protocol.MachineRunning)
-				newAgent(c.sim, machine, &c.types[i])
-			}
-		})
+	for range count {
+		names = append(names, c.createOne(pool).Name)
 	}
 	c.requests[request.Request] = names
 	return names, nil
 }
 
+// free is how many machines of a pool can be created.
+func (c *fakeCloud) free(pool machinePool) int {
+	free := c.capacity[pool]
+	for _, machine := range c.machines {
+		if machine.pool == pool && !machine.deleted {
+			free--
+		}
+	}
+	return free
+}
+
+// createOne creates a machine, which boots unless it is one of those that fail to.
+func (c *fakeCloud) createOne(pool machinePool) *fakeMachine {
+	number := len(c.machines)
+	machine := &fakeMachine{pool: pool, createdAt: c.sim.now}
+	machine.CloudMachine = protocol.CloudMachine{
+		Name:    fmt.Sprintf("m-%06d", number),
+		Address: fmt.Sprintf("w:%d", number),
+		Type:    pool.machineType,
+		Zone:    pool.zone,
+		Spot:    pool.spot,
+	}
+	c.machines = append(c.machines, machine)
+	machine.setStage(c.sim.now, protocol.MachineBooting)
+	if c.bootFailures > 0 {
+		c.bootFailures--
+		return machine
+	}
+	c.boot(machine)
+	return machine
+}
+
+func (c *fakeCloud) boot(machine *fakeMachine) {
+	i := slices.IndexFunc(c.types, func(t protocol.MachineType) bool { return t.Name == machine.Type })
+	machineType := &c.types[i]
+	seconds := machineType.BootSeconds * (minBootFactor + bootFactorRange*c.sim.rand.Float64())
+	c.sim.after(time.Duration(seconds*float64(time.Second)), func() {
+		if !machine.deleted {
+			machine.setStage(c.sim.now, protocol.MachineRunning)
+			newAgent(c.sim, machine, machineType)
+		}
+	})
+}
+
+// delete deletes machines; those that are unknown or deleted stay as they are.
 func (c *fakeCloud) delete(names []string) {
 	for _, name := range names {
-		if r := c.find(name); r != nil && !r.deleted {
-			r.deleted = true
-			r.setStage(c.sim.now, "")
-			if w := c.sim.agents[name]; w != nil {
-				w.shutDown()
-			}
+		machine := c.find(name)
+		if machine == nil || machine.deleted {
+			continue
 		}
+		machine.deleted = true
+		machine.setStage(c.sim.now, stageDeleted)
+		c.shutDownAgent(name)
 	}
 }
 
-// die lets a machine stop by itself; the list notices later.
+// crash lets a machine stop by itself; the cloud notices later.
 func (c *fakeCloud) crash(name string) {
 	machine := c.find(name)
 	if machine == nil || machine.deleted {
 		return
 	}
-	if w := c.sim.agents[name]; w != nil {
-		w.shutDown()
-	}
-	c.sim.after(30*time.Second, func() {
+	c.shutDownAgent(name)
+	c.sim.after(crashNoticeDelay, func() {
 		if !machine.deleted {
 			machine.setStage(c.sim.now, protocol.MachineFailed)
 		}
 	})
 }
 
-func (c *fakeCloud) list() []protocol.CloudMachine {
-	lag := time.Duration(c.sim.cluster.Cloud.ListLagSeconds * (0.5 + 1.5*c.sim.rand.Float64()) * float64(time.Second))
-	asOf := c.sim.now - lag
-	var out []protocol.CloudMachine
-	for _, machine := range c.machines {
-		stage := ""
-		for _, h := range machine.stages {
-			if h.at <= asOf {
-				stage = h.stage
-			}
-		}
-		if stage != "" {
-			m := machine.CloudMachine
-			m.Stage, m.AgeSeconds = stage, (asOf - machine.createdAt).Seconds()
-			out = append(out, m)
-		}
+func (c *fakeCloud) shutDownAgent(machine string) {
+	if agent := c.sim.agents[machine]; agent != nil {
+		agent.shutDown()
 	}
-	return out
-}
-
-// cloudLink is a process's way to the cloud.
-type cloudLink struct{ process *process }
-
-func (l cloudLink) sent(kind string, message any) {
-	l.process.host.sim.trace.sentJSON(l.process.host.name, kind, message)
 }
 
-func (l cloudLink) call(do func(c *fakeCloud) func(), failed func(error)) {
-	sim := l.process.host.sim
-	sim.cloud.calls++
-	sim.after(sim.delay(), func() {
-		if sim.cloud.outage {
-			sim.after(sim.delay(), l.process.guard(func() { failed(protocol.ErrNotExecuted) }))
-			return
-		}
-		back := do(sim.cloud)
-		if sim.rand.Float64() < sim.cloud.lostAnswerShare {
-			sim.after(5*time.Second, l.process.guard(func() { failed(protocol.ErrOutcomeUnknown) }))
-			return
+// list is the machines as they were a lag ago.
+func (c *fakeCloud) list() []protocol.CloudMachine {
+	lagSeconds := c.sim.cluster.Cloud.ListLagSeconds * (minLagFactor + lagFactorRange*c.sim.rand.Float64())
+	asOf := c.sim.now - time.Duration(lagSeconds*float64(time.Second))
+	var listed []protocol.CloudMachine
+	for _, machine := range c.machines {
+		stage := machine.stageAt(asOf)
+		if stage == stageDeleted {
+			continue
 		}
-		sim.after(50*time.Millisecond, l.process.guard(back))
-	})
-}
-
-// Catalogue implements coordination.Cloud.
-func (l cloudLink) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
-	l.sent("machine types", nil)
-	l.call(func(c *fakeCloud) func() {
-		return func() { done(protocol.MachineTypeCatalogue{Types: c.types}, nil) }
-	}, func(err error) { done(protocol.MachineTypeCatalogue{}, err) })
-}
-
-// Rent implements coordination.Cloud.
-func (l cloudLink) CreateMachines(r protocol.CreateMachinesRequest, done func([]string, error)) {
-	l.sent("rent", r)
-	l.call(func(c *fakeCloud) func() {
-		names, err := c.create(r)
-		return func() { done(names, err) }
-	}, func(err error) { done(nil, err) })
-}
-
-// Delete implements coordination.Cloud.
-func (l cloudLink) DeleteMachines(names []string, done func(error)) {
-	l.sent("delete", names)
-	l.call(func(c *fakeCloud) func() {
-		c.delete(names)
-		return func() { done(nil) }
-	}, done)
-}
-
-// List implements coordination.Cloud.
-func (l cloudLink) ListMachines(done func([]protocol.CloudMachine, error)) {
-	l.sent("list machines", nil)
-	l.call(func(c *fakeCloud) func() {
-		list := c.list()
-		return func() { done(list, nil) }
-	}, func(err error) { done(nil, err) })
+		entry := machine.CloudMachine
+		entry.Stage, entry.AgeSeconds = stage, (asOf - machine.createdAt).Seconds()
+		listed = append(listed, entry)
+	}
+	return listed
 }
--- /dev/null
+++ b/internal/scenario/cloud_link.go
@@ -0,0 +1,76 @@
+package scenario
+
+import (
+	"time"
+
+	"rockrun/internal/protocol"
+)
+
+const (
+	// cloudTimeout is how long a process waits for a lost answer of the cloud.
+	cloudTimeout = 5 * time.Second
+	// cloudAnswerDelay is how long an answer of the cloud takes.
+	cloudAnswerDelay = 50 * time.Millisecond
+)
+
+// cloudLink is a process's way to the cloud.
+type cloudLink struct{ process *process }
+
+func (l cloudLink) sent(kind string, message any) {
+	l.process.host.sim.trace.sentJSON(l.process.host.name, kind, message)
+}
+
+// call sends a request. serve carries it out and returns what to do when its answer
+// arrives; failed is called when none does.
+func (l cloudLink) call(serve func(cloud *fakeCloud) func(), failed func(error)) {
+	sim := l.process.host.sim
+	cloud := sim.cloud
+	cloud.calls++
+	sim.after(sim.latency(), func() {
+		if cloud.outage {
+			sim.after(sim.latency(), l.process.guard(func() { failed(protocol.ErrNotExecuted) }))
+			return
+		}
+		answer := serve(cloud)
+		if sim.rand.Float64() < cloud.lostAnswerShare {
+			sim.after(cloudTimeout, l.process.guard(func() { failed(protocol.ErrOutcomeUnknown) }))
+			return
+		}
+		sim.after(cloudAnswerDelay, l.process.guard(answer))
+	})
+}
+
+// MachineTypes implements coordination.Cloud.
+func (l cloudLink) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
+	l.sent("machine types", nil)
+	l.call(func(cloud *fakeCloud) func() {
+		return func() { done(protocol.MachineTypeCatalogue{Types: cloud.types}, nil) }
+	}, func(err error) { done(protocol.MachineTypeCatalogue{}, err) })
+}
+
+// CreateMachines implements coordination.Cloud.
+func (l cloudLink) CreateMachines(request protocol.CreateMachinesRequest, done func([]string, error)) {
+	l.sent("rent", request)
+	l.call(func(cloud *fakeCloud) func() {
+		names, err := cloud.create(request)
+		return func() { done(names, err) }
+	}, func(err error) { done(nil, err) })
+}
+
+// DeleteMachines implements coordination.Cloud.
+func (l cloudLink) DeleteMachines(names []string, done func(error)) {
+	l.sent("delete", names)
+	l.call(func(cloud *fakeCloud) func() {
+		cloud.delete(names)
+		return func() { done(nil) }
+	}, done)
+}
+
+// ListMachines implements coordination.Cloud.
+func (l cloudLink) ListMachines(done func([]protocol.CloudMachine, error)) {
+	l.sent("list machines", nil)
+	l.call(func(cloud *fakeCloud) func() {
+		list := cloud.list()
+		return func() { done(list, nil) }
+	}, func(err error) { done(nil, err) })
+}
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -1,33 +1,42 @@
 package scenario
 
-import (
-	"time"
-)
+import "time"
+
+// faultLog notes when each fault lasted. Scenarios that combine faults prove by it that
+// these overlapped.
+type faultLog struct {
+	clock *clock
+	spans []faultSpan
+}
 
-// faultSpan is a time during which a fault lasted; a confirmed cancellation is one
-// without length. Scenarios that make two faults overlap prove by them that they
-// did.
+// faultSpan is a time during which a fault lasted; an event, such as a confirmed
+// cancellation, is one without length.
 type faultSpan struct {
-	name     string
-	key      string // tells those apart that last at the same time
-	begin, end time.Duration
+	name  string
+	key   string // tells those apart that last at the same time
+	begin time.Duration
+	end   time.Duration // stillLasting until it is known
 }
 
-// noteFault notes that a fault lasts for so long from now on.
-func (s *simulation) noteFault(name string, d time.Duration) {
-	s.spans = append(s.spans, faultSpan{name: name, begin: s.now, end: s.now + d})
+// stillLasting is the end of a fault that has not ended.
+const stillLasting = -1
+
+// note notes that a fault lasts for so long from now on.
+func (l *faultLog) note(name string, lasting time.Duration) {
+	l.spans = append(l.spans, faultSpan{name: name, begin: l.clock.now, end: l.clock.now + lasting})
 }
 
-// faultBegins and faultEnds note a fault whose end is not known when it begins; key
-// tells those apart that last at the same time.
-func (s *simulation) faultBegins(name, key string) {
-	s.spans = append(s.spans, faultSpan{name: name, key: key, begin: s.now, end: -1})
+// begin notes a fault whose end is not known yet; key tells those apart that last at the
+// same time.
+func (l *faultLog) begin(name, key string) {
+	l.spans = append(l.spans, faultSpan{name: name, key: key, begin: l.clock.now, end: stillLasting})
 }
 
-func (s *simulation) faultEnds(name, key string) {
-	for i := range s.spans {
-		if p := &s.spans[i]; p.name == name && p.key == key && p.end < 0 {
-			p.end = s.now
+// end notes that a fault with a key is over, if there was one.
+func (l *faultLog) end(name, key string) {
+	for i := range l.spans {
+		if span := &l.spans[i]; span.name == name && span.key == key && span.end == stillLasting {
+			span.end = l.clock.now
 		}
 	}
 }
@@ -40,56 +49,30 @@
 )
 
 // noteHandover notes that the machines of a shard change hands now.
-func (s *simulation) noteHandover() {
-	s.spans = append(s.spans, faultSpan{name: "handover", begin: s.now - handoverBefore, end: s.now + handoverAfter})
+func (l *faultLog) noteHandover() {
+	l.spans = append(l.spans, faultSpan{name: "handover", begin: l.clock.now - handoverBefore, end: l.clock.now + handoverAfter})
 }
 
-// apart cuts a zone off from everything else: its machines and the controllers
-// in it reach each other and nobody more. What is on its way is lost.
-func (s *simulation) partitionZone(zone string, d time.Duration) {
-	s.noteFault("zone-partition", d)
-	s.cutZone = zone
-	for _, h := range s.hosts {
-		if h.zone == zone {
-			h.setPartition("store", true)
-			h.setPartition("peers", true)
-		}
-	}
-	s.after(d, func() {
-		s.cutZone = ""
-		for _, h := range s.hosts {
-			if h.zone == zone {
-				h.setPartition("store", false)
-				h.setPartition("peers", false)
+// overlaps counts the pairs of two faults that lasted at the same time.
+func (l *faultLog) overlaps(first, second string) int {
+	count := 0
+	for _, one := range l.spans {
+		for _, other := range l.spans {
+			if one != other && one.name == first && other.name == second && l.overlap(one, other) {
+				count++
 			}
 		}
-	})
+	}
+	return count
 }
 
-// reach reports whether messages pass between a controller and a machine.
-func (s *simulation) reachable(h *host, w *fakeAgent) bool {
-	return !h.agentsPartitioned && (s.cutZone == "" || (h.zone == s.cutZone) == (w.machine.Zone == s.cutZone))
+func (l *faultLog) overlap(one, other faultSpan) bool {
+	return max(one.begin, other.begin) <= min(l.endOf(one), l.endOf(other))
 }
 
-// overlaps reports how often two faults lasted at the same time.
-func (s *simulation) overlaps(a, b string) int {
-	n := 0
-	for _, x := range s.spans {
-		for _, y := range s.spans {
-			if x.name != a || y.name != b || x == y {
-				continue
-			}
-			endX, endY := x.end, y.end
-			if endX < 0 {
-				endX = s.now
-			}
-			if endY < 0 {
-				endY = s.now
-			}
-			if max(x.begin, y.begin) <= min(endX, endY) {
-				n++
-			}
-		}
+func (l *faultLog) endOf(span faultSpan) time.Duration {
+	if span.end == stillLasting {
+		return l.clock.now
 	}
-	return n
+	return span.end
 }
--- /dev/null
+++ b/internal/scenario/peer_link.go
@@ -0,0 +1,54 @@
+package scenario
+
+import (
+	"time"
+
+	"rockrun/internal/protocol"
+)
+
+// peerTimeout is how long a controller waits for the answer of one that can't be reached.
+const peerTimeout = time.Second
+
+// peerLink is a process's way to other controllers.
+type peerLink struct{ process *process }
+
+// Ask implements coordination.Peers.
+func (l peerLink) Ask(peer string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
+	from := l.process.host
+	sim := from.sim
+	sim.trace.asked(from.name, peer, request)
+	to := sim.findHost(peer)
+	if to == nil || to.process == nil || to.peersPartitioned || from.peersPartitioned {
+		l.fail(done)
+		return
+	}
+	receiver := to.process
+	sim.after(sim.latency(), func() {
+		if receiver.dead {
+			l.fail(done)
+			return
+		}
+		l.deliver(receiver, request, done)
+	})
+}
+
+// deliver hands a request to a process that runs. The sender does not wait for one that is
+// paused, which reads the request afterwards all the same: it hears neither an answer nor
+// an error.
+func (l peerLink) deliver(receiver *process, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
+	sim := l.process.host.sim
+	if receiver.host.isPaused() {
+		done = func(protocol.PeerAnswer, error) {}
+	}
+	receiver.guard(func() {
+		receiver.controller.OnPeer(request, func(answer protocol.PeerAnswer) {
+			sim.trace.replied(receiver.host.name, answer)
+			sim.after(sim.latency(), l.process.guard(func() { done(answer, nil) }))
+		})
+	})()
+}
+
+// fail lets a request end without an answer.
+func (l peerLink) fail(done func(protocol.PeerAnswer, error)) {
+	l.process.host.sim.after(peerTimeout, l.process.guard(func() { done(protocol.PeerAnswer{}, protocol.ErrOutcomeUnknown) }))
+}
--- a/internal/scenario/statement.go
+++ b/internal/scenario/statement.go
@@ -32,6 +32,7 @@
 	return line
 }
 
+// arg is a positional argument, which must be there.
 func (line *statement) arg(i int) string {
 	if i >= len(line.args) {
 		line.fail("%s: argument %d is missing", line.verb, i+1)
@@ -40,33 +41,61 @@
 	return line.args[i]
 }
 
+// text is the value of a pair, or the fallback.
 func (line *statement) text(name, fallback string) string {
-	if v, ok := line.pairs[name]; ok {
-		return v
+	if value, ok := line.pairs[name]; ok {
+		return value
 	}
 	return fallback
 }
 
+// flag reports whether a pair is there and says anything.
+func (line *statement) flag(name string) bool { return line.text(name, "") != "" }
+
+// list is the value of a pair, taken apart at commas; nil if it is empty.
+func (line *statement) list(name string) []string {
+	value := line.text(name, "")
+	if value == "" {
+		return nil
+	}
+	return strings.Split(value, ",")
+}
+
+// number is the value of a pair as a number, or the fallback.
 func (line *statement) number(name string, fallback float64) float64 {
-	v, ok := line.pairs[name]
+	value, ok := line.pairs[name]
 	if !ok {
 		return fallback
 	}
-	f, err := strconv.ParseFloat(v, 64)
+	return line.parseNumber(value)
+}
+
+// numbers is the value of a pair as a list of numbers; nil if it is empty.
+func (line *statement) numbers(name string) (numbers []float64) {
+	for _, value := range line.list(name) {
+		numbers = append(numbers, line.parseNumber(value))
+	}
+	return numbers
+}
+
+func (line *statement) parseNumber(value string) float64 {
+	number, err := strconv.ParseFloat(value, 64)
 	if err != nil {
-		line.fail("%s: %v", line.verb, err)
+		line.fail("%s: %w", line.verb, err)
 	}
-	return f
+	return number
 }
 
-func (line *statement) duration(s string) time.Duration {
-	d, err := time.ParseDuration(s)
+// duration reads a duration such as 20s.
+func (line *statement) duration(value string) time.Duration {
+	duration, err := time.ParseDuration(value)
 	if err != nil {
-		line.fail("%s: %v", line.verb, err)
+		line.fail("%s: %w", line.verb, err)
 	}
-	return d
+	return duration
 }
 
+// fail notes what is wrong with the line, unless something is already.
 func (line *statement) fail(format string, args ...any) {
 	if line.err == nil {
 		line.err = fmt.Errorf(format, args...)
@@ -75,12 +104,12 @@
 
 // statements are a file's lines without comments and empty lines.
 func statements(data []byte) []string {
-	var out []string
-	for _, text := range strings.Split(string(data), "\n") {
+	var lines []string
+	for text := range strings.Lines(string(data)) {
 		text, _, _ = strings.Cut(text, "#")
 		if text = strings.TrimSpace(text); text != "" {
-			out = append(out, text)
+			lines = append(lines, text)
 		}
 	}
-	return out
+	return lines
 }
--- /dev/null
+++ b/internal/scenario/store_link.go
@@ -0,0 +1,165 @@
+package scenario
+
+import (
+	"strings"
+	"time"
+
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+const (
+	// transactionTimeout is how long a process waits for a lost answer to a transaction.
+	transactionTimeout = 2 * time.Second
+	// maxTransactionDelay is how late a delayed transaction is applied at most.
+	maxTransactionDelay = 20 * time.Second
+	// storePageItems is how many items a page has; few, so that paging is used.
+	storePageItems = 10
+)
+
+// storeLink is a process's way to the key-value store.
+type storeLink struct{ process *process }
+
+func (l storeLink) sent(kind string, values ...any) {
+	l.process.host.sim.trace.sent(l.process.host.name, kind, values...)
+}
+
+// call sends a request. serve is called when it arrives and returns what to do when its
+// answer does, or nil if that is seen to; refused is called when it is not carried out.
+func (l storeLink) call(serve func(store *fakeStore) func(), refused func(error)) {
+	sim := l.process.host.sim
+	store := sim.store
+	store.requests++
+	delay := sim.latency()
+	if store.latencyShare > 0 && sim.rand.Float64() < store.latencyShare {
+		delay += sim.randomBelow(store.maxLatency)
+	}
+	sim.after(delay, func() {
+		if store.refuses(l.process.host) {
+			l.answer(func() { refused(protocol.ErrNotExecuted) })
+			return
+		}
+		if answer := serve(store); answer != nil {
+			l.answer(answer)
+		}
+	})
+}
+
+// answer lets an answer arrive at the process.
+func (l storeLink) answer(callback func()) {
+	sim := l.process.host.sim
+	sim.after(sim.latency(), l.process.guard(callback))
+}
+
+// Get implements kv.Store.
+func (l storeLink) Get(key string, done func(protocol.KeyValue, bool, error)) {
+	l.sent("get", key)
+	l.call(func(store *fakeStore) func() {
+		if strings.HasPrefix(key, storage.FinalKey("")) {
+			store.finalReads++
+		}
+		found := store.items[key]
+		if found == nil {
+			return func() { done(protocol.KeyValue{}, false, nil) }
+		}
+		item := *found
+		return func() { done(item, true, nil) }
+	}, func(err error) { done(protocol.KeyValue{}, false, err) })
+}
+
+// List implements kv.Store.
+func (l storeLink) List(prefix, after string, done func(protocol.KeyValuePage, error)) {
+	l.sent("list", prefix, after)
+	l.call(func(store *fakeStore) func() {
+		page := protocol.KeyValuePage{Revision: store.revision}
+		for _, key := range store.keys(prefix) {
+			if key <= after {
+				continue
+			}
+			if len(page.Items) == storePageItems {
+				page.More = true
+				break
+			}
+			page.Items = append(page.Items, *store.items[key])
+		}
+		return func() { done(page, nil) }
+	}, func(err error) { done(protocol.KeyValuePage{}, err) })
+}
+
+// Commit implements kv.Store.
+func (l storeLink) Commit(transaction protocol.Transaction, done func(uint64, error)) {
+	sim := l.process.host.sim
+	sim.trace.sentJSON(l.process.host.name, "transaction", transaction)
+	l.call(func(store *fakeStore) func() {
+		if sim.rand.Float64() < store.lostAnswerShare {
+			store.commitUnanswered(transaction)
+			sim.faults.note("lost-answer", transactionTimeout)
+			sim.after(transactionTimeout, l.process.guard(func() { done(0, protocol.ErrOutcomeUnknown) }))
+			return nil
+		}
+		revision, err := store.commit(transaction)
+		return func() { done(revision, err) }
+	}, func(err error) { done(0, err) })
+}
+
+// commitUnanswered carries a transaction out, at once or late, and tells nobody what came
+// of it.
+func (s *fakeStore) commitUnanswered(transaction protocol.Transaction) {
+	sim := s.sim
+	if sim.rand.Float64() >= s.delayedShare {
+		_, _ = s.commit(transaction)
+		return
+	}
+	delay := sim.randomBelow(maxTransactionDelay)
+	sim.faults.note("delayed-write", delay)
+	sim.after(delay, func() {
+		if !s.outage {
+			_, _ = s.commit(transaction)
+		}
+	})
+}
+
+// OpenLease implements kv.Store.
+func (l storeLink) OpenLease(ttl time.Duration, done func(uint64, error)) {
+	l.sent("new lease", ttl)
+	l.call(func(store *fakeStore) func() {
+		id := store.openLease(ttl)
+		return func() { done(id, nil) }
+	}, func(err error) { done(0, err) })
+}
+
+// RenewLease implements kv.Store.
+func (l storeLink) RenewLease(id uint64, done func(error)) {
+	l.sent("renew", id)
+	l.call(func(store *fakeStore) func() {
+		lease := store.leases[id]
+		if lease == nil {
+			return func() { done(protocol.ErrLeaseNotFound) }
+		}
+		store.extendLease(id, lease)
+		return func() { done(nil) }
+	}, done)
+}
+
+// RevokeLease implements kv.Store.
+func (l storeLink) RevokeLease(id uint64, done func(error)) {
+	l.sent("end lease", id)
+	l.call(func(store *fakeStore) func() {
+		store.revokeLease(id)
+		return func() { done(nil) }
+	}, done)
+}
+
+// Watch implements kv.Store.
+func (l storeLink) Watch(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
+	l.sent("follow", prefix, after, wait)
+	l.call(func(store *fakeStore) func() {
+		if changes := store.changes(prefix, after); len(changes.Events) > 0 || wait == 0 {
+			return func() { done(changes, nil) }
+		}
+		watch := &storeWatch{process: l.process, prefix: prefix, after: after, done: done}
+		store.watches = append(store.watches, watch)
+		store.sim.after(wait, watch.expire)
+		return nil
+	}, func(err error) { done(protocol.Changes{}, err) })
+}
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -17,10 +17,17 @@
 // Log lines are no part of it, so rewording one does not change a digest, while any
 // other decision, or the same one at another time, does.
 type trace struct {
-	sim    *simulation
+	sim  *simulation
 	hash hash.Hash
 }
 
+// Kinds of what is sent to agents and users. Like all kinds they are part of the recorded
+// digests, so their texts stay as they were when these were made.
+const (
+	kindHeartbeatAnswer = "report"
+	kindUserAnswer      = "user"
+)
+
 func newTrace(sim *simulation) *trace { return &trace{sim: sim, hash: sha256.New()} }
 
 // digest identifies all that was sent so far.
@@ -41,15 +48,15 @@
 }
 
 // answered takes in a controller's answer to an agent or a user.
-func (t *trace) answered(controller, kind string, a api.Answer) {
-	t.sentJSON(controller, kind, []any{a.Status, a.RetryAfter, a.Body})
+func (t *trace) answered(controller, kind string, answer api.Answer) {
+	t.sentJSON(controller, kind, []any{answer.Status, answer.RetryAfter, answer.Body})
 }
 
 // asked takes in a request to another controller. The heartbeats that it passes on are
 // named only: they are the agents' words, not the controller's.
-func (t *trace) asked(controller, receiver string, r protocol.PeerRequest) {
-	t.sent(controller, "cancelled", receiver, r.Cancelled)
-	heartbeat := r.Heartbeat
+func (t *trace) asked(controller, receiver string, request protocol.PeerRequest) {
+	t.sent(controller, "cancelled", receiver, request.Cancelled)
+	heartbeat := request.Heartbeat
 	if heartbeat == nil {
 		return
 	}
@@ -62,8 +69,8 @@
 }
 
 // replied takes in an answer to another controller.
-func (t *trace) replied(controller string, a protocol.PeerAnswer) {
-	if a.Reply != nil {
-		t.sent(controller, "reply", *a.Reply)
+func (t *trace) replied(controller string, answer protocol.PeerAnswer) {
+	if answer.Reply != nil {
+		t.sent(controller, "reply", *answer.Reply)
 	}
 }
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"net/http"
 	"time"
 
@@ -10,202 +11,236 @@
 	"rockrun/internal/protocol"
 )
 
-// users submit jobs, poll them and withdraw some.
+// fakeUsers are the stand-in for the users: they submit jobs, poll them and cancel some.
 type fakeUsers struct {
-	sim    *simulation
-	jobs map[string]*userJob
-
-	cancelOnCompletionShare float64 // share of jobs that are called off at the moment of their end
-	invalidRequests int     // odd submissions so far
-
-	probeUntil   time.Duration // until then users look closely, see lookClosely
-	cancelOnAcceptShare float64       // share of them that cancel an accepted job at once
-
-	probeAnswers int // answers to close looks
-
-	healthyControllersOnly bool // users come to controllers that the state service serves
-}
-
-type userJob struct {
-	spec        protocol.JobSpec
-	runSeconds         float64 // what a task really takes
-	taskRunSeconds        []float64
-	failsEverywhere      bool // fails wherever it runs
-	submittedAt   time.Duration
-	accepted    bool
-	acceptedAt  time.Duration
-	status      int // last answer to the submission
-	cancelRequested       bool
-	cancelledAt time.Duration
-	outcome       string
-	outcomeAt     time.Duration
-	unansweredSince     time.Duration // since when no poll was answered
-	answeredAt       time.Duration // last answered poll
-	answersLost       bool          // answers to its polls are lost on purpose
-	startedAt     time.Duration // first task started
-	waitingSince   time.Duration // since when it waits though there is room; 0: not so
-	resubmissions     int
-	completedAt  time.Duration // when its last task completed
-}
-
-// ask makes a request to some node that is up; answer is called once, with
-// status 0 when no answer came.
-func (u *fakeUsers) request(call func(n *coordination.Controller, reply func(api.Answer)), answer func(api.Answer)) {
+	sim  *simulation
+	jobs map[string]*userJob // by id, those that were submitted
+
+	healthyControllersOnly  bool    // users come to controllers that the store serves
+	cancelOnCompletionShare float64 // of jobs that are cancelled at the moment of their end
+	invalidRequests         int     // so far
+
+	probeUntil          time.Duration // until then users probe, see probe
+	cancelOnAcceptShare float64       // of them that cancel an accepted job at once
+	probeAnswers        int           // so far
+}
+
+// Times of the users.
+const (
+	userTimeout           = 5 * time.Second
+	submitPatience        = time.Minute // for how long an undecided submission is repeated
+	retryPause            = time.Second
+	maxResubmissionPause  = 30 * time.Second
+	pollPause             = 5 * time.Second
+	pollPauseAfterOutcome = 40 * time.Second
+)
+
+// request is a call of a controller by a user.
+type request func(controller *coordination.Controller, reply func(api.Answer))
+
+// submission is the request to accept a job.
+func submission(body []byte) request {
+	return func(controller *coordination.Controller, reply func(api.Answer)) { controller.Submit(body, reply) }
+}
+
+// statusOf is the request for the status of a job.
+func statusOf(id string) request {
+	return func(controller *coordination.Controller, reply func(api.Answer)) { controller.Status(id, reply) }
+}
+
+// cancellation is the request to cancel a job.
+func cancellation(id string) request {
+	return func(controller *coordination.Controller, reply func(api.Answer)) { controller.Cancel(id, reply) }
+}
+
+// ask makes a request to some controller that is up; done is called once, with status 0
+// when no answer came.
+func (u *fakeUsers) ask(call request, done func(api.Answer)) {
 	sim := u.sim
-	var serving []*host
+	var up []*host
 	for _, h := range sim.hosts {
 		if h.process != nil && (!u.healthyControllersOnly || !sim.store.refuses(h)) {
-			serving = append(serving, h)
+			up = append(up, h)
 		}
 	}
-	if len(serving) == 0 {
-		sim.after(time.Millisecond, func() { answer(api.Answer{}) })
+	if len(up) == 0 {
+		sim.after(time.Millisecond, func() { done(api.Answer{}) })
 		return
 	}
-	u.requestAt(serving[sim.rand.IntN(len(serving))].process, call, answer)
+	u.askAt(up[sim.rand.IntN(len(up))].process, call, done)
 }
 
-// askNode is ask at a certain controller.
-func (u *fakeUsers) requestAt(process *process, call func(n *coordination.Controller, reply func(api.Answer)), answer func(api.Answer)) {
+// askAt is ask at a certain controller.
+func (u *fakeUsers) askAt(p *process, call request, done func(api.Answer)) {
 	sim := u.sim
-	told := false
-	once := func(a api.Answer) {
-		if !told {
-			told = true
-			answer(a)
+	over := false
+	once := func(answer api.Answer) {
+		if !over {
+			over = true
+			done(answer)
 		}
 	}
-	sim.after(5*time.Second, func() { once(api.Answer{}) })
-	sim.after(sim.delay(), process.guard(func() {
-		call(process.controller, func(a api.Answer) {
-			sim.trace.answered(process.host.name, "user", a)
-			sim.after(sim.delay(), func() { once(a) })
+	sim.after(userTimeout, func() { once(api.Answer{}) })
+	sim.after(sim.latency(), p.guard(func() {
+		call(p.controller, func(answer api.Answer) {
+			sim.trace.answered(p.host.name, kindUserAnswer, answer)
+			sim.after(sim.latency(), func() { once(answer) })
 		})
 	}))
 }
 
-func (u *fakeUsers) body(j *userJob) []byte {
+// body is a submission with all fields that must be there, also those that the type leaves
+// out when they are zero.
+func (u *fakeUsers) body(job *userJob) []byte {
+	data := mustMarshal(job.spec)
 	fields := map[string]any{}
-	data, err := json.Marshal(j.spec)
-	if err == nil {
-		err = json.Unmarshal(data, &fields)
-	}
-	if err != nil {
-		panic(err) // the spec is our own
+	if err := json.Unmarshal(data, &fields); err != nil {
+		panic(fmt.Sprintf("scenario: decode a job of our own: %v", err))
 	}
-	for _, f := range []string{"together", "spread", "loaner"} {
-		if fields[f] == nil {
-			fields[f] = false
+	for _, name := range []string{"together", "spread", "loaner"} {
+		if fields[name] == nil {
+			fields[name] = false
 		}
 	}
-	for _, f := range []string{"guessS", "markS", "stashS"} {
-		if fields[f] == nil {
-			fields[f] = 0
+	for _, name := range []string{"guessS", "markS", "stashS"} {
+		if fields[name] == nil {
+			fields[name] = 0
 		}
 	}
-	if data, err = json.Marshal(fields); err != nil {
-		panic(err)
+	return mustMarshal(fields)
+}
+
+// mustMarshal encodes what can always be encoded.
+func mustMarshal(value any) []byte {
+	data, err := json.Marshal(value)
+	if err != nil {
+		panic(fmt.Sprintf("scenario: encode %T: %v", value, err))
 	}
 	return data
 }
 
+// submitFirst submits a job for the first time.
+func (u *fakeUsers) submitFirst(job *userJob) {
+	job.submittedAt = u.sim.now
+	u.jobs[job.spec.ID] = job
+	u.submit(job)
+}
+
 // submit repeats a submission until it is decided, for a minute.
-func (u *fakeUsers) submit(j *userJob) {
+func (u *fakeUsers) submit(job *userJob) {
 	sim := u.sim
-	body := u.body(j)
-	accepted, final := j.accepted, j.outcome // what the user knew when it asked
-	allAccepted := u.allAccepted(j)
-	u.request(func(n *coordination.Controller, reply func(api.Answer)) { n.Submit(body, reply) }, func(answer api.Answer) {
+	accepted, outcome := job.accepted, job.outcome // what the user knew when it asked
+	allAccepted := u.dependenciesAccepted(job)
+	u.ask(submission(u.body(job)), func(answer api.Answer) {
 		if answer.Status != 0 {
-			j.status = answer.Status
+			job.status = answer.Status
 		}
-		sim.checker.checkDependencyAnswer(j, answer.Status, allAccepted)
+		sim.checker.checkDependencyAnswer(job, answer.Status, allAccepted)
 		switch answer.Status {
 		case http.StatusOK, http.StatusCreated:
-			if !j.accepted {
-				j.accepted, j.acceptedAt = true, sim.now
-				u.poll(j)
-				u.probe(j)
-				if sim.now < u.probeUntil && sim.rand.Float64() < u.cancelOnAcceptShare {
-					u.cancel(j)
-				}
-			}
-			sim.checker.jobAnswered(j.spec.ID, j, final, answer.Body.(protocol.JobReceipt).Stage)
-			if j.resubmissions > 0 {
-				j.resubmissions--
-				sim.after(time.Duration(sim.rand.Int64N(int64(30*time.Second))), func() { u.submit(j) })
-			}
+			u.accepted(job)
+			sim.checker.jobAnswered(job.spec.ID, job, outcome, answer.Body.(protocol.JobReceipt).Stage)
+			u.resubmit(job)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			if accepted {
-				sim.checker.jobDenied(j.spec.ID, j, answer.Status)
+				sim.checker.jobDenied(job, job.spec.ID, answer.Status)
 			}
 		default:
-			if sim.now-j.submittedAt < time.Minute {
-				sim.after(max(time.Second, answer.RetryAfter), func() { u.submit(j) })
+			if sim.now-job.submittedAt < submitPatience {
+				sim.after(max(retryPause, answer.RetryAfter), func() { u.submit(job) })
 			}
 		}
 	})
 }
 
-// poll asks about a job every 5 s, and now and then after its end.
-func (u *fakeUsers) poll(j *userJob) {
+// accepted is called when a user is told that its job is accepted; the first time it
+// begins to poll.
+func (u *fakeUsers) accepted(job *userJob) {
 	sim := u.sim
-	id, final := j.spec.ID, j.outcome
-	u.request(func(n *coordination.Controller, reply func(api.Answer)) { n.Status(id, reply) }, func(answer api.Answer) {
-		if j.answersLost {
+	if job.accepted {
+		return
+	}
+	job.accepted, job.acceptedAt = true, sim.now
+	u.poll(job)
+	u.probe(job)
+	if sim.now < u.probeUntil && sim.rand.Float64() < u.cancelOnAcceptShare {
+		u.cancel(job)
+	}
+}
+
+// resubmit submits an accepted job again after a while, if its user does that.
+func (u *fakeUsers) resubmit(job *userJob) {
+	if job.resubmissions > 0 {
+		job.resubmissions--
+		u.sim.after(u.sim.randomBelow(maxResubmissionPause), func() { u.submit(job) })
+	}
+}
+
+// poll asks about a job again and again, seldom after its end.
+func (u *fakeUsers) poll(job *userJob) {
+	outcome := job.outcome
+	u.ask(statusOf(job.spec.ID), func(answer api.Answer) {
+		if job.answersLost {
 			answer = api.Answer{}
 		}
-		switch answer.Status {
-		case http.StatusOK:
-			j.unansweredSince, j.answeredAt = 0, sim.now
-			v := answer.Body.(*protocol.JobStatus)
-			before := j.outcome
-			sim.checker.jobAnswered(id, j, final, v.Stage)
-			if before == "" && j.outcome != "" {
-				j.outcomeAt = sim.now
-				u.probe(j)
-			}
-		case http.StatusNotFound:
-			sim.checker.jobDenied(id, j, answer.Status)
-		default:
-			if j.unansweredSince == 0 {
-				j.unansweredSince = sim.now
-			}
+		u.polled(job, outcome, answer)
+		pause := pollPause
+		if job.outcome != "" {
+			pause = pollPauseAfterOutcome
 		}
-		pause := 5 * time.Second
-		if j.outcome != "" {
-			pause = 40 * time.Second
-		}
-		sim.after(pause, func() { u.poll(j) })
+		u.sim.after(pause, func() { u.poll(job) })
 	})
 }
 
-// withdraw repeats a withdrawal until it is answered.
-func (u *fakeUsers) cancel(j *userJob) {
+// polled takes in the answer to a poll; outcome is what the user knew when it asked.
+func (u *fakeUsers) polled(job *userJob, outcome string, answer api.Answer) {
+	sim := u.sim
+	switch answer.Status {
+	case http.StatusOK:
+		job.unansweredSince, job.answeredAt = 0, sim.now
+		before := job.outcome
+		sim.checker.jobAnswered(job.spec.ID, job, outcome, answer.Body.(*protocol.JobStatus).Stage)
+		if before == "" && job.outcome != "" {
+			job.outcomeAt = sim.now
+			u.probe(job)
+		}
+	case http.StatusNotFound:
+		sim.checker.jobDenied(job, job.spec.ID, answer.Status)
+	default:
+		if job.unansweredSince == 0 {
+			job.unansweredSince = sim.now
+		}
+	}
+}
+
+// cancel repeats a cancellation until it is answered.
+func (u *fakeUsers) cancel(job *userJob) {
 	sim := u.sim
-	j.cancelRequested = true
-	id, accepted, final := j.spec.ID, j.accepted, j.outcome
-	u.request(func(n *coordination.Controller, reply func(api.Answer)) { n.Cancel(id, reply) }, func(answer api.Answer) {
+	job.cancelRequested = true
+	accepted, outcome := job.accepted, job.outcome
+	u.ask(cancellation(job.spec.ID), func(answer api.Answer) {
 		switch answer.Status {
 		case http.StatusOK:
-			sim.checker.jobAnswered(id, j, final, answer.Body.(protocol.JobReceipt).Stage)
-			if final == "" {
-				u.probe(j)
+			sim.checker.jobAnswered(job.spec.ID, job, outcome, answer.Body.(protocol.JobReceipt).Stage)
+			if outcome == "" {
+				u.probe(job)
 			}
 		case http.StatusNotFound:
 			if accepted {
-				sim.checker.jobDenied(id, j, answer.Status)
+				sim.checker.jobDenied(job, job.spec.ID, answer.Status)
 			}
 		default:
-			sim.after(time.Second, func() { u.cancel(j) })
+			sim.after(retryPause, func() { u.cancel(job) })
 		}
 	})
 }
 
-// takes is how long a task of the job really runs.
-func (j *userJob) runSecondsOf(name string) float64 {
-	if _, task, err := protocol.ParseTaskName(name); err == nil && task < len(j.taskRunSeconds) {
-		return j.taskRunSeconds[task]
+// completed is called when the last task of a job completes: some users cancel the job and
+// repeat its submission at that very moment.
+func (u *fakeUsers) completed(job *userJob) {
+	if u.cancelOnCompletionShare > 0 && u.sim.rand.Float64() < u.cancelOnCompletionShare && !job.cancelRequested {
+		u.sim.faults.note("cancel-on-completion", time.Second)
+		u.cancel(job)
+		u.submit(job)
 	}
-	return j.runSeconds
 }
--- a/internal/scenario/users_pipelines.go
+++ b/internal/scenario/users_pipelines.go
@@ -2,49 +2,45 @@
 
 import (
 	"fmt"
-	"maps"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
-
-	"rockrun/internal/protocol"
 )
 
-// Jobs that wait for others, as users submit them: each as soon as those that it needs
-// are accepted, or only once these are over.
+// Jobs that depend on others, as users submit them: each as soon as those that it depends
+// on are accepted, or only once these are over.
+
+// dependencyPollPause is how often a user looks whether the next job can be submitted: its
+// dependencies were accepted this little ago.
+const dependencyPollPause = time.Millisecond
 
-// submitWhen submits a job once all that it needs is accepted, or over.
-func (u *fakeUsers) submitWhen(j *userJob, over bool) {
-	ready := u.allAccepted(j) && !(over && slices.ContainsFunc(j.spec.Dependencies, func(id string) bool { return u.jobs[id].outcome == "" }))
+// submitWhen submits a job once all of its dependencies are accepted, or over.
+func (u *fakeUsers) submitWhen(job *userJob, over bool) {
+	ready := u.dependenciesAccepted(job) && (!over || u.dependenciesOver(job))
 	if !ready {
-		u.sim.after(dependencyPollPause, func() { u.submitWhen(j, over) })
+		u.sim.after(dependencyPollPause, func() { u.submitWhen(job, over) })
 		return
 	}
-	u.submitFirst(j)
+	u.submitFirst(job)
 }
 
-// submitFirst submits a job for the first time.
-func (u *fakeUsers) submitFirst(j *userJob) {
-	j.submittedAt = u.sim.now
-	u.jobs[j.spec.ID] = j
-	u.submit(j)
+// dependenciesAccepted reports whether all jobs that a job names are accepted.
+func (u *fakeUsers) dependenciesAccepted(job *userJob) bool {
+	return !slices.ContainsFunc(job.spec.Dependencies, func(id string) bool {
+		dependency := u.jobs[id]
+		return dependency == nil || !dependency.accepted
+	})
 }
 
-// needPause is how often a user looks whether the next job can be submitted: those that
-// it needs were accepted this little ago.
-const dependencyPollPause = time.Millisecond
-
-// allAccepted reports whether all jobs that a job names are accepted.
-func (u *fakeUsers) allAccepted(j *userJob) bool {
-	return !slices.ContainsFunc(j.spec.Dependencies, func(id string) bool {
-		need := u.jobs[id]
-		return need == nil || !need.accepted
-	})
+// dependenciesOver reports whether the users know the outcomes of all jobs that a job
+// names, which were submitted.
+func (u *fakeUsers) dependenciesOver(job *userJob) bool {
+	return !slices.ContainsFunc(job.spec.Dependencies, func(id string) bool { return u.jobs[id].outcome == "" })
 }
 
 // pipelineShapes are the jobs of pipelines: for each the numbers of those that it
-// needs.
+// depends on.
 var pipelineShapes = map[string][][]int{
 	"chain":   {{}, {0}, {1}, {2}},
 	"diamond": {{}, {0}, {0}, {1, 2}, {3}},
@@ -53,8 +49,10 @@
 	"ten":     {{}, {0}, {1}, {2}, {3}, {4}, {5}, {6}, {7}, {8}},
 }
 
-// actPipeline lets users submit pipelines: one every so often. Arguments are those of a
-// job, which all of its jobs are like; rank and deadline are the last one's.
+// actPipeline lets users submit pipelines, one every so often: "pipeline run-100
+// shape=chain every=3s count=8 cancelled=0.1 after=20s late=0.3" and the arguments of a
+// job, which all of its jobs are like; priority and deadline are the last one's. A share
+// has one job cancelled, and a share gets its last job only when the others are over.
 func actPipeline(sim *simulation, line *statement) func() {
 	first, err := strconv.Atoi(strings.TrimPrefix(line.arg(0), "run-"))
 	if err != nil {
@@ -65,42 +63,46 @@
 		line.fail("pipeline: shape %s", line.pairs["shape"])
 		return nil
 	}
-	every, count := line.duration(line.text("every", "1s")), int(line.number("count", 1))
+	every := line.duration(line.text("every", "1s"))
 	cancelled, late := line.number("cancelled", 0), line.number("late", 0)
-	after := line.duration(line.text("after", "20s"))
-	pipelines := make([][]*userJob, count)
+	cancelWithin := line.duration(line.text("after", "20s"))
+	pipelines := make([][]*userJob, int(line.number("count", 1)))
 	for i := range pipelines {
-		pipelines[i] = sim.pipeline(line, first+i*len(shape), shape)
+		pipelines[i] = parsePipeline(line, first+i*len(shape), shape)
 	}
 	return func() {
 		for i, jobs := range pipelines {
-			sim.after(time.Duration(i)*every, func() { sim.users.submitPipeline(jobs, sim.rand.Float64() < late) })
+			begin := time.Duration(i) * every
+			sim.after(begin, func() { sim.users.submitPipeline(jobs, sim.rand.Float64() < late) })
 			if sim.rand.Float64() < cancelled {
 				victim := jobs[sim.rand.IntN(len(jobs)-1)]
-				sim.after(time.Duration(i)*every+time.Duration(sim.rand.Int64N(int64(after))), func() {
-					if victim.accepted {
-						sim.users.cancel(victim)
-					}
-				})
+				sim.after(begin+sim.randomBelow(cancelWithin), func() { sim.users.cancelAccepted(victim) })
 			}
 		}
 	}
 }
 
-// pipeline reads the description of one pipeline.
-func (s *simulation) pipeline(line *statement, first int, shape [][]int) []*userJob {
+// cancelAccepted cancels a job if it is accepted.
+func (u *fakeUsers) cancelAccepted(job *userJob) {
+	if job.accepted {
+		u.cancel(job)
+	}
+}
+
+// parsePipeline reads the description of one pipeline.
+func parsePipeline(line *statement, first int, shape [][]int) []*userJob {
 	jobs := make([]*userJob, len(shape))
-	for k, needs := range shape {
-		line.args[0] = fmt.Sprintf("run-%d", first+k)
-		j := s.parseJob(line)
-		if k < len(shape)-1 {
-			j.spec.DeadlineSeconds = 0
-			j.spec.Priority = "best_effort"
+	for i, dependencies := range shape {
+		line.args[0] = fmt.Sprintf("run-%d", first+i)
+		job := parseJob(line)
+		if i < len(shape)-1 {
+			job.spec.DeadlineSeconds = 0
+			job.spec.Priority = "best_effort"
 		}
-		for _, need := range needs {
-			j.spec.Dependencies = append(j.spec.Dependencies, fmt.Sprintf("run-%d", first+need))
+		for _, dependency := range dependencies {
+			job.spec.Dependencies = append(job.spec.Dependencies, fmt.Sprintf("run-%d", first+dependency))
 		}
-		jobs[k] = j
+		jobs[i] = job
 	}
 	return jobs
 }
@@ -108,48 +110,7 @@
 // submitPipeline submits the jobs of a pipeline; late is for the last one to come only
 // when the others are over.
 func (u *fakeUsers) submitPipeline(jobs []*userJob, late bool) {
-	for k, j := range jobs {
-		u.submitWhen(j, late && k == len(jobs)-1)
-	}
-}
-
-// expectReleased: the first task of a job started within a time of the end of the last
-// job that it needs.
-func expectReleased(sim *simulation, line *statement) string {
-	j := sim.users.jobs[line.arg(0)]
-	if j == nil || j.startedAt == 0 {
-		return "it never began"
-	}
-	return exceeds(line, j.startedAt-sim.readyAt(j))
-}
-
-// expectReleasedAll is the same for all jobs that need others and are not cancelled.
-func expectReleasedAll(sim *simulation, line *statement) string {
-	for _, id := range slices.Sorted(maps.Keys(sim.users.jobs)) {
-		j := sim.users.jobs[id]
-		if _, cancelled := sim.checker.dependencyCancelledAt(j); len(j.spec.Dependencies) == 0 || j.cancelRequested || cancelled || !sim.checker.dependenciesComplete(j) {
-			continue
-		}
-		if j.startedAt == 0 {
-			return id + " never began"
-		}
-		if why := exceeds(line, j.startedAt-sim.readyAt(j)); why != "" {
-			return id + ": " + why
-		}
-	}
-	return ""
-}
-
-// expectCancelledWith: a job is cancelled, and its own user didn't ask for it.
-func expectCancelledByDependency(sim *simulation, line *statement) string {
-	j := sim.users.jobs[line.arg(0)]
-	switch {
-	case j == nil:
-		return "no such job"
-	case j.cancelRequested:
-		return "its own user cancelled it"
-	case j.outcome != protocol.StageCancelled:
-		return fmt.Sprintf("it is %q", j.outcome)
+	for i, job := range jobs {
+		u.submitWhen(job, late && i == len(jobs)-1)
 	}
-	return ""
 }
--- a/internal/scenario/users_probes.go
+++ b/internal/scenario/users_probes.go
@@ -1,168 +1,84 @@
 package scenario
 
 import (
-	"fmt"
 	"maps"
 	"net/http"
 	"slices"
-	"strings"
 	"time"
 
-	"rockrun/internal/coordination"
 	"rockrun/internal/coordination/api"
 	"rockrun/internal/protocol"
 )
 
-// cancelNow lets users call off so many arrays that run, the last begun first, and
-// up to eight of their machines hang for a while.
-func (u *fakeUsers) cancelRunning(count int, hang time.Duration) {
-	sim := u.sim
-	var running []*userJob
-	for _, id := range slices.Sorted(maps.Keys(u.jobs)) {
-		if j := u.jobs[id]; j.spec.Kind == protocol.KindArray && j.accepted && !j.cancelRequested && j.outcome == "" && len(sim.checker.machinesOf(id)) > 0 {
-			running = append(running, j)
-		}
-	}
-	slices.SortStableFunc(running, func(a, b *userJob) int { return int(b.startedAt - a.startedAt) })
-	hung := 0
-	for _, j := range running[:min(count, len(running))] {
-		for _, x := range sim.checker.machinesOf(j.spec.ID) {
-			if hang > 0 && hung < 8 && !x.isPaused() {
-				hung++
-				sim.noteFault("machine-pause", hang)
-				x.pause(hang)
-			}
-		}
-		sim.after(time.Duration(sim.rand.Int64N(int64(200*time.Millisecond))), func() { u.cancel(j) })
-	}
-}
-
-// lastEnded is called when the last task of a job completes: some users call the
-// job off, or repeat its submission, at that very moment.
-func (u *fakeUsers) completed(j *userJob) {
-	if u.cancelOnCompletionShare > 0 && u.sim.rand.Float64() < u.cancelOnCompletionShare && !j.cancelRequested {
-		u.sim.noteFault("cancel-on-completion", time.Second)
-		u.cancel(j)
-		u.submit(j)
-	}
-}
-
-// odd makes requests that users should not make: they repeat submissions of
-// unfinished jobs, call off what is done, and send what fits no machine, lacks a
-// field or is malformed.
-func (u *fakeUsers) sendInvalid(until time.Duration) {
-	sim := u.sim
-	if sim.now > until {
-		return
-	}
-	sim.after(500*time.Millisecond, func() { u.sendInvalid(until) })
-	ids := slices.Sorted(maps.Keys(u.jobs))
-	if len(ids) == 0 {
-		return
-	}
-	j := u.jobs[ids[sim.rand.IntN(len(ids))]]
-	switch {
-	case !j.accepted:
-	case j.outcome == "":
-		u.submit(j)
-	default:
-		u.cancelEnded(j)
-	}
-	u.invalidRequests++
-	good := userJob{spec: j.spec}
-	good.spec.ID = fmt.Sprintf("run-9%06d", u.invalidRequests)
-	body := string(u.body(&good))
-	bad := []string{
-		strings.Replace(body, `"vcpus":`, `"vcpus":9000,"x":`, 1),
-		strings.Replace(body, `"rank":`, `"rang":`, 1),
-		strings.Replace(body, `"pieces":`, `"pieces":0,"x":`, 1),
-		strings.Replace(body, `"crew":`, `"crew":"nobody","x":`, 1),
-		strings.Replace(body, good.spec.ID, "job "+good.spec.ID, 1),
-		body[:len(body)/2],
-		"[" + body + "]",
-		strings.Repeat(" ", protocol.MaxBody) + body,
-	}[u.invalidRequests%8]
-	u.request(func(n *coordination.Controller, reply func(api.Answer)) { n.Submit([]byte(bad), reply) }, func(a api.Answer) {
-		sim.checker.invalidAnswered(bad, a.Status)
-	})
-}
+// Read-your-writes probes: users ask every controller right after an answer.
 
-// withdrawOver calls off a job that is over.
-func (u *fakeUsers) cancelEnded(j *userJob) {
-	final := j.outcome
-	u.request(func(n *coordination.Controller, reply func(api.Answer)) { n.Cancel(j.spec.ID, reply) }, func(a api.Answer) {
-		switch a.Status {
-		case http.StatusOK:
-			u.sim.checker.jobAnswered(j.spec.ID, j, final, a.Body.(protocol.JobReceipt).Stage)
-		case http.StatusNotFound:
-			u.sim.checker.jobDenied(j.spec.ID, j, a.Status)
-		}
-	})
-}
-
-// Of a close look: how many rounds there are, and the longest time between two.
+// Of the probes after an answer: how many rounds there are, and within what time.
 const (
-	probeRounds = 4
-	maxProbePause  = 30 * time.Millisecond
+	probeRounds   = 4
+	maxProbePause = 30 * time.Millisecond
 )
 
-// lookClosely lets the user of a job that was just accepted, ended or cancelled ask
+// probe lets the user of a job that was just accepted, ended or cancelled ask
 // at every controller, again and again within milliseconds, and repeat the
 // submission. No answer may be older than what the user knows.
-func (u *fakeUsers) probe(j *userJob) {
+func (u *fakeUsers) probe(job *userJob) {
 	sim := u.sim
 	if sim.now >= u.probeUntil {
 		return
 	}
 	for range probeRounds {
 		for _, h := range sim.hosts {
-			sim.after(time.Duration(sim.rand.Int64N(int64(maxProbePause))), func() {
-				if h.process == nil {
-					return
-				}
-				u.probeStatus(h.process, j)
-				u.probeResubmission(h.process, j)
-				if j.outcome == protocol.StageCancelled {
-					u.probeDependents(h.process, j)
-				}
-			})
+			sim.after(sim.randomBelow(maxProbePause), func() { u.probeAt(h.process, job) })
 		}
 	}
 }
 
-// lookAtDependants asks a controller about the jobs that need one that is cancelled.
-func (u *fakeUsers) probeDependents(p *process, j *userJob) {
+// probeAt asks a process about a job, and about those that depend on it once it is
+// cancelled; without one it does nothing.
+func (u *fakeUsers) probeAt(p *process, job *userJob) {
+	if p == nil {
+		return
+	}
+	u.probeStatus(p, job)
+	u.probeResubmission(p, job)
+	if job.outcome == protocol.StageCancelled {
+		u.probeDependents(p, job)
+	}
+}
+
+// probeDependents asks a process about the jobs that depend on one that is cancelled.
+func (u *fakeUsers) probeDependents(p *process, job *userJob) {
 	for _, id := range slices.Sorted(maps.Keys(u.jobs)) {
-		if d := u.jobs[id]; d.accepted && slices.Contains(u.sim.checker.dependenciesOf(d), j) {
-			u.probeStatus(p, d)
+		if dependent := u.jobs[id]; dependent.accepted && slices.Contains(u.sim.checker.dependenciesOf(dependent), job) {
+			u.probeStatus(p, dependent)
 		}
 	}
 }
 
-// look asks a controller about a job once.
-func (u *fakeUsers) probeStatus(p *process, j *userJob) {
-	id, final := j.spec.ID, j.outcome
-	u.requestAt(p, func(n *coordination.Controller, reply func(api.Answer)) { n.Status(id, reply) }, func(a api.Answer) {
+// probeStatus asks a process about a job once.
+func (u *fakeUsers) probeStatus(p *process, job *userJob) {
+	id, outcome := job.spec.ID, job.outcome
+	u.askAt(p, statusOf(id), func(answer api.Answer) {
 		u.probeAnswers++
-		switch a.Status {
+		switch answer.Status {
 		case http.StatusOK:
-			u.sim.checker.jobAnswered(id, j, final, a.Body.(*protocol.JobStatus).Stage)
+			u.sim.checker.jobAnswered(id, job, outcome, answer.Body.(*protocol.JobStatus).Stage)
 		case http.StatusNotFound:
-			u.sim.checker.jobDenied(id, j, a.Status)
+			u.sim.checker.jobDenied(job, id, answer.Status)
 		}
 	})
 }
 
-// repeat submits a job again, at a certain controller.
-func (u *fakeUsers) probeResubmission(p *process, j *userJob) {
-	id, final, body := j.spec.ID, j.outcome, u.body(j)
-	u.requestAt(p, func(n *coordination.Controller, reply func(api.Answer)) { n.Submit(body, reply) }, func(a api.Answer) {
+// probeResubmission submits a job again, at a certain process.
+func (u *fakeUsers) probeResubmission(p *process, job *userJob) {
+	id, outcome := job.spec.ID, job.outcome
+	u.askAt(p, submission(u.body(job)), func(answer api.Answer) {
 		u.probeAnswers++
-		switch a.Status {
+		switch answer.Status {
 		case http.StatusOK, http.StatusCreated:
-			u.sim.checker.jobAnswered(id, j, final, a.Body.(protocol.JobReceipt).Stage)
+			u.sim.checker.jobAnswered(id, job, outcome, answer.Body.(protocol.JobReceipt).Stage)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusNotFound:
-			u.sim.checker.jobDenied(id, j, a.Status)
+			u.sim.checker.jobDenied(job, id, answer.Status)
 		}
 	})
 }
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -1,7 +1,6 @@
 package scenario
 
 import (
-	"fmt"
 	"io"
 	"slices"
 	"strconv"
@@ -12,15 +11,21 @@
 
 // world is what a scenario's first file describes.
 type world struct {
-	cluster  config.Cluster
-	options  config.Options
-	controllers    int
-	machineTypes    []protocol.MachineType
-	capacity map[machinePool]int
-	zones    map[string]string // of controllers
-	unawareOfAnnouncedLimits  bool              // controllers don't know the limits to come
+	cluster                  config.Cluster
+	options                  config.Options
+	controllers              int
+	machineTypes             []protocol.MachineType
+	capacity                 map[machinePool]int
+	zones                    map[string]string // of controllers
+	unawareOfAnnouncedLimits bool              // controllers don't know the limits to come
 }
 
+// Kinds of machines in capacity and machines.
+const (
+	kindOrdinary = "ordinary"
+	kindSpot     = "spot"
+)
+
 // declarations are the verbs of a world.
 var declarations = map[string]func(w *world, line *statement){
 	"controllers":      declareControllers,
@@ -30,52 +35,81 @@
 	"team":             declareTeam,
 	"machine-type":     declareMachineType,
 	"capacity":         declareCapacity,
-	"controller-zone": func(w *world, line *statement) {
-		w.zones[line.arg(0)] = line.arg(1)
-	},
-	"job-shards": func(w *world, line *statement) {
-		w.options.JobShards = int(line.number("n", 0))
-	},
+	"controller-zone":  declareControllerZone,
+	"job-shards":       declareJobShards,
 }
 
+// declareControllers: "controllers 5".
 func declareControllers(w *world, line *statement) {
-	n, err := strconv.Atoi(line.arg(0))
+	count, err := strconv.Atoi(line.arg(0))
 	if err != nil {
 		line.fail("%v", err)
 	}
-	w.controllers = n
+	w.controllers = count
 }
 
+// declareControllerZone: "controller-zone a north".
+func declareControllerZone(w *world, line *statement) { w.zones[line.arg(0)] = line.arg(1) }
+
+// declareJobShards: "job-shards n=2".
+func declareJobShards(w *world, line *statement) { w.options.JobShards = int(line.number("n", 0)) }
+
+// declareAgents: "agents heartbeat=8 lease=44 cancel=74", in seconds.
 func declareAgents(w *world, line *statement) {
-	w.cluster.Agents = config.Agents{HeartbeatSeconds: line.number("heartbeat", 3), LeaseSeconds: line.number("lease", 30), CancelSeconds: line.number("cancel", 60)}
+	w.cluster.Agents = config.Agents{
+		HeartbeatSeconds: line.number("heartbeat", 3),
+		LeaseSeconds:     line.number("lease", 30),
+		CancelSeconds:    line.number("cancel", 60),
+	}
 }
 
+// declareStore: "store writes=20 value=4 ops=8", the limits in writes a second, KiB a value
+// and operations a transaction.
 func declareStore(w *world, line *statement) {
-	w.cluster.KVStore = config.KVStore{RequestsPerSecond: 200, WritesPerSecond: line.number("writes", 80), ValueKiB: line.number("value", 8), TransactionOperations: int(line.number("ops", 32))}
+	w.cluster.KVStore = config.KVStore{
+		RequestsPerSecond:     200,
+		WritesPerSecond:       line.number("writes", 80),
+		ValueKiB:              line.number("value", 8),
+		TransactionOperations: int(line.number("ops", 32)),
+	}
 }
 
-// declareNextState says what the state service will allow later. With unaware=1 the
-// controllers' first processes have not been told, like those of a version that does
-// not know the setting.
+// declareAnnouncedLimits says what the store will allow later, as declareStore does. With
+// unaware=1 the controllers' first processes have not been told, like those of a version
+// that does not know the setting.
 func declareAnnouncedLimits(w *world, line *statement) {
 	writes, value, ops := line.number("writes", 80), line.number("value", 8), int(line.number("ops", 32))
 	w.cluster.KVStore.Announced = &config.AnnouncedLimits{WritesPerSecond: &writes, ValueKiB: &value, TransactionOperations: &ops}
 	w.unawareOfAnnouncedLimits = line.number("unaware", 0) == 1
 }
 
+// declareTeam: "team red cpus=16 max=32", guaranteed and maximum.
 func declareTeam(w *world, line *statement) {
-	w.cluster.Teams = append(w.cluster.Teams, config.Team{Name: line.arg(0), GuaranteedCPUs: line.number("cpus", 0), MaxCPUs: line.number("max", 0)})
+	w.cluster.Teams = append(w.cluster.Teams, config.Team{
+		Name:           line.arg(0),
+		GuaranteedCPUs: line.number("cpus", 0),
+		MaxCPUs:        line.number("max", 0),
+	})
 }
 
+// declareMachineType: "machine-type small cpus=4 mem=32 price=0.4 spot=0.1 boot=5 fetch=1",
+// the prices an hour, the time to boot in seconds and images fetched in GB a second.
 func declareMachineType(w *world, line *statement) {
 	w.machineTypes = append(w.machineTypes, protocol.MachineType{
-		Name: line.arg(0), CPUs: line.number("cpus", 4), MemoryGB: line.number("mem", 16), CacheGB: 100, FetchGBPS: line.number("fetch", 1),
-		HourlyPrice: line.number("price", 1), HourlySpotPrice: line.number("spot", 0.3), BootSeconds: line.number("boot", 5),
+		Name:            line.arg(0),
+		CPUs:            line.number("cpus", 4),
+		MemoryGB:        line.number("mem", 16),
+		CacheGB:         100,
+		FetchGBPS:       line.number("fetch", 1),
+		HourlyPrice:     line.number("price", 1),
+		HourlySpotPrice: line.number("spot", 0.3),
+		BootSeconds:     line.number("boot", 5),
 	})
 }
 
+// declareCapacity: "capacity small north kind=spot count=4", of a type of machine in a zone.
 func declareCapacity(w *world, line *statement) {
-	pool := machinePool{line.arg(0), line.arg(1), line.text("kind", "ordinary") == "spot"}
+	pool := machinePool{machineType: line.arg(0), zone: line.arg(1), spot: line.text("kind", kindOrdinary) == kindSpot}
 	w.capacity[pool] = int(line.number("count", 1))
 	for i := range w.machineTypes {
 		if t := &w.machineTypes[i]; t.Name == pool.machineType && !slices.Contains(t.Zones, pool.zone) {
@@ -84,35 +118,53 @@
 	}
 }
 
-// buildWorld reads the world of a scenario and starts its controllers.
-func buildWorld(declared []string, seed uint64, log io.Writer) (*simulation, error) {
-	plan := &world{
+// defaultWorld is what there is where a scenario does not say otherwise.
+func defaultWorld() *world {
+	return &world{
 		cluster: config.Cluster{
 			Agents:  config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60},
 			KVStore: config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 80, ValueKiB: 8, TransactionOperations: 32},
 			Cloud:   config.Cloud{RequestsPerSecond: 4, ListLagSeconds: 5},
 		},
-		options: config.DefaultOptions(), controllers: 3, capacity: map[machinePool]int{}, zones: map[string]string{},
+		options:     config.DefaultOptions(),
+		controllers: 3,
+		capacity:    map[machinePool]int{},
+		zones:       map[string]string{},
 	}
+}
+
+// buildWorld reads the world of a scenario and starts its controllers.
+func buildWorld(declared []string, seed uint64, log io.Writer) (*simulation, error) {
+	w := defaultWorld()
 	for _, text := range declared {
 		line := parseStatement(text)
 		declare, ok := declarations[line.verb]
 		if !ok {
-			return nil, fmt.Errorf("world: %q: unknown declaration", text)
+			return nil, &LineError{File: fileWorld, Line: text, Err: ErrUnknownVerb}
 		}
-		declare(plan, line)
+		declare(w, line)
 		if line.err != nil {
-			return nil, fmt.Errorf("world: %q: %w", text, line.err)
+			return nil, &LineError{File: fileWorld, Line: text, Err: line.err}
 		}
 	}
-	sim := newSim(plan.cluster, plan.options, seed, log)
-	sim.cloud.capacity, sim.cloud.types = plan.capacity, plan.machineTypes
-	for i := range plan.controllers {
+	return w.start(seed, log), nil
+}
+
+// start makes the world and starts its controllers.
+func (w *world) start(seed uint64, log io.Writer) *simulation {
+	sim := newSimulation(w.cluster, w.options, seed, log)
+	sim.cloud.capacity, sim.cloud.types = w.capacity, w.machineTypes
+	for i := range w.controllers {
 		name := string(rune('a' + i))
-		sim.hosts = append(sim.hosts, &host{sim: sim, name: name, zone: plan.zones[name], unawareOfAnnouncedLimits: plan.unawareOfAnnouncedLimits})
+		sim.hosts = append(sim.hosts, &host{
+			sim:                      sim,
+			name:                     name,
+			zone:                     w.zones[name],
+			unawareOfAnnouncedLimits: w.unawareOfAnnouncedLimits,
+		})
 	}
 	for _, h := range sim.hosts {
 		h.start()
 	}
-	return sim, nil
+	return sim
 }
