--- a/internal/coordination/membership/peer.go
+++ b/internal/coordination/membership/peer.go
@@ -61,19 +61,19 @@
 }
 
 // takeIn takes in a heartbeat, except for what it says of machines.
-func (p *Peer) takeIn(h *protocol.PeerHeartbeat, now, maxStaleness time.Duration) {
-	if h.Incarnation > p.Incarnation || now-p.HeardAt > PeerTimeout {
+func (p *Peer) takeIn(heartbeat *protocol.PeerHeartbeat, now, maxStaleness time.Duration) {
+	if heartbeat.Incarnation > p.Incarnation || now-p.HeardAt > PeerTimeout {
 		p.WellSince = now
 	}
-	p.Incarnation = h.Incarnation
+	p.Incarnation = heartbeat.Incarnation
 	p.HeardAt, p.HeartbeatAt = now, now
-	p.Staleness = h.StoreStaleness
-	p.Fresh = h.StoreStaleness < maxStaleness/2
-	p.Leaving = h.Leaving
-	p.QuotaSplitVersion = h.QuotaSplitVersion
-	p.GrantsWithinQuota = h.GrantsWithinQuota
-	p.shardHeardAt = make([]time.Duration, len(h.ShardHeardAgo))
-	for shard, ago := range h.ShardHeardAgo {
+	p.Staleness = heartbeat.StoreStaleness
+	p.Fresh = heartbeat.StoreStaleness < maxStaleness/2
+	p.Leaving = heartbeat.Leaving
+	p.QuotaSplitVersion = heartbeat.QuotaSplitVersion
+	p.GrantsWithinQuota = heartbeat.GrantsWithinQuota
+	p.shardHeardAt = make([]time.Duration, len(heartbeat.ShardHeardAgo))
+	for shard, ago := range heartbeat.ShardHeardAgo {
 		if ago >= 0 {
 			p.shardHeardAt[shard] = now - ago
 		}
--- a/internal/coordination/membership/registry.go
+++ b/internal/coordination/membership/registry.go
@@ -59,16 +59,16 @@
 // NewRegistry makes a registry that has heard nobody. How old the liveness records are
 // that are there already is not known, so they count for nothing.
 func NewRegistry(c RegistryConfig) *Registry {
-	r := &Registry{
+	registry := &Registry{
 		RegistryConfig:  c,
 		peers:           map[string]*Peer{},
 		confirmed:       map[string]protocol.MachineStatus{},
 		appliedLiveness: map[string]uint64{},
 	}
 	for controller, liveness := range c.Replica.View.Liveness {
-		r.appliedLiveness[controller] = liveness.Version
+		registry.appliedLiveness[controller] = liveness.Version
 	}
-	return r
+	return registry
 }
 
 // Peer returns what is known of a controller, or nil where it has not been heard.
@@ -85,30 +85,30 @@
 }
 
 // OnHeartbeat takes in a controller's heartbeat and confirms what it holds.
-func (r *Registry) OnHeartbeat(h *protocol.PeerHeartbeat) *protocol.PeerHeartbeatReply {
+func (r *Registry) OnHeartbeat(heartbeat *protocol.PeerHeartbeat) *protocol.PeerHeartbeatReply {
 	if !r.Leadership.MayAnswer() {
 		return &protocol.PeerHeartbeatReply{}
 	}
 	now := r.Generation.Now()
-	p := r.peerOrNew(h.Controller)
-	if h.Incarnation < p.Incarnation {
+	peer := r.peerOrNew(heartbeat.Controller)
+	if heartbeat.Incarnation < peer.Incarnation {
 		return &protocol.PeerHeartbeatReply{} // a late copy from an incarnation that has ended
 	}
-	p.takeIn(h, now, r.MaxStaleness())
-	p.machines = r.machineStatuses(h.Machines)
-	for i := range h.UnrecordedAgents {
-		r.OnUnrecordedAgent(&h.UnrecordedAgents[i])
+	peer.takeIn(heartbeat, now, r.MaxStaleness())
+	peer.machines = r.machineStatuses(heartbeat.Machines)
+	for i := range heartbeat.UnrecordedAgents {
+		r.OnUnrecordedAgent(&heartbeat.UnrecordedAgents[i])
 	}
 	reply := &protocol.PeerHeartbeatReply{
-		Leader: true, Term: r.Leadership.Term(), SentAt: h.SentAt, HealthyPeers: r.healthyBesides(h.Controller),
+		Leader: true, Term: r.Leadership.Term(), SentAt: heartbeat.SentAt, HealthyPeers: r.healthyBesides(heartbeat.Controller),
 	}
-	if r.PartitionedFromStore(p) {
+	if r.PartitionedFromStore(peer) {
 		return reply // its shard leases run out
 	}
-	p.ConfirmedAt = now
+	peer.ConfirmedAt = now
 	for shard := range r.Replica.View.Grants {
 		grant := &r.Replica.View.Grants[shard]
-		if grant.Controller == h.Controller && grant.Incarnation == h.Incarnation {
+		if grant.Controller == heartbeat.Controller && grant.Incarnation == heartbeat.Incarnation {
 			reply.Shards = append(reply.Shards, shard)
 		}
 	}
--- a/internal/coordination/membership/reporter.go
+++ b/internal/coordination/membership/reporter.go
@@ -118,7 +118,7 @@
 
 func (r *Reporter) heartbeat() *protocol.PeerHeartbeat {
 	now := r.Generation.Now()
-	h := &protocol.PeerHeartbeat{
+	heartbeat := &protocol.PeerHeartbeat{
 		Controller:        r.Replica.Controller,
 		Incarnation:       r.Replica.Incarnation,
 		SentAt:            now,
@@ -134,12 +134,12 @@
 		if heardAt > 0 {
 			ago = now - heardAt
 		}
-		h.ShardHeardAgo = append(h.ShardHeardAgo, ago)
+		heartbeat.ShardHeardAgo = append(heartbeat.ShardHeardAgo, ago)
 	}
 	for _, machine := range slices.Sorted(maps.Keys(r.unrecorded)) {
-		h.UnrecordedAgents = append(h.UnrecordedAgents, r.unrecorded[machine])
+		heartbeat.UnrecordedAgents = append(heartbeat.UnrecordedAgents, r.unrecorded[machine])
 	}
-	return h
+	return heartbeat
 }
 
 // OnReply extends the shard leases that the leader has confirmed, counted from when the
