--- a/internal/coordination/autoscaler/fleet.go
+++ b/internal/coordination/autoscaler/fleet.go
@@ -31,16 +31,16 @@
 	SpareReplicas int
 }
 
-// MachineAge is the time since a machine was created.
-func (f *Fleet) MachineAge(m *storage.Machine) time.Duration {
-	return time.Duration(f.Now.UnixMilli()-m.RentedAtMS) * time.Millisecond
+// MachineAge is the time from a machine's creation to a time of day.
+func MachineAge(m *storage.Machine, now time.Time) time.Duration {
+	return time.Duration(now.UnixMilli()-m.RentedAtMS) * time.Millisecond
 }
 
 // BootOverdue reports whether a machine should have come up long ago.
 func (f *Fleet) BootOverdue(m *storage.Machine) bool {
 	const graceSeconds = 5
 	bootSeconds := f.View.MachineTypes[m.TypeIndex].BootSeconds
-	return f.MachineAge(m).Seconds() > bootSeconds*f.BootPatience+graceSeconds
+	return MachineAge(m, f.Now).Seconds() > bootSeconds*f.BootPatience+graceSeconds
 }
 
 // Supplies lists the machines that there are, by name.
@@ -78,7 +78,7 @@
 	status, known := f.MachineStatus(machine)
 	supply.Ready = known && status.Seen
 	if !supply.Ready {
-		supply.bootSecondsLeft = max(0, f.View.MachineTypes[machine.TypeIndex].BootSeconds-f.MachineAge(machine).Seconds())
+		supply.bootSecondsLeft = max(0, f.View.MachineTypes[machine.TypeIndex].BootSeconds-MachineAge(machine, f.Now).Seconds())
 	}
 	supply.MustLeave = known && (status.Faulty || status.Leaves)
 	silent := known && (status.Seen || status.Tasks > 0) && status.Silent > f.silencePatience(machine)
--- a/internal/coordination/provisioning/cloud_list.go
+++ b/internal/coordination/provisioning/cloud_list.go
@@ -103,11 +103,11 @@
 		return
 	}
 	last := list[len(list)-1].Name
-	fleet := autoscaler.Fleet{View: l.view(), Now: l.Generation.Wall()}
+	now := l.Generation.Wall()
 	oldEnough := seconds(unlistedAfterLags * l.Cluster.Cloud.ListLagSeconds)
 	l.view().Machines.All(func(_ int, m *storage.Machine) {
 		createdBefore := m.Name < last && len(m.Name) == len(last)
-		if m.Exists() && createdBefore && !listed[m.Name] && fleet.MachineAge(m) > oldEnough {
+		if m.Exists() && createdBefore && !listed[m.Name] && autoscaler.MachineAge(m, now) > oldEnough {
 			l.unlisted[m.Name] = true
 		}
 	})
--- a/internal/coordination/provisioning/cycle.go
+++ b/internal/coordination/provisioning/cycle.go
@@ -33,6 +33,9 @@
 	}
 }
 
+// runSoon lets the next decision come with the next tick.
+func (c *cycle) runSoon() { c.nextAt = 0 }
+
 // runCycleWhenDue decides on the size of the fleet at intervals.
 func (p *Provisioner) runCycleWhenDue(now time.Duration) {
 	if now >= p.cycle.nextAt {
--- a/internal/coordination/provisioning/loss.go
+++ b/internal/coordination/provisioning/loss.go
@@ -49,7 +49,7 @@
 		// A holder that has just been granted the machine has not seen it yet either, so
 		// its own silence counts, not only the age.
 		return "never came up"
-	case silent && !status.Seen && l.fleet.MachineAge(machine) > bootTimeout:
+	case silent && !status.Seen && autoscaler.MachineAge(machine, l.fleet.Now) > bootTimeout:
 		return "never came up"
 	}
 	return ""
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -23,22 +23,24 @@
 	target    targetWriter
 	history   history
 	cycle     *cycle
-	// partitionedZones are the zones most of whose machines are silent.
-	partitionedZones map[int]bool
+
+	partitionedZones map[int]bool // zones most of whose machines are silent
 }
 
 // New makes a provisioner for a leader that has just been elected.
 func New(c Config) *Provisioner {
-	provisioner := &Provisioner{Config: c, partitionedZones: map[int]bool{}}
-	provisioner.types.Config, provisioner.target.Config, provisioner.history.Config = &provisioner.Config, &provisioner.Config, &provisioner.Config
-	provisioner.cycle = newCycle(&provisioner.Options)
-	provisioner.adoptions = newAdoptions(&provisioner.Config)
-	provisioner.list = newCloudList(&provisioner.Config, provisioner.adoptions)
-	provisioner.scaleOuts = newScaleOuts(&provisioner.Config, provisioner.adoptions, func() { provisioner.cycle.nextAt = 0 })
-	provisioner.writer = newGroupWriter(&provisioner.Config, provisioner.urgency)
-	provisioner.moves = newMoves(&provisioner.Config, provisioner.writer)
-	provisioner.deletions = newDeletions(&provisioner.Config, provisioner.writer)
-	provisioner.claims = newClaims(&provisioner.Config, provisioner.writer)
+	provisioner := &Provisioner{Config: c, cycle: newCycle(&c.Options), partitionedZones: map[int]bool{}}
+	shared := &provisioner.Config
+	provisioner.types.Config = shared
+	provisioner.target.Config = shared
+	provisioner.history.Config = shared
+	provisioner.adoptions = newAdoptions(shared)
+	provisioner.list = newCloudList(shared, provisioner.adoptions)
+	provisioner.scaleOuts = newScaleOuts(shared, provisioner.adoptions, provisioner.cycle.runSoon)
+	provisioner.writer = newGroupWriter(shared, provisioner.urgency)
+	provisioner.moves = newMoves(shared, provisioner.writer)
+	provisioner.deletions = newDeletions(shared, provisioner.writer)
+	provisioner.claims = newClaims(shared, provisioner.writer)
 	return provisioner
 }
 
