--- a/internal/storage/codec.go
+++ b/internal/storage/codec.go
@@ -68,16 +68,23 @@
 	return strconv.Itoa(task) + " " + machine + " " + strconv.FormatUint(attempt, 36)
 }
 
+// plannedAttempt is a decoded IntentEntry.
+type plannedAttempt struct {
+	task    int
+	machine string
+	attempt uint64
+}
+
 // parseIntentEntry is the reverse of IntentEntry.
-func parseIntentEntry(entry string) (task int, machine string, attempt uint64, err error) {
+func parseIntentEntry(entry string) (plannedAttempt, error) {
 	taskText, rest, hasMachine := strings.Cut(entry, " ")
 	machine, attemptText, hasAttempt := strings.Cut(rest, " ")
 	task, taskErr := strconv.Atoi(taskText)
 	attempt, attemptErr := strconv.ParseUint(attemptText, 36, 64)
 	if !hasMachine || !hasAttempt || taskErr != nil || attemptErr != nil || task < 0 || task >= protocol.MaxTasks {
-		return 0, "", 0, &MalformedError{What: "intent", Text: entry}
+		return plannedAttempt{}, &MalformedError{What: "intent", Text: entry}
 	}
-	return task, machine, attempt, nil
+	return plannedAttempt{task, machine, attempt}, nil
 }
 
 // TasksPerChunk is how many tasks one entry of a CompletionPage covers; an entry stays
--- a/internal/storage/codec_test.go
+++ b/internal/storage/codec_test.go
@@ -20,10 +20,11 @@
 		}
 	}
 	const largest = ^uint64(0)
-	if task, machine, attempt, err := parseIntentEntry(IntentEntry(protocol.MaxTasks-1, "m-1", largest)); err != nil || task != protocol.MaxTasks-1 || machine != "m-1" || attempt != largest {
-		t.Errorf("task %d, machine %s, attempt %d, %v", task, machine, attempt, err)
+	last := plannedAttempt{protocol.MaxTasks - 1, "m-1", largest}
+	if got, err := parseIntentEntry(IntentEntry(last.task, last.machine, last.attempt)); err != nil || got != last {
+		t.Errorf("%+v became %+v, %v", last, got, err)
 	}
-	if _, _, _, err := parseIntentEntry(IntentEntry(protocol.MaxTasks, "m-1", 1)); err == nil {
+	if _, err := parseIntentEntry(IntentEntry(protocol.MaxTasks, "m-1", 1)); err == nil {
 		t.Error("a task beyond all was taken")
 	}
 	if id, chunk, err := parseCompletionChunkName(CompletionChunkName("run-1", 12)); err != nil || id != "run-1" || chunk != 12 {
--- a/internal/storage/decode_test.go
+++ b/internal/storage/decode_test.go
@@ -8,53 +8,67 @@
 	"testing"
 )
 
-// TestDecodedRecordsOutliveCollections reads pages while the garbage collector runs
-// all the time, and looks at what was read afterwards. A JSON package that uses package
-// unsafe once left pointers to freed memory behind: the runtime ended the process, or
-// a page would have said something else than its record.
-func TestDecodedRecordsOutliveCollections(t *testing.T) {
-	defer debug.SetGCPercent(debug.SetGCPercent(1))
-	const pages, jobs, tasks = 60, 12, 20
-	entry := func(page, job, task int) string {
-		return IntentEntry(task, fmt.Sprintf("m-%06d", page*1000+job), uint64(task+1))
+// Size of what TestDecodedRecordsOutliveCollections reads: pages of intents, each of so
+// many jobs of which one machine has so many tasks.
+const decodedPages, decodedJobs, decodedTasks = 60, 12, 20
+
+func decodedJob(page, job int) string     { return fmt.Sprintf("run-%d", page*100+job) }
+func decodedMachine(page, job int) string { return fmt.Sprintf("m-%06d", page*1000+job) }
+func decodedAttempt(task int) uint64      { return uint64(task + 1) }
+
+func decodedPage(page int) IntentPage {
+	record := IntentPage{}
+	for job := range decodedJobs {
+		id := decodedJob(page, job)
+		for task := range decodedTasks {
+			record[id] = append(record[id], IntentEntry(task, decodedMachine(page, job), decodedAttempt(task)))
+		}
 	}
-	stop := make(chan struct{})
+	return record
+}
+
+// collectAllTheTime runs the garbage collector until stop is called.
+func collectAllTheTime() (stop func()) {
+	stopped := make(chan struct{})
 	var collecting sync.WaitGroup
 	collecting.Go(func() {
 		for {
 			select {
-			case <-stop:
+			case <-stopped:
 				return
 			default:
 				runtime.GC()
 			}
 		}
 	})
-	view := NewView([]Team{{Name: "red"}}, 1)
-	for round := range 4 {
-		for page := range pages {
-			record := IntentPage{}
-			for job := range jobs {
-				id := fmt.Sprintf("run-%d", page*100+job)
-				for task := range tasks {
-					record[id] = append(record[id], entry(page, job, task))
-				}
-			}
-			if err := view.Apply(IntentPageKey(PageID{Page: page}), Encode(record), uint64(round*pages+page+1)); err != nil {
-				t.Fatal(err)
-			}
+	return func() {
+		close(stopped)
+		collecting.Wait()
+	}
+}
+
+// TestDecodedRecordsOutliveCollections reads pages while the garbage collector runs
+// all the time, and looks at what was read afterwards. A JSON package that uses package
+// unsafe once left pointers to freed memory behind: the runtime ended the process, or
+// a page would have said something else than its record.
+func TestDecodedRecordsOutliveCollections(t *testing.T) {
+	defer debug.SetGCPercent(debug.SetGCPercent(1))
+	stop := collectAllTheTime()
+	v := newTestView(t, 1)
+	for range 4 {
+		for page := range decodedPages {
+			v.put(IntentPageKey(PageID{Page: page}), decodedPage(page))
 		}
 	}
-	close(stop)
-	collecting.Wait()
-	for page := range pages {
-		for job := range jobs {
-			_, m := view.Machines.Find(fmt.Sprintf("m-%06d", page*1000+job))
-			if m == nil || len(m.Intents) != tasks {
+	stop()
+	for page := range decodedPages {
+		for job := range decodedJobs {
+			m := v.findMachine(decodedMachine(page, job))
+			if len(m.Intents) != decodedTasks {
 				t.Fatalf("page %d, job %d: %+v", page, job, m)
 			}
 			for ref, intent := range m.Intents {
-				if intent.Attempt != uint64(ref.Task+1) || view.Jobs.Get(ref.Job).ID != fmt.Sprintf("run-%d", page*100+job) {
+				if intent.Attempt != decodedAttempt(ref.Task) || v.Jobs.Get(ref.Job).ID != decodedJob(page, job) {
 					t.Errorf("page %d, job %d: %+v is %+v", page, job, ref, intent)
 				}
 			}
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -25,10 +25,7 @@
 		{"a dependency that ended before", func(v *testView) { v.accept("run-9", "run-1") }, "awaits dependencies"},
 		{"a dependency that is done", func(v *testView) { v.accept("run-9", "run-1"); v.final("run-1", done, 0) }, "runnable"},
 		{"a dependency known to be done before its record is removed", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.final("run-1", done, 0) }, "runnable"},
-		{"one of two dependencies done", func(v *testView) {
-			v.accept("run-9", "run-1", "run-2")
-			v.final("run-1", done, 0)
-		}, "awaits dependencies"},
+		{"one of two dependencies done", func(v *testView) { v.accept("run-9", "run-1", "run-2"); v.final("run-1", done, 0) }, "awaits dependencies"},
 		{"both dependencies done", func(v *testView) {
 			v.accept("run-9", "run-1", "run-2")
 			v.final("run-2", done, 0)
@@ -84,10 +81,7 @@
 			v.final("run-1", done, 0)
 			v.final("run-2", done, 0)
 		}, "awaits dependencies"},
-		{"its own user cancels it", func(v *testView) {
-			v.accept("run-9", "run-1")
-			v.MarkCancelled("run-9")
-		}, "awaits dependencies"}, // and it is not active: Runnable says so
+		{"its own user cancels it", func(v *testView) { v.accept("run-9", "run-1"); v.MarkCancelled("run-9") }, "awaits dependencies"}, // and it is not active: Runnable says so
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := newTestView(t, 1)
@@ -186,62 +180,83 @@
 	}
 }
 
+// randomPipelines are jobs with random dependencies on earlier ones, of which some end.
+type randomPipelines struct {
+	random       *rand.Rand
+	live         *testView // has seen everything happen
+	dependencies map[string][]string
+	finals       map[string]string // by ended job: the stage of its final record
+}
+
+const pipelineJobs = 30
+
+// pipelineJob is the ID of the job that came as the i-th; IDs are not in this order.
+func pipelineJob(i int) string { return fmt.Sprintf("run-%d", (i*37)%100) }
+
+// addJob accepts a job that depends on up to two earlier ones.
+func (p *randomPipelines) addJob(i int) {
+	id := pipelineJob(i)
+	for range p.random.IntN(3) {
+		if i > 0 {
+			p.dependencies[id] = append(p.dependencies[id], pipelineJob(p.random.IntN(i)))
+		}
+	}
+	p.live.accept(id, p.dependencies[id]...)
+}
+
+// endJob ends a job, if it is unfinished, in one of the ways in which it can end.
+func (p *randomPipelines) endJob(id string) {
+	if _, j := p.live.Jobs.Find(id); j == nil || j.Ended() {
+		return
+	}
+	stage := protocol.StageCancelled
+	if p.live.state(id) == "runnable" && p.random.IntN(3) > 0 {
+		stage = protocol.StageDone
+	}
+	p.finals[id] = stage
+	if p.random.IntN(2) == 0 { // the final record is known before or after the job's record is removed
+		p.live.final(id, stage, 0)
+		p.live.end(id)
+	} else {
+		p.live.end(id)
+		p.live.final(id, stage, 0)
+	}
+}
+
+// readOutcomes gives a view all the final records that it wants.
+func (p *randomPipelines) readOutcomes(v *testView) {
+	for unread := v.UnreadOutcomes(); len(unread) > 0; unread = v.UnreadOutcomes() {
+		for _, j := range unread {
+			v.final(j.ID, p.finals[j.ID], 0)
+		}
+	}
+}
+
 // TestDependenciesInAnyOrder: a controller that has seen everything happen and one that
 // starts and reads what is left come to the same, for random graphs of jobs of which
 // some are done and some cancelled.
 func TestDependenciesInAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 11))
-		live := newTestView(t, 1)
-		name := func(i int) string { return fmt.Sprintf("run-%d", (i*37)%100) }
-		dependencies := map[string][]string{}
-		finals := map[string]string{}
-		const jobs = 30
-		for i := range jobs {
-			for range random.IntN(3) {
-				if i > 0 {
-					dependencies[name(i)] = append(dependencies[name(i)], name(random.IntN(i)))
-				}
-			}
-			live.accept(name(i), dependencies[name(i)]...)
-			end := name(random.IntN(i + 1))
-			if _, j := live.Jobs.Find(end); j == nil || j.Ended() {
-				continue
-			}
-			switch state := live.state(end); {
-			case strings.HasPrefix(state, "cancelled"):
-				finals[end] = protocol.StageCancelled
-			case state == "runnable" && random.IntN(3) > 0:
-				finals[end] = protocol.StageDone
-			default:
-				finals[end] = protocol.StageCancelled
-			}
-			if random.IntN(2) == 0 { // the final record is known before or after the job's record is removed
-				live.final(end, finals[end], 0)
-				live.end(end)
-			} else {
-				live.end(end)
-				live.final(end, finals[end], 0)
-			}
+		p := randomPipelines{random: random, live: newTestView(t, 1), dependencies: map[string][]string{}, finals: map[string]string{}}
+		for i := range pipelineJobs {
+			p.addJob(i)
+			p.endJob(pipelineJob(random.IntN(i + 1)))
 		}
 		started := newTestView(t, 1)
-		for _, i := range random.Perm(jobs) {
-			if finals[name(i)] == "" {
-				started.accept(name(i), dependencies[name(i)]...)
-			}
-		}
-		for _, v := range []*testView{started, live} {
-			for unread := v.UnreadOutcomes(); len(unread) > 0; unread = v.UnreadOutcomes() {
-				for _, j := range unread {
-					v.final(j.ID, finals[j.ID], 0)
-				}
+		for _, i := range random.Perm(pipelineJobs) {
+			if id := pipelineJob(i); p.finals[id] == "" {
+				started.accept(id, p.dependencies[id]...)
 			}
 		}
-		for i := range jobs {
-			a, _, _ := strings.Cut(live.state(name(i)), " with")
-			b, _, _ := strings.Cut(started.state(name(i)), " with")
-			if a != b {
-				t.Fatalf("seed %d: %s %s for who saw it all, %s for who starts", seed, name(i), a, b)
+		p.readOutcomes(started)
+		p.readOutcomes(p.live)
+		for i := range pipelineJobs {
+			id := pipelineJob(i)
+			lived, _, _ := strings.Cut(p.live.state(id), " with")
+			read, _, _ := strings.Cut(started.state(id), " with")
+			if lived != read {
+				t.Fatalf("seed %d: %s is %s for who saw it all, %s for who starts", seed, id, lived, read)
 			}
 		}
 	}
--- a/internal/storage/intents.go
+++ b/internal/storage/intents.go
@@ -108,11 +108,12 @@
 				}
 				continue
 			}
-			task, machine, attempt, err := parseIntentEntry(text)
+			planned, err := parseIntentEntry(text)
 			if err != nil {
 				return nil, err
 			}
-			entries = append(entries, intentEntry{v.machine(machine), TaskRef{v.job(jobID).Index, task}, attempt})
+			task := TaskRef{v.job(jobID).Index, planned.task}
+			entries = append(entries, intentEntry{v.machine(planned.machine), task, planned.attempt})
 		}
 	}
 	return entries, nil
