--- a/internal/storage/apply_test.go
+++ b/internal/storage/apply_test.go
@@ -3,6 +3,8 @@
 import (
 	"encoding/json"
 	"errors"
+	"strconv"
+	"strings"
 	"testing"
 
 	"rockrun/internal/protocol"
@@ -145,13 +147,16 @@
 		t.Run(name, func(t *testing.T) {
 			err := newTestView(t, 2).Apply(c.key, c.value, 1)
 			var unreadable *RecordError
-			if !errors.As(err, &unreadable) || unreadable.Key != c.key {
+			if !errors.As(err, &unreadable) || unreadable.Key != c.key || !strings.Contains(err.Error(), c.key) {
 				t.Fatalf("error %v does not name the record", err)
 			}
 			var malformed *MalformedError
 			if errors.As(err, &malformed) != (c.what != "") || malformed != nil && malformed.What != c.what {
 				t.Errorf("error %v, not of a malformed %s", err, c.what)
 			}
+			if malformed != nil && !strings.Contains(err.Error(), strconv.Quote(malformed.Text)) {
+				t.Errorf("error %v does not quote %q", err, malformed.Text)
+			}
 		})
 	}
 }
--- a/internal/storage/job_test.go
+++ b/internal/storage/job_test.go
@@ -137,6 +137,14 @@
 	if got := v.EffectiveRank(first); got != urgent.Rank() {
 		t.Errorf("rank %d, that of the last of the pipeline is %d", got, urgent.Rank())
 	}
+	if got := v.EffectiveRank(first); got != urgent.Rank() {
+		t.Errorf("rank %d when asked again", got)
+	}
+	v.MarkCancelled("run-3")
+	v.accept("run-4") // from the next change on
+	if got := v.EffectiveRank(first); got != own {
+		t.Errorf("rank %d after that one was cancelled, its own is %d", got, own)
+	}
 	v.end("run-3")
 	if got := v.EffectiveRank(first); got != own {
 		t.Errorf("rank %d after that one ended, its own is %d", got, own)
