--- a/internal/coordination/cancellations.go
+++ b/internal/coordination/cancellations.go
@@ -65,5 +65,5 @@
 	for _, id := range ids {
 		n.noteCancelledDependents(n.view.MarkCancelled(id))
 	}
-	n.reconciler.stopInactive()
+	n.reconciler.StopInactive()
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -20,17 +20,13 @@
 	"rockrun/internal/coordination/loop"
 	"rockrun/internal/coordination/membership"
 	"rockrun/internal/coordination/provisioning"
+	"rockrun/internal/coordination/reconcile"
 	"rockrun/internal/coordination/replica"
 	"rockrun/internal/coordination/sharding"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
 
-// Workers takes commands for workers.
-type Agents interface {
-	Execute(addr string, o protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error))
-}
-
 // Peers carries messages to other controllers.
 type Peers interface {
 	Ask(node string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
@@ -43,7 +39,7 @@
 	Clock    loop.Clock
 	Store    kv.Store
 	Cloud    provisioning.Cloud
-	Agents   Agents
+	Agents   reconcile.Agents
 	Peers    Peers
 	Rand     *rand.Rand
 	Log      *slog.Logger
@@ -69,16 +65,19 @@
 
 	shardLease   time.Duration
 	maxStaleness time.Duration
+	maxAttempts  uint64 // attempt numbers used under one grant; 0: all
 	leases       *sharding.Leases
 	reporter     *membership.Reporter
 	elector      *election.Elector
 	leadership   *leadership // nil unless this controller leads
 
-	notices          map[string]*cancellationNotices // by controller
-	reconciler       *reconciler
-	outcomes         *outcomeReader
-	recentlyAccepted recentSubmissions
-	stats            stats
+	notices    map[string]*cancellationNotices // by controller
+	reconciler *reconcile.Reconciler
+	// Jobs cancelled with another whose final records are being written.
+	cancelledDependentWrites map[*storage.Job]*cancelledDependentWrite
+	outcomes                 *outcomeReader
+	recentlyAccepted         recentSubmissions
+	stats                    stats
 }
 
 // New makes a controller; Start sets it going.
@@ -172,7 +171,7 @@
 		Generation: n.generation, Replica: n.replica, ShardLease: n.shardLease, MaxStaleness: n.maxStaleness,
 	})
 	n.notices = map[string]*cancellationNotices{}
-	n.reconciler = newReconciler(n)
+	n.beginReconciler()
 	n.beginMembership()
 	if n.outcomes != nil {
 		n.outcomes.abandon()
@@ -184,6 +183,37 @@
 	n.replica.Start()
 }
 
+// beginReconciler makes what runs the tasks of the shards held.
+func (n *Controller) beginReconciler() {
+	n.cancelledDependentWrites = map[*storage.Job]*cancelledDependentWrite{}
+	n.reconciler = reconcile.New(reconcile.Config{
+		Generation:    n.generation,
+		Replica:       n.replica,
+		View:          n.view,
+		Committer:     n.committer,
+		Leases:        n.leases,
+		Agents:        n.Agents,
+		Outcomes:      outcomes{n},
+		Log:           n.Log,
+		AgentSettings: n.Settings.Cluster.Agents,
+		Objectives:    n.Settings.Cluster.Objectives,
+		MaxStaleness:  n.maxStaleness,
+		MaxAttempts:   n.maxAttempts,
+		EndOfPass: func() {
+			n.stats.passes.Add(1)
+			n.writeDependentCancelled()
+		},
+	})
+}
+
+// outcomes takes in the ends of jobs that the reconciler has made durable.
+type outcomes struct{ controller *Controller }
+
+// Remember takes in that the final record of a job is durable.
+func (o outcomes) Remember(job string, final storage.FinalRecord) {
+	o.controller.rememberFinal(job, final)
+}
+
 // beginMembership makes what tells the leader about this controller, or makes this one the
 // leader.
 func (n *Controller) beginMembership() {
@@ -230,7 +260,7 @@
 	if !n.replica.Ready() {
 		return
 	}
-	if n.reconciler.attemptCounter >= maxAttemptCounter {
+	if n.reconciler.AttemptsExhausted() {
 		n.Log.Warn("attempt numbers used up, starting over")
 		n.begin()
 		return
@@ -244,7 +274,7 @@
 	if n.leadership != nil {
 		n.leadership.tick()
 	}
-	n.reconciler.tick()
+	n.reconciler.Tick()
 }
 
 // recordsChanged works out what follows from new records.
@@ -258,6 +288,6 @@
 	}
 	n.leases.ObserveGrants()
 	n.outcomes.readWanted()
-	n.reconciler.syncWithRecords()
-	n.reconciler.schedulePass()
+	n.reconciler.SyncWithRecords()
+	n.reconciler.SchedulePass()
 }
--- a/internal/coordination/dependents.go
+++ b/internal/coordination/dependents.go
@@ -19,19 +19,18 @@
 // writeDependentCancelled writes the final records of jobs that are cancelled with one
 // they need, a few to a transaction. Answers follow from the needs in the meantime,
 // so nobody waits for these writes, and they never keep new tasks from theirs.
-func (h *reconciler) writeDependentCancelled() {
-	n := h.controller
+func (n *Controller) writeDependentCancelled() {
 	now := n.now()
 	var batch []*storage.Job
 	send := func() {
 		if len(batch) > 0 {
-			h.sendDependentCancelled(batch)
+			n.sendDependentCancelled(batch)
 		}
 		batch = nil
 	}
 	for _, j := range n.view.CancelledDependents() {
-		w := h.cancelledDependentWrites[j]
-		if !h.controller.leases.Holds(j.Shard) || !n.leases.MayActFor(j.Shard) || w != nil && (w.inFlight || n.replica.Revision() < w.writtenRevision || now < w.retryAt) {
+		w := n.cancelledDependentWrites[j]
+		if !n.leases.Holds(j.Shard) || !n.leases.MayActFor(j.Shard) || w != nil && (w.inFlight || n.replica.Revision() < w.writtenRevision || now < w.retryAt) {
 			continue
 		}
 		if !n.committer.Budget.Take(now, 2) {
@@ -43,33 +42,33 @@
 		}
 	}
 	send()
-	for j := range h.cancelledDependentWrites {
+	for j := range n.cancelledDependentWrites {
 		if j.Ended() {
-			delete(h.cancelledDependentWrites, j)
+			delete(n.cancelledDependentWrites, j)
 		}
 	}
 }
 
-func (h *reconciler) sendDependentCancelled(batch []*storage.Job) {
-	n := h.controller
+func (n *Controller) sendDependentCancelled(batch []*storage.Job) {
+	generation := n.generation
 	f := storage.FinalRecord{Stage: protocol.StageCancelled, EndedAtMS: n.Clock.Wall().UnixMilli()}
 	var t protocol.Transaction
 	for _, j := range batch {
 		t.Conditions = append(t.Conditions, protocol.Condition{Key: storage.JobKey(j.ID), Version: j.Version})
-		t.Operations = append(t.Operations, endJobOperations(j.ID, f)...)
-		w := h.cancelledDependentWrites[j]
+		t.Operations = append(t.Operations, storage.EndJobOperations(j.ID, f)...)
+		w := n.cancelledDependentWrites[j]
 		if w == nil {
 			w = &cancelledDependentWrite{}
-			h.cancelledDependentWrites[j] = w
+			n.cancelledDependentWrites[j] = w
 		}
 		w.inFlight = true
 	}
 	n.committer.Commit(t, func(revision uint64, err error) {
-		if n.reconciler != h {
+		if generation.Ended() {
 			return
 		}
 		for _, j := range batch {
-			w := h.cancelledDependentWrites[j]
+			w := n.cancelledDependentWrites[j]
 			if w == nil {
 				continue
 			}
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -9,10 +9,8 @@
 
 	"rockrun/internal/config"
 	"rockrun/internal/coordination/api"
-	"rockrun/internal/coordination/election"
 	"rockrun/internal/coordination/kv"
 	"rockrun/internal/coordination/loop"
-	"rockrun/internal/coordination/membership"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -25,6 +23,7 @@
 	timers          []func()
 	transactions    []protocol.Transaction
 	commandRequests []protocol.CommandRequest
+	commandAnswers  []func(*protocol.AgentHeartbeat, bool, error) // who waits for theirs
 	revision        uint64
 	watched         bool              // the changes have been read
 	elected         bool              // leases are opened for campaigns
@@ -58,8 +57,36 @@
 	}
 }
 
-func (b *testController) Execute(_ string, o protocol.CommandRequest, _ func(*protocol.AgentHeartbeat, bool, error)) {
-	b.commandRequests = append(b.commandRequests, o)
+func (b *testController) Execute(_ string, r protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
+	b.commandRequests = append(b.commandRequests, r)
+	b.commandAnswers = append(b.commandAnswers, done)
+}
+
+// failCommands lets the commands sent so far have no answer.
+func (b *testController) failCommands() {
+	answers := b.commandAnswers
+	b.commandAnswers = nil
+	for _, done := range answers {
+		done(nil, false, protocol.ErrOutcomeUnknown)
+	}
+}
+
+// runTimers calls all that waits for its time, a reconcile pass among it.
+func (b *testController) runTimers() {
+	timers := b.timers
+	b.timers = nil
+	for _, callback := range timers {
+		callback()
+	}
+}
+
+// statuses are what the controller says of the machines that it holds, by name.
+func (b *testController) statuses() map[string]protocol.MachineStatus {
+	statuses := map[string]protocol.MachineStatus{}
+	for _, s := range b.controller.reconciler.MachineStatuses() {
+		statuses[s.Name] = s
+	}
+	return statuses
 }
 func (b *testController) Ask(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {}
 
@@ -95,6 +122,12 @@
 		Rand: rand.New(rand.NewPCG(1, 2)), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
 	b.controller.begin()
+	b.grantShard(intents...)
+	return b
+}
+
+// grantShard lets the controller hold its machine under a fresh grant.
+func (b *testController) grantShard(intents ...string) {
 	b.refreshKnowledge()
 	b.apply(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}})
 	b.apply(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
@@ -105,7 +138,6 @@
 	b.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": intents})
 	b.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: b.controller.replica.Incarnation, FencingToken: grantToken})
 	b.controller.recordsChanged(true)
-	return b
 }
 
 // limitStore lets the store's limits be lower from now on.
@@ -200,219 +232,51 @@
 	return got
 }
 
-func (b *testController) agentUnderTest() *agent { return b.controller.reconciler.agents["m-1"] }
-
-// on lists the attempts believed to be on the machine.
-func (b *testController) liveAttempts() int {
-	n := 0
-	for _, a := range b.agentUnderTest().attempts {
-		if a.live() {
-			n++
-		}
-	}
-	return n
-}
-
 var inherited = storage.IntentEntry(0, "m-1", 9)
 
-// Absence from a report proves nothing while a command of an earlier holder may
-// still take effect; it does once the worker has seen this holder's token.
-func TestFenceBeforeDeciding(t *testing.T) {
-	b := newTestController(t, inherited)
-	b.report(1, grantToken-1)
-	if b.liveAttempts() != 1 {
-		t.Fatal("an unfenced report settled what an earlier holder may have started")
-	}
-	b.report(2, grantToken)
-	if b.liveAttempts() != 0 {
-		t.Error("a fenced report did not settle it")
-	}
-}
-
-// A report that was held back on its way is not news.
-func TestOldReportsAreIgnored(t *testing.T) {
-	b := newTestController(t, inherited)
-	running := protocol.TaskStatus{Task: "run-1/0", Attempt: 9, State: protocol.TaskRunning}
-	b.report(7, grantToken, running)
-	b.report(3, grantToken)
-	if b.liveAttempts() != 1 {
-		t.Error("an older report ended a running task")
-	}
-}
-
-// A start repeated late must not run what was reaped: the reap goes out under a
-// higher token than any start, and only once the outcome is durable.
-func TestReapFencesStarts(t *testing.T) {
+// TestLastAttemptNumber: a holder that has used up the attempt numbers of its grant starts
+// over instead of beginning anew below those that the records name, where an attempt that
+// is over would be taken for the later one.
+func TestLastAttemptNumber(t *testing.T) {
 	b := newTestController(t)
+	b.controller.maxAttempts = 1
+	b.watched = false
+	b.controller.begin()
+	b.grantShard()
+	before := b.controller.replica.Incarnation
 	b.report(1, grantToken)
-	b.controller.reconciler.pass()
-	x := b.agentUnderTest()
-	if b.liveAttempts() != 1 {
-		t.Fatalf("%d attempts are planned", b.liveAttempts())
-	}
-	var try uint64
-	for _, a := range x.attempts {
-		try = a.number
-	}
-	start := func() []protocol.Command {
-		return b.report(x.sequence+1, x.currentToken).Body.(protocol.AgentHeartbeatAnswer).Commands
+	if b.controller.tick(); b.controller.replica.Incarnation != before {
+		t.Fatal("it started over with an attempt number left")
 	}
-	if cmds := start(); len(cmds) != 0 {
-		t.Fatalf("commands before the intent is durable: %v", cmds)
+	b.runTimers()
+	if tasks := b.statuses()["m-1"].Tasks; tasks != 1 || !b.controller.reconciler.AttemptsExhausted() {
+		t.Fatalf("%d tasks are planned", tasks)
 	}
-	b.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {storage.IntentEntry(0, "m-1", try)}})
-	cmds := start()
-	if len(cmds) != 1 || cmds[0].Verb != protocol.VerbStart {
-		t.Fatalf("commands once it is: %v", cmds)
-	}
-	sent := x.highestStartToken
-	ended := protocol.TaskStatus{Task: "run-1/0", Attempt: try, State: protocol.TaskEnded, Cause: protocol.CauseDone}
-	for range 2 {
-		a := b.report(x.sequence+1, x.currentToken, ended).Body.(protocol.AgentHeartbeatAnswer)
-		for _, c := range a.Commands {
-			if c.Verb == protocol.VerbReap {
-				t.Fatal("reaped before its completion is durable")
-			}
-		}
-		b.controller.reconciler.pass()
-	}
-	b.apply(storage.CompletionPageKey(firstPage), storage.CompletionPage{storage.CompletionChunkName("run-1", 0): {1}})
-	b.controller.reconciler.pass()
-	// It waits for company for a while, and then goes by itself.
-	if a := b.report(x.sequence+1, x.currentToken, ended).Body.(protocol.AgentHeartbeatAnswer); len(a.Commands) != 0 {
-		t.Fatalf("commands as soon as it is durable: %v", a.Commands)
-	}
-	b.now += reapAfter
-	b.refreshKnowledge()
-	a := b.report(x.sequence+1, x.currentToken, ended).Body.(protocol.AgentHeartbeatAnswer)
-	if len(a.Commands) == 0 || a.Commands[0].Verb != protocol.VerbReap {
-		t.Fatalf("commands after it is durable: %v", a.Commands)
+	b.controller.tick()
+	if b.controller.replica.Incarnation <= before || b.controller.replica.Ready() || b.controller.reconciler.AttemptsExhausted() {
+		t.Errorf("incarnation %d after %d, ready %v", b.controller.replica.Incarnation, before, b.controller.replica.Ready())
 	}
-	if a.FencingToken <= sent {
-		t.Errorf("the reap's token %d does not fence the start's %d", a.FencingToken, sent)
+	if b.controller.leases.Holds(0) {
+		t.Error("it still holds what its former incarnation was granted")
 	}
 }
 
-// Silence alone proves nothing; the end of the worker's lease does, counted from
-// when an earlier holder may last have renewed it.
-func TestLostOnlyWhenLeaseIsOut(t *testing.T) {
+// TestHeartbeatAllocations: a heartbeat without news is what a controller gets most of. It
+// must cost next to nothing to answer.
+func TestHeartbeatAllocations(t *testing.T) {
 	b := newTestController(t, inherited)
-	w := b.controller.Settings.Cluster.Agents
-	from := b.now
-	for _, c := range []struct {
-		after time.Duration
-		on    int
-	}{
-		{w.Lease(), 1},
-		{b.controller.maxStaleness + w.Lease(), 1},
-		{b.controller.maxStaleness + w.Lease() + config.LeaseMargin + time.Second, 0},
-	} {
-		b.now = from + c.after
-		b.refreshKnowledge()
-		b.controller.reconciler.tick()
-		if b.liveAttempts() != c.on {
-			t.Errorf("after %s, %d attempts count", c.after, b.liveAttempts())
+	b.report(1, grantToken, running)
+	b.runTimers() // what the first heartbeat asked for is sent
+	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: 1, FencingToken: grantToken, Tasks: []protocol.TaskStatus{running}}
+	reply := func(a api.Answer) {
+		if a.Status != 200 {
+			t.Fatalf("status %d", a.Status)
 		}
 	}
-}
-
-// Whatever may be on a machine counts against the team's limit, seen or not.
-func TestUnprovenAttemptsCount(t *testing.T) {
-	b := newTestController(t, inherited)
-	if got := b.controller.reconciler.usageOf(0)[0].CPUs; got != 4 {
-		t.Errorf("an inherited attempt counts as %v CPUs", got)
-	}
-	b.report(1, grantToken)
-	if got := b.controller.reconciler.usageOf(0)[0].CPUs; got != 0 {
-		t.Errorf("once settled it counts as %v CPUs", got)
-	}
-}
-
-// A holder whose knowledge is too old, or whose block lease is out, does not
-// renew workers' leases.
-func TestNotEntitled(t *testing.T) {
-	b := newTestController(t)
-	if a := b.report(1, grantToken); a.Status != 200 {
-		t.Fatalf("status %d while entitled", a.Status)
-	}
-	b.now += b.controller.maxStaleness + time.Second
-	b.extendLeases(testLease)
-	if a := b.report(2, grantToken); a.Status != 503 {
-		t.Errorf("status %d with old knowledge", a.Status)
-	}
-	b.refreshKnowledge()
-	if a := b.report(3, grantToken); a.Status != 200 {
-		t.Errorf("status %d with fresh knowledge", a.Status)
-	}
-	b.now += testLease
-	b.controller.replica.Apply(protocol.Changes{}, b.now)
-	if a := b.report(4, grantToken); a.Status != 503 {
-		t.Errorf("status %d without a block lease", a.Status)
-	}
-	b.refreshKnowledge()
-	if a := b.report(5, grantToken+1<<24); a.Status != 503 {
-		t.Errorf("status %d to a worker that has seen a higher token", a.Status)
-	}
-}
-
-// A copy of a report that comes long after it was sent renews no lease: nobody
-// waits for the answer, and the machine may be gone.
-func TestCopiesRenewNothing(t *testing.T) {
-	b := newTestController(t)
-	b.report(5, grantToken)
-	answered := b.agentUnderTest().lastAnsweredAt
-	b.now += membership.AgentAnswerTimeout + time.Second
-	b.refreshKnowledge()
-	if a := b.report(5, grantToken); a.Status != 503 {
-		t.Errorf("status %d to a late copy", a.Status)
-	}
-	if a := b.report(3, grantToken); a.Status != 503 || b.agentUnderTest().lastAnsweredAt != answered {
-		t.Errorf("status %d to an older one, answered at %s", a.Status, b.agentUnderTest().lastAnsweredAt)
-	}
-	if a := b.report(6, grantToken); a.Status != 200 || b.agentUnderTest().lastAnsweredAt != b.now {
-		t.Errorf("status %d to a new one", a.Status)
-	}
-}
-
-// A start that was sent and never seen is over once the worker's session has
-// moved on: its lease has ended everything, and commands name their session.
-func TestNewSessionEndsStarts(t *testing.T) {
-	b := newTestController(t)
-	b.report(1, grantToken)
-	b.controller.reconciler.pass()
-	x := b.agentUnderTest()
-	for _, a := range x.attempts {
-		b.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {storage.IntentEntry(0, "m-1", a.number)}})
-	}
-	if cmds := b.report(2, grantToken).Body.(protocol.AgentHeartbeatAnswer).Commands; len(cmds) != 1 {
-		t.Fatalf("commands: %v", cmds)
-	}
-	b.report(3, grantToken)
-	if b.liveAttempts() != 1 {
-		t.Fatal("absence alone ended a start that may be on its way")
-	}
-	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 2, Sequence: 4, FencingToken: grantToken}
-	b.controller.reconciler.onHeartbeat(x, r, true)
-	if b.liveAttempts() != 0 {
-		t.Error("a new session did not end it")
-	}
-}
-
-// TestLastTry: attempt numbers of one grant rise up to the last; a holder that has used
-// them up starts over instead of beginning anew below those that the records name, where
-// an attempt that is over would be taken for the later one.
-func TestLastTry(t *testing.T) {
-	b := newTestController(t)
-	b.controller.reconciler.attemptCounter = maxAttemptCounter - 1
-	before, last := b.controller.replica.Incarnation, b.controller.reconciler.nextAttemptNumber(b.agentUnderTest())
-	if election.TokenSerial(last) != election.TokenSerial(grantToken) || last&(election.HolderSteps-1) != maxAttemptCounter {
-		t.Errorf("attempt %x under grant %x", last, uint64(grantToken))
-	}
-	b.controller.tick()
-	if b.controller.replica.Incarnation <= before || b.controller.replica.Ready() || b.controller.reconciler.attemptCounter != 0 {
-		t.Errorf("incarnation %d after %d, ready %v, %d tries", b.controller.replica.Incarnation, before, b.controller.replica.Ready(), b.controller.reconciler.attemptCounter)
-	}
-	if b.controller.leases.Holds(0) {
-		t.Error("it still holds what its former incarnation was granted")
+	if n := testing.AllocsPerRun(200, func() {
+		r.Sequence++
+		b.controller.OnAgentHeartbeat(r, reply)
+	}); n > 2 {
+		t.Errorf("%v allocations for a heartbeat without news", n)
 	}
 }
--- a/internal/coordination/needs_test.go
+++ b/internal/coordination/needs_test.go
@@ -250,7 +250,7 @@
 	for range 20 {
 		b.now += time.Second
 		b.refreshKnowledge()
-		b.controller.reconciler.writeDependentCancelled()
+		b.controller.writeDependentCancelled()
 		b.applyTransactions()
 	}
 	written := 0
@@ -286,14 +286,8 @@
 	if waiting := needs(); waiting > 0 {
 		t.Errorf("while they wait: %d of the limit", waiting)
 	}
-	if list := b.controller.reconciler.pendingJobs(b.now); len(list) > 0 {
-		t.Errorf("while they wait: %d jobs to place", len(list))
-	}
 	b.controller.rememberFinal("run-7", storage.FinalRecord{Stage: protocol.StageDone})
 	if needs() == 0 {
 		t.Error("released: nothing of the limit")
 	}
-	if list := b.controller.reconciler.pendingJobs(b.now); len(list) != 2 {
-		t.Errorf("released: %d jobs to place", len(list))
-	}
 }
--- a/internal/coordination/outcomes.go
+++ b/internal/coordination/outcomes.go
@@ -103,7 +103,7 @@
 // know yet.
 func (r *outcomeReader) readWanted() {
 	n := r.controller
-	if n.leadership == nil && len(n.reconciler.writers) == 0 {
+	if n.leadership == nil && !n.reconciler.HoldsJobShards() {
 		return
 	}
 	for _, j := range n.view.UnreadOutcomes() {
@@ -140,7 +140,7 @@
 	}
 	n.noteCancelledDependents(cancelled)
 	if len(released) > 0 {
-		n.reconciler.schedulePass()
+		n.reconciler.SchedulePass()
 	}
 }
 
@@ -153,6 +153,6 @@
 		}
 	}
 	if len(jobs) > 0 {
-		n.reconciler.schedulePass()
+		n.reconciler.SchedulePass()
 	}
 }
--- /dev/null
+++ b/internal/coordination/reconcile/bench_test.go
@@ -0,0 +1,93 @@
+package reconcile
+
+import (
+	"bytes"
+	"encoding/gob"
+	"fmt"
+	"testing"
+
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+// BenchmarkPass is one placing pass over a fleet: with nothing to place, and
+// with work that finds no room.
+func BenchmarkPass(b *testing.B) {
+	for _, waiting := range []bool{false, true} {
+		b.Run(fmt.Sprintf("waiting=%t", waiting), func(b *testing.B) {
+			f := newFleetFixture(b, mediumFleet)
+			if waiting {
+				f.waitingJob()
+			}
+			b.ReportAllocs()
+			for b.Loop() {
+				f.reconciler.pass()
+			}
+		})
+	}
+}
+
+// BenchmarkMachineStatuses is a peer heartbeat of the holder of a fleet, made, encoded
+// and decoded again.
+func BenchmarkMachineStatuses(b *testing.B) {
+	f := newFleetFixture(b, mediumFleet)
+	var link bytes.Buffer
+	enc, dec := gob.NewEncoder(&link), gob.NewDecoder(&link)
+	b.ReportAllocs()
+	size := 0
+	for b.Loop() {
+		if err := enc.Encode(protocol.PeerRequest{Heartbeat: &protocol.PeerHeartbeat{Controller: "a", Machines: f.reconciler.MachineStatuses()}}); err != nil {
+			b.Fatal(err)
+		}
+		size = link.Len()
+		var r protocol.PeerRequest
+		if err := dec.Decode(&r); err != nil {
+			b.Fatal(err)
+		}
+	}
+	b.ReportMetric(float64(size), "bytes/heartbeat")
+}
+
+// BenchmarkApplyPage is a page of intents taken in from the changes.
+func BenchmarkApplyPage(b *testing.B) {
+	f := newFleetFixture(b, mediumFleet)
+	page := storage.IntentPage{}
+	for j := range fleetTasksPerPage {
+		page["run-000000"] = append(page["run-000000"], storage.IntentEntry(j, fleetMachineName(j), fleetAttempt))
+	}
+	value := storage.Encode(page)
+	b.ReportAllocs()
+	for b.Loop() {
+		f.revision++
+		if err := f.view.Apply(storage.IntentPageKey(firstPage), value, f.revision); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+// BenchmarkOnHeartbeat is a heartbeat without news, taken in and answered.
+func BenchmarkOnHeartbeat(b *testing.B) {
+	f := newFleetFixture(b, mediumFleet)
+	r := fleetHeartbeat(7, 2)
+	_, machine := f.view.Machines.Find(r.Machine)
+	reply := func(protocol.AgentHeartbeatAnswer) {}
+	b.ReportAllocs()
+	for b.Loop() {
+		r.Sequence++
+		if err := f.reconciler.OnHeartbeat(machine, r, reply); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+// BenchmarkPageWritten is the value of a page of intents, made to be written.
+func BenchmarkPageWritten(b *testing.B) {
+	f := newFleetFixture(b, mediumFleet)
+	w := f.reconciler.writers[0]
+	b.ReportAllocs()
+	for b.Loop() {
+		if op := w.intentPageOperation(w.intentPages[0]); len(op.Value) == 0 {
+			b.Fatal("an empty value")
+		}
+	}
+}
--- a/internal/coordination/commands.go
+++ b/internal/coordination/reconcile/commands.go
@@ -1,4 +1,4 @@
-package coordination
+package reconcile
 
 import (
 	"cmp"
@@ -18,11 +18,11 @@
 // fenced, a holder that knows a job to be cancelled could renew the lease under
 // its tasks just before it must fall silent, and they would outlast the time for
 // cancelling by as long as the cancellation was known.
-func (h *reconciler) stopCommands(x *agent) []protocol.Command {
+func (h *Reconciler) stopCommands(x *agent) []protocol.Command {
 	cmds := []protocol.Command{}
-	for _, ref := range sortedTasks(x.attempts) {
+	for _, ref := range storage.SortedTasks(x.attempts) {
 		if a := x.attempts[ref]; a.live() && a.stopRequested {
-			cmds = append(cmds, a.stopCommand(h.controller.now()))
+			cmds = append(cmds, a.stopCommand(h.now()))
 		}
 	}
 	return cmds
@@ -37,11 +37,11 @@
 
 // commandsFor works out the difference between what should be on a machine and what
 // its last report showed.
-func (h *reconciler) commandsFor(x *agent) []protocol.Command {
+func (h *Reconciler) commandsFor(x *agent) []protocol.Command {
 	if !x.needsAttention {
 		return []protocol.Command{}
 	}
-	if !x.fenceConfirmed || !h.controller.leases.MayActFor(x.shard) {
+	if !x.fenceConfirmed || !h.Leases.MayActFor(x.shard) {
 		return h.stopCommands(x)
 	}
 	cmds, reaps := h.commandsForUnexpected(x)
@@ -68,9 +68,9 @@
 
 // commandsForUnexpected are the commands for what is on a machine and nobody asked for
 // any more; reaps is whether anything that has ended is to be forgotten.
-func (h *reconciler) commandsForUnexpected(x *agent) (cmds []protocol.Command, reaps bool) {
+func (h *Reconciler) commandsForUnexpected(x *agent) (cmds []protocol.Command, reaps bool) {
 	cmds = []protocol.Command{}
-	if !x.reapDue(h.controller.now()) && !h.hasUnsentCommands(x) {
+	if !x.reapDue(h.now()) && !h.hasUnsentCommands(x) {
 		return cmds, false
 	}
 	atOnce := 0.0
@@ -87,8 +87,8 @@
 
 // commandFor is the command that an attempt on a machine needs, if any. One that is to
 // stop and was never told to start ends here.
-func (h *reconciler) commandFor(x *agent, a *attempt) (c protocol.Command, needed bool) {
-	now := h.controller.now()
+func (h *Reconciler) commandFor(x *agent, a *attempt) (c protocol.Command, needed bool) {
+	now := h.now()
 	switch {
 	case !a.live():
 		return c, false
@@ -133,37 +133,36 @@
 }
 
 // push sends a machine its commands at once instead of with its next report.
-func (h *reconciler) sendCommands(x *agent) {
-	n := h.controller
+func (h *Reconciler) sendCommands(x *agent) {
 	if x.commandsInFlight {
 		x.sendAgain = true
 		return
 	}
-	if n.now() < x.noCommandsBefore || x.address == "" || !x.machine.Exists() {
+	if h.now() < x.noCommandsBefore || x.address == "" || !x.machine.Exists() {
 		return
 	}
 	cmds := h.commandsFor(x)
 	// Without a command it still shows the token to a machine that is new here.
-	if len(cmds) == 0 && (x.fenceConfirmed || !n.leases.MayActFor(x.shard)) {
+	if len(cmds) == 0 && (x.fenceConfirmed || !h.Leases.MayActFor(x.shard)) {
 		return
 	}
-	x.commandsInFlight, x.sendAgain, x.commandsSentAt = true, false, n.now()
+	x.commandsInFlight, x.sendAgain, x.commandsSentAt = true, false, h.now()
 	o := protocol.CommandRequest{FencingToken: x.currentToken, Epoch: x.epoch, Commands: cmds}
-	n.Agents.Execute(x.address, o, func(r *protocol.AgentHeartbeat, done bool, err error) {
+	h.Agents.Execute(x.address, o, func(r *protocol.AgentHeartbeat, done bool, err error) {
 		x.commandsInFlight = false
-		if h.agents[x.machine.Name] != x || n.reconciler != h {
+		if h.agents[x.machine.Name] != x || h.Generation.Ended() {
 			return
 		}
 		if err != nil {
 			// Whether it was carried out is open; the next report will tell.
-			n.Log.Debug("no answer to commands", "machine", x.machine.Name, "err", err)
-			x.noCommandsBefore = n.now() + n.generation.Jitter(time.Second)
+			h.Log.Debug("no answer to commands", "machine", x.machine.Name, "err", err)
+			x.noCommandsBefore = h.now() + h.Generation.Jitter(time.Second)
 			return
 		}
 		if r.Machine != x.machine.Name || r.FencingToken > x.currentToken {
 			return
 		}
-		n.leases.NoteAgentHeard(x.shard)
+		h.Leases.NoteAgentHeard(x.shard)
 		stale := !done && r.Epoch != o.Epoch
 		h.onHeartbeat(x, r, false)
 		if x.sendAgain || stale {
@@ -174,7 +173,7 @@
 
 // unsettled reports whether a machine has tasks that nobody asked for, or a
 // stop that still needs its proof.
-func (h *reconciler) needsResolution(x *agent) bool {
+func (h *Reconciler) needsResolution(x *agent) bool {
 	// Ended ones are reaped with the next answer or start; that is soon enough.
 	if slices.ContainsFunc(x.unexpected, func(t protocol.TaskStatus) bool { return t.State != protocol.TaskEnded }) {
 		return true
@@ -189,8 +188,8 @@
 
 // startable reports whether a start waits to be sent that was not sent yet, or
 // an order that has gone unheeded.
-func (h *reconciler) hasUnsentCommands(x *agent) bool {
-	now := h.controller.now()
+func (h *Reconciler) hasUnsentCommands(x *agent) bool {
+	now := h.now()
 	for _, a := range x.attempts {
 		if !a.live() {
 			continue
@@ -211,8 +210,8 @@
 }
 
 // unheeded reports whether any stop on a machine is.
-func (h *reconciler) hasDueStops(x *agent) bool {
-	now := h.controller.now()
+func (h *Reconciler) hasDueStops(x *agent) bool {
+	now := h.now()
 	for _, a := range x.attempts {
 		if a.stopDue(now) {
 			return true
@@ -227,8 +226,8 @@
 
 // stopForDrains decides which tasks must leave: those of a machine that the cloud takes
 // and which can save in time, and services of machines that go back.
-func (h *reconciler) evictForDrains() {
-	now := h.controller.now()
+func (h *Reconciler) evictForDrains() {
+	now := h.now()
 	if now < h.nextDrainCheckAt {
 		return
 	}
@@ -258,10 +257,10 @@
 	// Replicas move one at a time, and only to room that is free now on a machine
 	// that has their image, so that a move costs no more than a stop and a start.
 	for _, x := range machines {
-		if moving || x.machine.Phase != storage.PhaseDraining || !h.controller.leases.MayActFor(x.shard) || !x.fenceConfirmed {
+		if moving || x.machine.Phase != storage.PhaseDraining || !h.Leases.MayActFor(x.shard) || !x.fenceConfirmed {
 			continue
 		}
-		for _, ref := range sortedTasks(x.attempts) {
+		for _, ref := range storage.SortedTasks(x.attempts) {
 			a := x.attempts[ref]
 			if a.state != taskRunning || a.stopRequested || !a.job.IsService() {
 				continue
@@ -271,7 +270,7 @@
 				continue
 			}
 			if _, cached := to.imageWantedAt[a.job.ImageIndex]; cached {
-				h.controller.Log.Info("move", "job", a.job.ID, "task", a.task, "from", x.machine.Name, "to", to.machine.Name)
+				h.Log.Info("move", "job", a.job.ID, "task", a.task, "from", x.machine.Name, "to", to.machine.Name)
 				a.stopRequested, a.graceSeconds, moving, x.needsAttention = true, a.job.SaveSeconds, true, true
 				break
 			}
--- a/internal/coordination/completion.go
+++ b/internal/coordination/reconcile/completion.go
@@ -1,4 +1,4 @@
-package coordination
+package reconcile
 
 import (
 	"slices"
@@ -10,7 +10,7 @@
 
 // end marks an attempt as proven over. A completed one stays until that is
 // durable; any other makes its task wait again.
-func (h *reconciler) end(a *attempt, cause string) {
+func (h *Reconciler) end(a *attempt, cause string) {
 	if !a.live() {
 		return
 	}
@@ -23,7 +23,7 @@
 			if p.completedCount >= a.job.Tasks {
 				h.completedJobs = append(h.completedJobs, p)
 			} else if d := h.writers[a.agent.shard]; d != nil {
-				d.markCompleted(p, a.task/storage.TasksPerChunk, h.controller.now())
+				d.markCompleted(p, a.task/storage.TasksPerChunk, h.now())
 			}
 		}
 		h.completedAttempts = append(h.completedAttempts, a)
@@ -33,33 +33,23 @@
 }
 
 // settleAll ends every attempt of a machine that is proven to run nothing.
-func (h *reconciler) endAll(x *agent, why string) {
+func (h *Reconciler) endAll(x *agent, why string) {
 	if len(x.attempts) > 0 {
-		h.controller.Log.Info("tasks lost", "machine", x.machine.Name, "tasks", len(x.attempts), "why", why)
+		h.Log.Info("tasks lost", "machine", x.machine.Name, "tasks", len(x.attempts), "why", why)
 	}
-	for _, ref := range sortedTasks(x.attempts) {
+	for _, ref := range storage.SortedTasks(x.attempts) {
 		h.end(x.attempts[ref], "lost")
 	}
 	x.unexpected = nil
 }
 
-// endOps are the changes that end a job: its record leaves what controllers follow and
-// its final one is written, in one transaction under the version of the first, so only
-// one end can ever happen.
-func endJobOperations(id string, f storage.FinalRecord) []protocol.Operation {
-	return []protocol.Operation{
-		{Delete: storage.JobKey(id)},
-		{Put: storage.FinalKey(id), Value: storage.Encode(f)},
-	}
-}
-
 // maxFinishing bounds the ends of jobs under way: with answers in half a second, sixteen
 // jobs end each second.
 const maxJobEndsInFlight = 8
 
 // finish makes jobs durable whose tasks are all done, and lets completed
 // attempts leave their machines once that is.
-func (h *reconciler) writeJobEnds() {
+func (h *Reconciler) writeJobEnds() {
 	h.completedJobs = slices.DeleteFunc(h.completedJobs, func(p *jobProgress) bool {
 		if p.job.Ended() || h.jobs[p.job] != p {
 			return true
@@ -73,46 +63,44 @@
 }
 
 // mayFinish reports whether the end of a job may be written now.
-func (h *reconciler) mayWriteJobEnd(p *jobProgress) bool {
-	n := h.controller
-	return !p.endInFlight && n.replica.Revision() >= p.endWrittenRevision && n.now() >= p.retryAt && n.leases.MayActFor(p.job.Shard) && h.jobEndsInFlight < maxJobEndsInFlight
+func (h *Reconciler) mayWriteJobEnd(p *jobProgress) bool {
+	return !p.endInFlight && h.Replica.Revision() >= p.endWrittenRevision && h.now() >= p.retryAt && h.Leases.MayActFor(p.job.Shard) && h.jobEndsInFlight < maxJobEndsInFlight
 }
 
 // finishJob writes that a job is done. Users wait for it and there are few jobs beside
 // tasks, so it doesn't wait for a write to be to spare.
-func (h *reconciler) writeJobEnd(p *jobProgress) {
-	n := h.controller
+func (h *Reconciler) writeJobEnd(p *jobProgress) {
 	j := p.job
-	n.committer.Budget.TakeAnyway(n.now(), 2)
+	h.Committer.Budget.TakeAnyway(h.now(), 2)
 	p.endInFlight = true
 	h.jobEndsInFlight++
-	f := storage.FinalRecord{Stage: protocol.StageDone, CompletedTasks: j.Tasks, EndedAtMS: n.Clock.Wall().UnixMilli()}
-	n.committer.Commit(protocol.Transaction{
+	f := storage.FinalRecord{Stage: protocol.StageDone, CompletedTasks: j.Tasks, EndedAtMS: h.Generation.Wall().UnixMilli()}
+	h.Committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{
 			{Key: storage.JobKey(j.ID), Version: j.Version},
-			{Key: storage.GrantKey(j.Shard), Version: n.view.Grants[j.Shard].Version},
+			{Key: storage.GrantKey(j.Shard), Version: h.View.Grants[j.Shard].Version},
 		},
-		Operations: endJobOperations(j.ID, f),
+		Operations: storage.EndJobOperations(j.ID, f),
 	}, func(revision uint64, err error) {
 		p.endInFlight = false
 		h.jobEndsInFlight--
-		if n.reconciler != h {
+		if h.Generation.Ended() {
 			return
 		}
 		if err != nil {
-			n.Log.Debug("completed job not written", "job", j.ID, "err", err)
-			p.retryAt = n.now() + n.generation.Jitter(kv.RetryPause/2)
+			h.Log.Debug("completed job not written", "job", j.ID, "err", err)
+			p.retryAt = h.now() + h.Generation.Jitter(kv.RetryPause/2)
 			return
 		}
 		p.endWrittenRevision = revision
-		n.rememberFinal(j.ID, f)
-		n.Log.Debug("job done", "job", j.ID)
+		h.Outcomes.Remember(j.ID, f)
+		h.Log.Debug("job done", "job", j.ID)
 	})
 }
 
 // releaseCompleted lets a completed attempt leave its machine once its completion is
 // durable, and reports whether it need not be looked at any more.
-func (h *reconciler) releaseCompleted(a *attempt) bool {
+func (h *Reconciler) releaseCompleted(a *attempt) bool {
 	if h.agents[a.agent.machine.Name] != a.agent || a.agent.attempts[a.ref()] != a {
 		return true
 	}
--- /dev/null
+++ b/internal/coordination/reconcile/fixture_test.go
@@ -0,0 +1,263 @@
+package reconcile
+
+import (
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"rockrun/internal/config"
+	"rockrun/internal/coordination/kv"
+	"rockrun/internal/coordination/loop"
+	"rockrun/internal/coordination/replica"
+	"rockrun/internal/coordination/sharding"
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+// fixture is a reconciler whose clock, store and agents do what a test says. It holds one
+// machine, m-1, under a fresh grant.
+type fixture struct {
+	t               testing.TB
+	reconciler      *Reconciler
+	leases          *sharding.Leases
+	replica         *replica.Replica
+	committer       *kv.Committer
+	view            *storage.View
+	now             time.Duration
+	timers          []func()
+	transactions    []protocol.Transaction // sent to the store, not answered
+	commandRequests []protocol.CommandRequest
+	revision        uint64
+	watched         bool              // the changes have been read once
+	values          map[string][]byte // what the store holds
+	ended           []string          // jobs whose ends are durable
+}
+
+func (f *fixture) Now() time.Duration                               { return f.now }
+func (f *fixture) Wall() time.Time                                  { return time.Unix(1_800_000_000, 0).Add(f.now) }
+func (f *fixture) After(_ time.Duration, callback func())           { f.timers = append(f.timers, callback) }
+func (f *fixture) Get(string, func(protocol.KeyValue, bool, error)) {}
+func (f *fixture) OpenLease(time.Duration, func(uint64, error))     {}
+func (f *fixture) RenewLease(uint64, func(error))                   {}
+func (f *fixture) RevokeLease(uint64, func(error))                  {}
+func (f *fixture) Remember(job string, _ storage.FinalRecord)       { f.ended = append(f.ended, job) }
+
+func (f *fixture) List(_, _ string, done func(protocol.KeyValuePage, error)) {
+	done(protocol.KeyValuePage{}, nil)
+}
+
+func (f *fixture) Commit(t protocol.Transaction, _ func(uint64, error)) {
+	f.transactions = append(f.transactions, t)
+}
+
+// Watch answers the first read of the changes, so that the records count as read.
+func (f *fixture) Watch(_ string, _ uint64, _ time.Duration, done func(protocol.Changes, error)) {
+	if !f.watched {
+		f.watched = true
+		done(protocol.Changes{}, nil)
+	}
+}
+
+func (f *fixture) Execute(_ string, r protocol.CommandRequest, _ func(*protocol.AgentHeartbeat, bool, error)) {
+	f.commandRequests = append(f.commandRequests, r)
+}
+
+const (
+	// grantToken is the fencing token of the fixture's grant.
+	grantToken = 5<<44 | 1<<24
+	// testShardLease is how long a shard lease lasts.
+	testShardLease = 3 * time.Second
+	// testLease is for how long the controller may act once its leases are extended.
+	testLease = time.Minute
+)
+
+// firstPage is the first page of the only job shard.
+var firstPage = storage.PageID{}
+
+var (
+	// inherited is the intent of a former holder that run-1/0 is on m-1.
+	inherited = storage.IntentEntry(0, "m-1", 9)
+	// running is what the agent says of that task.
+	running = protocol.TaskStatus{Task: "run-1/0", Attempt: 9, State: protocol.TaskRunning}
+)
+
+// newFixture makes a fixture; the record of a former holder has the intents given of
+// run-1.
+func newFixture(t testing.TB, intents ...string) *fixture {
+	f := &fixture{t: t, now: time.Minute, values: map[string][]byte{}}
+	agents := config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60}
+	limits := config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 100, ValueKiB: 8, TransactionOperations: 8}.Limits()
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	generation := loop.NewGeneration(f, rand.New(rand.NewPCG(1, 2)))
+	f.committer = kv.NewCommitter(f, limits, log)
+	f.committer.BeginGeneration(generation)
+	f.view = storage.NewView([]storage.Team{{Name: "red", MaxCPUs: 8}}, 1)
+	f.replica = replica.New(replica.Config{
+		Generation: generation, Store: f, View: f.view, Controller: "a", Incarnation: 3, WatchPause: time.Second, Log: log, OnChange: func(bool) {},
+	})
+	f.leases = sharding.NewLeases(sharding.LeasesConfig{
+		Generation: generation, Replica: f.replica, ShardLease: testShardLease, MaxStaleness: agents.MaxStaleness(),
+	})
+	f.reconciler = New(Config{
+		Generation: generation, Replica: f.replica, View: f.view, Committer: f.committer, Leases: f.leases, Agents: f, Outcomes: f, Log: log,
+		AgentSettings: agents, MaxStaleness: agents.MaxStaleness(), EndOfPass: func() {},
+	})
+	f.replica.Start()
+	f.refreshKnowledge()
+	f.apply(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}})
+	f.apply(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
+	f.apply(storage.JobKey("run-1"), storage.JobRecord{Spec: protocol.JobSpec{
+		ID: "run-1", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2, CPUs: 4, MemoryGB: 1,
+	}})
+	f.apply(storage.MachineGroupKey("b"), storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-1", Address: "w"}}})
+	f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": intents})
+	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: f.replica.Incarnation, FencingToken: grantToken})
+	f.recordsChanged()
+	return f
+}
+
+// recordsChanged lets the reconciler see the records that were applied.
+func (f *fixture) recordsChanged() {
+	f.leases.ObserveGrants()
+	f.reconciler.SyncWithRecords()
+	f.reconciler.SchedulePass()
+}
+
+// limitStore lets the store's limits be lower from now on.
+func (f *fixture) limitStore(valueBytes, operations, conditions int) {
+	limits := f.committer.Limits()
+	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
+	limits.Operations = min(limits.Operations, operations)
+	limits.Conditions = min(limits.Conditions, conditions)
+	f.committer.SetLimits(limits)
+}
+
+// limitWrites lets the writes of this controller arrive at a rate, of which one is there.
+func (f *fixture) limitWrites(rate float64) {
+	budget := &f.committer.Budget
+	*budget = loop.NewTokenBucket(1)
+	budget.Fill(f.now)
+	budget.SetRate(rate)
+}
+
+// apply lets the view hold a record.
+func (f *fixture) apply(key string, record any) {
+	f.t.Helper()
+	f.revision++
+	f.put(key, storage.Encode(record))
+	f.advance(f.revision)
+}
+
+// remove lets the view hold a record no more.
+func (f *fixture) remove(key string) {
+	f.revision++
+	f.view.Remove(key, f.revision)
+}
+
+// advance lets the view have reached a revision, without making it any fresher.
+func (f *fixture) advance(revision uint64) {
+	f.replica.Apply(protocol.Changes{Revision: revision}, 0)
+}
+
+func (f *fixture) put(key string, value []byte) {
+	f.t.Helper()
+	f.values[key] = value
+	if err := f.view.Apply(key, value, f.revision); err != nil {
+		f.t.Fatal(err)
+	}
+}
+
+// applyTransactions carries out the transactions that were sent, in their order. They are
+// not answered: the view shows what came of them.
+func (f *fixture) applyTransactions() {
+	f.t.Helper()
+	transactions := f.transactions
+	f.transactions = nil
+	for _, t := range transactions {
+		f.checkLimits(t)
+		f.revision++
+		for _, op := range t.Operations {
+			if op.Put != "" {
+				f.put(op.Put, op.Value)
+				continue
+			}
+			delete(f.values, op.Delete)
+			f.view.Remove(op.Delete, f.revision)
+		}
+		f.advance(f.revision)
+	}
+}
+
+// checkLimits fails where a transaction is over the limits in force.
+func (f *fixture) checkLimits(t protocol.Transaction) {
+	f.t.Helper()
+	limits := f.committer.Limits()
+	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Conditions) > limits.Conditions {
+		f.t.Errorf("over the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
+	}
+}
+
+// refreshKnowledge renews what the controller knows and holds.
+func (f *fixture) refreshKnowledge() {
+	f.refreshView()
+	f.extendLeases(testLease)
+}
+
+// refreshView lets the view be known to hold everything durable.
+func (f *fixture) refreshView() { f.replica.Apply(protocol.Changes{}, f.now) }
+
+// extendLeases lets the controller act for all its shards for so long.
+func (f *fixture) extendLeases(d time.Duration) {
+	for shard := range f.view.Grants {
+		f.leases.Extend(shard, f.now+d-testShardLease)
+	}
+}
+
+// heartbeat hands a heartbeat of m-1 to the reconciler and returns the answer.
+func (f *fixture) heartbeat(sequence, token uint64, tasks ...protocol.TaskStatus) (answer protocol.AgentHeartbeatAnswer, err error) {
+	f.t.Helper()
+	return f.deliver(&protocol.AgentHeartbeat{
+		Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: sequence, FencingToken: token, Tasks: tasks,
+	})
+}
+
+// commandsFor is what a heartbeat of m-1 that must be answered is answered with.
+func (f *fixture) commandsFor(sequence, token uint64, tasks ...protocol.TaskStatus) []protocol.Command {
+	f.t.Helper()
+	answer, err := f.heartbeat(sequence, token, tasks...)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	return answer.Commands
+}
+
+// deliver hands a heartbeat to the reconciler and returns the answer.
+func (f *fixture) deliver(r *protocol.AgentHeartbeat) (answer protocol.AgentHeartbeatAnswer, err error) {
+	_, machine := f.view.Machines.Find(r.Machine)
+	err = f.reconciler.OnHeartbeat(machine, r, func(a protocol.AgentHeartbeatAnswer) { answer = a })
+	return answer, err
+}
+
+// agent is the agent of m-1.
+func (f *fixture) agent() *agent { return f.reconciler.agents["m-1"] }
+
+// liveAttempts counts the attempts that may be on m-1.
+func (f *fixture) liveAttempts() int {
+	count := 0
+	for _, a := range f.agent().attempts {
+		if a.live() {
+			count++
+		}
+	}
+	return count
+}
+
+// stopsAtOnce reports whether commands stop run-1/0 without grace.
+func stopsAtOnce(commands []protocol.Command) bool {
+	return slices.ContainsFunc(commands, func(c protocol.Command) bool {
+		return c.Verb == protocol.VerbStop && c.Task == "run-1/0" && c.GraceSeconds != nil && *c.GraceSeconds == 0
+	})
+}
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reconcile/heartbeat.go
@@ -1,4 +1,4 @@
-package coordination
+package reconcile
 
 import (
 	"slices"
@@ -10,63 +10,33 @@
 	"rockrun/internal/storage"
 )
 
-// refuseHeartbeat asks an agent to come back, for a reason.
-func refuseHeartbeat(r *protocol.AgentHeartbeat, reason api.RetryReason) api.Answer {
-	return api.FromError(&api.RetryLaterError{Reason: reason, Machine: r.Machine})
-}
-
-// OnReport answers a worker's report.
-func (n *Controller) OnAgentHeartbeat(r *protocol.AgentHeartbeat, reply func(api.Answer)) {
-	if !n.replica.Ready() {
-		reply(refuseHeartbeat(r, api.ErrStarting))
-		return
-	}
-	_, m := n.view.Machines.Find(r.Machine)
-	if m == nil || m.Group == "" {
-		n.reporter.AddUnrecorded(r)
-		reply(refuseHeartbeat(r, api.ErrMachineUnknown))
-		return
-	}
-	if !m.Exists() || m.Shard < 0 || m.Shard >= n.shardCount {
-		reply(refuseHeartbeat(r, api.ErrMachineGone))
-		return
-	}
-	n.leases.NoteAgentHeard(m.Shard)
-	if n.leases.Holds(m.Shard) {
-		x := n.reconciler.agents[m.Name]
-		if x == nil || !n.leases.MayActFor(m.Shard) || r.FencingToken > x.currentToken {
-			reply(refuseHeartbeat(r, api.ErrNotEntitled))
-			return
-		}
-		if !r.NewerThan(x.epoch, x.sequence) && n.now()-x.lastHeartbeatAt > membership.AgentAnswerTimeout {
-			// A copy that was held back on its way. Nobody waits for its answer,
-			// and it must not count as the renewal of a lease.
-			reply(refuseHeartbeat(r, api.ErrOldHeartbeat))
-			return
-		}
-		n.reconciler.onHeartbeat(x, r, true)
-		x.lastAnsweredAt = n.now()
-		cmds := n.reconciler.commandsFor(x)
-		reply(api.OK(protocol.AgentHeartbeatAnswer{FencingToken: x.currentToken, Commands: cmds}))
-		if !x.fenceConfirmed {
-			n.reconciler.sendCommands(x)
-		}
-		return
-	}
-	g := &n.view.Grants[m.Shard]
-	if g.Version == 0 || g.Controller == n.Settings.Controller {
-		reply(refuseHeartbeat(r, api.ErrNoHolder))
-		return
-	}
-	n.Log.Debug("redirect", "machine", r.Machine, "to", g.Controller)
-	reply(api.FromError(&api.ElsewhereError{Machine: r.Machine, Controller: g.Controller}))
+// OnHeartbeat takes in the heartbeat of a machine of a shard held. It calls reply with the
+// answer, which renews the agent's lease, or returns an api.RetryLaterError.
+func (h *Reconciler) OnHeartbeat(m *storage.Machine, r *protocol.AgentHeartbeat, reply func(protocol.AgentHeartbeatAnswer)) error {
+	x := h.agents[m.Name]
+	if x == nil || !h.Leases.MayActFor(m.Shard) || r.FencingToken > x.currentToken {
+		return &api.RetryLaterError{Reason: api.ErrNotEntitled, Machine: m.Name}
+	}
+	if !r.NewerThan(x.epoch, x.sequence) && h.now()-x.lastHeartbeatAt > membership.AgentAnswerTimeout {
+		// A copy that was held back on its way. Nobody waits for its answer,
+		// and it must not count as the renewal of a lease.
+		return &api.RetryLaterError{Reason: api.ErrOldHeartbeat, Machine: m.Name}
+	}
+	h.onHeartbeat(x, r, true)
+	x.lastAnsweredAt = h.now()
+	cmds := h.commandsFor(x)
+	reply(protocol.AgentHeartbeatAnswer{FencingToken: x.currentToken, Commands: cmds})
+	if !x.fenceConfirmed {
+		h.sendCommands(x)
+	}
+	return nil
 }
 
 // report takes in what a worker says. Old news is ignored: held packets can
 // bring reports minutes late. asked is set where the worker waits for an answer;
 // otherwise the report itself answers a command and shows that those get through.
-func (h *reconciler) onHeartbeat(x *agent, r *protocol.AgentHeartbeat, asked bool) {
-	now := h.controller.now()
+func (h *Reconciler) onHeartbeat(x *agent, r *protocol.AgentHeartbeat, asked bool) {
+	now := h.now()
 	if !r.NewerThan(x.epoch, x.sequence) {
 		return
 	}
@@ -89,23 +59,22 @@
 		news = true
 	}
 	if news || x.needsAttention {
-		h.schedulePass()
+		h.SchedulePass()
 	}
 }
 
 // reportedTasks takes in the tasks that a report lists. It returns how many of the
 // attempts here it lists and whether any has ended.
-func (h *reconciler) applyTaskStatuses(x *agent, r *protocol.AgentHeartbeat) (found int, ended bool) {
-	n := h.controller
+func (h *Reconciler) applyTaskStatuses(x *agent, r *protocol.AgentHeartbeat) (found int, ended bool) {
 	x.unexpected = x.unexpected[:0]
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		id, task, err := protocol.ParseTaskName(t.Task)
 		if err != nil {
-			n.Log.Warn("report names no task", "machine", r.Machine, "task", t.Task)
+			h.Log.Warn("report names no task", "machine", r.Machine, "task", t.Task)
 			continue
 		}
-		job, _ := n.view.Jobs.Find(id)
+		job, _ := h.View.Jobs.Find(id)
 		a := x.attempts[storage.TaskRef{Job: job, Task: task}]
 		if job < 0 || a == nil || a.number != t.Attempt {
 			x.unexpected = append(x.unexpected, *t)
@@ -121,13 +90,13 @@
 }
 
 // reportedState takes in a task's state and reports whether it has ended.
-func (h *reconciler) applyTaskState(a *attempt, t *protocol.TaskStatus) bool {
+func (h *Reconciler) applyTaskState(a *attempt, t *protocol.TaskStatus) bool {
 	switch t.State {
 	case protocol.TaskFetching, protocol.TaskAwaitingGang:
 		a.state = taskFetching
 	case protocol.TaskRunning:
 		if a.state != taskRunning {
-			a.state, a.runningSince = taskRunning, h.controller.now()
+			a.state, a.runningSince = taskRunning, h.now()
 		}
 	case protocol.TaskSaving:
 		a.state = taskSaving
@@ -150,8 +119,8 @@
 
 // missingTasks ends the attempts whose absence from a report proves that they are
 // over, and reports whether there were any.
-func (h *reconciler) endMissingAttempts(x *agent, r *protocol.AgentHeartbeat) (ended bool) {
-	for _, ref := range sortedTasks(x.attempts) {
+func (h *Reconciler) endMissingAttempts(x *agent, r *protocol.AgentHeartbeat) (ended bool) {
+	for _, ref := range storage.SortedTasks(x.attempts) {
 		a := x.attempts[ref]
 		if a.listedInSequence == r.Sequence || !a.live() {
 			continue
@@ -179,9 +148,9 @@
 // and its session stays as long as its reports are answered. One that is not so
 // is asked to show a higher token; if it doesn't for several reports, what it
 // runs ends with its lease, and it must not be counted on.
-func (h *reconciler) judgeReachability(x *agent, r *protocol.AgentHeartbeat, asked bool) {
-	now := h.controller.now()
-	w := h.controller.Settings.Cluster.Agents
+func (h *Reconciler) judgeReachability(x *agent, r *protocol.AgentHeartbeat, asked bool) {
+	now := h.now()
+	w := h.AgentSettings
 	patience := 2*w.HeartbeatInterval() + membership.AgentAnswerTimeout
 	if x.probeToken < x.grantToken {
 		x.probeToken, x.probedAt = x.grantToken, x.heldSince
@@ -203,16 +172,15 @@
 		unresponsive = x.sequence > 0 && now-x.firstHeartbeatAt > patience
 	}
 	if unresponsive && !x.unresponsive {
-		h.controller.Log.Info("machine hears nothing", "machine", x.machine.Name, "session", r.Epoch, "token", r.FencingToken)
+		h.Log.Info("machine hears nothing", "machine", x.machine.Name, "session", r.Epoch, "token", r.FencingToken)
 	}
 	x.unresponsive = unresponsive
 }
 
 // outcome takes in how a task was reported to have ended.
-func (h *reconciler) applyTaskOutcome(a *attempt, t *protocol.TaskStatus) {
-	n := h.controller
+func (h *Reconciler) applyTaskOutcome(a *attempt, t *protocol.TaskStatus) {
 	x := a.agent
-	now := n.now()
+	now := h.now()
 	p := a.progress
 	switch t.Cause {
 	case protocol.CauseDone:
@@ -234,13 +202,13 @@
 			x.quarantinedUntil = now + time.Duration(min(x.consecutiveErrors, 6))*10*time.Second
 		}
 		p.backoffUntil = now + min(time.Duration(1<<min(p.failures, 6))*250*time.Millisecond, 20*time.Second)
-		n.Log.Info("task failed", "task", t.Task, "machine", x.machine.Name, "errors", x.consecutiveErrors, "fails", p.failures)
+		h.Log.Info("task failed", "task", t.Task, "machine", x.machine.Name, "errors", x.consecutiveErrors, "fails", p.failures)
 	case protocol.CauseNoCapacity, protocol.CauseAlreadyPresent:
 		x.quarantinedUntil = now + 2*time.Second
-		n.Log.Warn("start refused", "task", t.Task, "machine", x.machine.Name, "cause", t.Cause)
+		h.Log.Warn("start refused", "task", t.Task, "machine", x.machine.Name, "cause", t.Cause)
 	case protocol.CauseJobUnknown:
 		p.backoffUntil = now + 2*time.Second
-		n.Log.Warn("job unknown to worker", "task", t.Task, "machine", x.machine.Name)
+		h.Log.Warn("job unknown to worker", "task", t.Task, "machine", x.machine.Name)
 	}
 	h.end(a, t.Cause)
 }
--- a/internal/coordination/oversized_pages.go
+++ b/internal/coordination/reconcile/oversized_pages.go
@@ -1,4 +1,4 @@
-package coordination
+package reconcile
 
 import (
 	"cmp"
@@ -65,7 +65,7 @@
 		p.moved = append(p.moved, a)
 		d.unassigned = append(d.unassigned, a)
 	}
-	d.reconciler.controller.Log.Info("page of intents over the limit", "shard", d.shard, "page", p.id.Page, "moved", len(p.moved), "left", len(p.attempts))
+	d.reconciler.Log.Info("page of intents over the limit", "shard", d.shard, "page", p.id.Page, "moved", len(p.moved), "left", len(p.attempts))
 }
 
 // move takes a chunk off a page that is too large.
--- /dev/null
+++ b/internal/coordination/reconcile/oversized_pages_test.go
@@ -0,0 +1,172 @@
+package reconcile
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+// flushFor lets the writer of the job shard write for so long, as passes do.
+func (f *fixture) flushFor(seconds int, each func()) {
+	f.t.Helper()
+	w := f.reconciler.writers[0]
+	for range 5 * seconds {
+		f.now += 200 * time.Millisecond
+		f.refreshKnowledge()
+		w.flush()
+		f.applyTransactions()
+		for _, p := range w.intentPages {
+			p.writeInFlight = false
+		}
+		for _, p := range w.completionPages {
+			p.writeInFlight = false
+		}
+		each()
+	}
+}
+
+// TestOversizedPagesAreEmptied: pages of intents lie there from a time of higher
+// limits. What must change on them goes to other pages first, no write is over the
+// limits, and at no time is there a task that may be running without a page that names
+// it. Before, such a page was written as it was and refused for ever, and a machine
+// that drained kept its name on it for as long.
+func TestOversizedPagesAreEmptied(t *testing.T) {
+	f := newFleetFixture(t, mediumFleet)
+	f.limitStore(512, 4, math.MaxInt)
+	w := f.reconciler.writers[0]
+	before := w.oversizedValues()
+	if before < 30 {
+		t.Fatalf("%d pages are over the limit", before)
+	}
+	lost := f.reconciler.agents[fleetMachineName(17)]
+	lost.machine.Phase = storage.PhaseDraining
+	f.reconciler.end(lost.attempts[storage.SortedTasks(lost.attempts)[0]], "stopped")
+	other := f.reconciler.agents[fleetMachineName(200)] // goes on taking tasks, so there is no hurry
+	f.reconciler.end(other.attempts[storage.SortedTasks(other.attempts)[0]], "stopped")
+	f.flushFor(10, func() {
+		t.Helper()
+		for _, x := range f.reconciler.sortedAgents {
+			for ref, a := range x.attempts {
+				if x.machine.Intents[ref].Attempt != a.number {
+					t.Fatalf("no page names the task on %s", x.machine.Name)
+				}
+			}
+		}
+	})
+	for _, x := range []*agent{lost, other} {
+		if len(x.machine.Intents) > 0 {
+			t.Errorf("%s is still named", x.machine.Name)
+		}
+	}
+	if left := w.oversizedValues(); left != before-2 {
+		t.Errorf("%d pages are over the limit, of %d before", left, before)
+	}
+}
+
+// TestOversizedCompletionPageIsEmptied is the same for a page of completed tasks: what has
+// completed is in the records all the time.
+func TestOversizedCompletionPageIsEmptied(t *testing.T) {
+	f := newFixture(t)
+	const jobs = 60
+	id := func(i int) string { return fmt.Sprintf("run-%06d", 100+i) }
+	page := storage.CompletionPage{}
+	for i := range jobs {
+		page[storage.CompletionChunkName(id(i), 0)] = []byte{1}
+		f.apply(storage.JobKey(id(i)), storage.JobRecord{Spec: protocol.JobSpec{
+			ID: id(i), Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 80, CPUs: 1, MemoryGB: 1,
+		}})
+	}
+	f.apply(storage.CompletionPageKey(firstPage), page)
+	f.recordsChanged()
+	w := f.reconciler.writers[0]
+	for i := range jobs {
+		_, j := f.view.Jobs.Find(id(i))
+		f.reconciler.progress(j)
+	}
+	f.limitStore(1024, 4, math.MaxInt)
+	if w.oversizedValues() != 1 {
+		t.Fatalf("%d pages are over the limit", w.oversizedValues())
+	}
+	completed := func(i, task int) {
+		_, j := f.view.Jobs.Find(id(i))
+		p := f.reconciler.progress(j)
+		p.completed.Set(task)
+		p.completedCount++
+		w.markCompleted(p, 0, f.now)
+	}
+	recorded := func(i, task int) bool {
+		for key, value := range f.values {
+			var rec storage.CompletionPage
+			if strings.HasPrefix(key, "r/d/") && json.Unmarshal(value, &rec) == nil && storage.TaskSet(rec[storage.CompletionChunkName(id(i), 0)]).Has(task) {
+				return true
+			}
+		}
+		return false
+	}
+	for _, first := range []int{0, 1} {
+		for i := first; i < jobs; i += 2 {
+			completed(i, 5)
+		}
+		f.flushFor(10, func() {
+			t.Helper()
+			for i := range jobs {
+				if !recorded(i, 0) {
+					t.Fatalf("what had completed of %s is in no page", id(i))
+				}
+			}
+		})
+		for i := first; i < jobs; i += 2 {
+			if !recorded(i, 5) {
+				t.Errorf("what has completed of %s since is in no page", id(i))
+			}
+		}
+	}
+	if w.oversizedValues() > 0 {
+		t.Errorf("%d pages are over the limit", w.oversizedValues())
+	}
+}
+
+// largeGroup is a machine group that was recorded under higher limits.
+func largeGroup(machines int) storage.MachineGroupRecord {
+	rec := storage.MachineGroupRecord{Type: "small", Zone: "z", FencingToken: grantToken}
+	for i := range machines {
+		rec.Machines = append(rec.Machines, storage.MachineEntry{Name: fleetMachineName(5000 + i), Address: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
+	}
+	return rec
+}
+
+// TestSplitGroupIsHeldAsBefore: the leader divides a group of machines among several that
+// keep its fencing token. Every machine is held as before, under the same grant.
+func TestSplitGroupIsHeldAsBefore(t *testing.T) {
+	for _, machines := range []int{60, 69, 90} {
+		f := newFixture(t)
+		group := largeGroup(machines)
+		f.apply(storage.MachineGroupKey("large"), group)
+		f.recordsChanged()
+		held := map[string]*agent{}
+		for name, x := range f.reconciler.agents {
+			held[name] = x
+		}
+		entries := group.Machines
+		for i, part := range slices.Collect(slices.Chunk(entries, 25)) { // the first keeps the key, and comes last
+			if group.Machines = part; i > 0 {
+				f.apply(storage.MachineGroupKey(fmt.Sprint("part-", i)), group)
+			}
+		}
+		group.Machines = entries[:25]
+		f.apply(storage.MachineGroupKey("large"), group)
+		f.recordsChanged()
+		for _, entry := range entries {
+			if x := f.reconciler.agents[entry.Name]; x == nil || x != held[entry.Name] || x.grantToken != grantToken {
+				t.Errorf("%d machines: %s is held anew", machines, entry.Name)
+			}
+		}
+	}
+}
--- a/internal/coordination/record_batch.go
+++ b/internal/coordination/reconcile/page_batch.go
@@ -1,4 +1,4 @@
-package coordination
+package reconcile
 
 import (
 	"cmp"
@@ -39,26 +39,26 @@
 // There are never more than there are writes for: waiting for a few at once, this
 // would starve beside others that take one or two as they come.
 func (d *recordWriter) dueWrites(now time.Duration) *pageBatch {
-	n := d.reconciler.controller
+	h := d.reconciler
 	b := &pageBatch{}
-	b.transaction.Conditions = []protocol.Condition{{Key: storage.GrantKey(d.shard), Version: n.view.Grants[d.shard].Version}}
-	most := min(n.committer.Limits().Operations, d.maxOperations, max(1, int(n.committer.Budget.Level())))
+	b.transaction.Conditions = []protocol.Condition{{Key: storage.GrantKey(d.shard), Version: h.View.Grants[d.shard].Version}}
+	most := min(h.Committer.Limits().Operations, d.maxOperations, max(1, int(h.Committer.Budget.Level())))
 	for _, p := range d.completionPages {
-		if p.dirtyAt == 0 && n.view.HasStaleCompletions(p.id) {
+		if p.dirtyAt == 0 && h.View.HasStaleCompletions(p.id) {
 			p.dirtyAt = now
 		}
-		if len(b.transaction.Operations) >= most || !p.idle(n) || !d.completionPageDue(p, now) || !d.completionPageWritable(p) {
+		if len(b.transaction.Operations) >= most || !p.idle(h) || !d.completionPageDue(p, now) || !d.completionPageWritable(p) {
 			continue
 		}
 		if op, any := d.completionPageOperation(p); any {
 			b.completionPages = append(b.completionPages, p)
-			b.add(storage.CompletionPageKey(p.id), n.view.CompletionPageVersion(p.id), op)
+			b.add(storage.CompletionPageKey(p.id), h.View.CompletionPageVersion(p.id), op)
 		}
 	}
 	due := d.duePages(now)
 	for _, p := range due[:min(len(due), max(most-len(b.transaction.Operations), 0))] {
 		b.intentPages = append(b.intentPages, p)
-		b.add(storage.IntentPageKey(p.id), n.view.IntentPageVersion(p.id), d.intentPageOperation(p))
+		b.add(storage.IntentPageKey(p.id), h.View.IntentPageVersion(p.id), d.intentPageOperation(p))
 	}
 	return b
 }
@@ -77,7 +77,7 @@
 
 // spareWrites reports whether there are writes beyond those that new tasks need.
 func (d *recordWriter) spareWrites() bool {
-	budget := &d.reconciler.controller.committer.Budget
+	budget := &d.reconciler.Committer.Budget
 	return budget.Level() > budget.Rate()/2
 }
 
@@ -97,15 +97,15 @@
 
 // due reports whether a page of intents is to be written now.
 func (d *recordWriter) intentPageDue(p *intentPage, now time.Duration) bool {
-	n := d.reconciler.controller
+	h := d.reconciler
 	stale := p.dirtyAt > 0 && d.spareWrites() && now-p.dirtyAt > removalDelay
-	return p.idle(n) && (p.dirty || stale) && (len(p.attempts) > 0 || n.view.IntentPageVersion(p.id) != 0)
+	return p.idle(h) && (p.dirty || stale) && (len(p.attempts) > 0 || h.View.IntentPageVersion(p.id) != 0)
 }
 
 // written takes in how a write ended.
 func (d *recordWriter) onWritten(b *pageBatch, revision uint64, err error) {
-	h, n := d.reconciler, d.reconciler.controller
-	if n.reconciler != h || h.writers[d.shard] != d {
+	h := d.reconciler
+	if h.Generation.Ended() || h.writers[d.shard] != d {
 		return
 	}
 	for _, s := range b.states() {
@@ -113,13 +113,13 @@
 		if err == nil {
 			s.writtenRevision = revision
 		} else {
-			s.dirty, s.dirtyAt, s.retryAt = true, max(1, n.now()-removalDelay), n.now()+n.generation.Jitter(kv.RetryPause/2)
+			s.dirty, s.dirtyAt, s.retryAt = true, max(1, h.now()-removalDelay), h.now()+h.Generation.Jitter(kv.RetryPause/2)
 		}
 	}
 	if err == nil {
 		d.maxOperations = min(d.maxOperations+1, maxOperationsPerWrite)
 	} else {
-		n.Log.Debug("pages not written", "shard", d.shard, "err", err)
+		h.Log.Debug("pages not written", "shard", d.shard, "err", err)
 		// Where all controllers together ask for more writes than there are, small
 		// transactions get through and large ones starve.
 		d.maxOperations = max(1, d.maxOperations/2)
@@ -128,15 +128,15 @@
 			p.outcomeUnknown = p.outcomeUnknown || errors.Is(err, protocol.ErrOutcomeUnknown)
 		}
 	}
-	h.schedulePass()
+	h.SchedulePass()
 	// A pass over a large fleet takes long, and what is to be written need not wait
 	// for the next.
-	n.generation.Later(flushPause, d.flushSoon)
+	h.Generation.Later(flushPause, d.flushSoon)
 }
 
 // flushSoon writes what is due outside of a pass.
 func (d *recordWriter) flushSoon() {
-	if d.reconciler.writers[d.shard] == d && d.reconciler.controller.reconciler == d.reconciler && d.reconciler.controller.leases.MayActFor(d.shard) {
+	if d.reconciler.writers[d.shard] == d && !d.reconciler.Generation.Ended() && d.reconciler.Leases.MayActFor(d.shard) {
 		d.flush()
 	}
 }
--- a/internal/coordination/pending_jobs.go
+++ b/internal/coordination/reconcile/pending_jobs.go
@@ -1,4 +1,4 @@
-package coordination
+package reconcile
 
 import (
 	"cmp"
@@ -12,12 +12,11 @@
 
 // sortedActiveJobs lists the jobs that are neither over nor cancelled, in the order in
 // which they could start.
-func (h *reconciler) sortedActiveJobs() []*storage.Job {
-	n := h.controller
-	if h.seenJobsAdded != n.view.JobsAdded {
-		h.seenJobsAdded = n.view.JobsAdded
+func (h *Reconciler) sortedActiveJobs() []*storage.Job {
+	if h.seenJobsAdded != h.View.JobsAdded {
+		h.seenJobsAdded = h.View.JobsAdded
 		h.activeJobs = h.activeJobs[:0]
-		n.view.Jobs.All(func(_ int, j *storage.Job) {
+		h.View.Jobs.All(func(_ int, j *storage.Job) {
 			if j.Active() {
 				h.activeJobs = append(h.activeJobs, j)
 			}
@@ -31,12 +30,11 @@
 }
 
 // pendingJobs lists the jobs of the job shards held that have tasks to place, in order.
-func (h *reconciler) pendingJobs(now time.Duration) []placement.Candidate {
-	n := h.controller
+func (h *Reconciler) pendingJobs(now time.Duration) []placement.Candidate {
 	var list []placement.Candidate
-	guarantees, wall := quota.NewGuarantees(n.view), n.Clock.Wall()
+	guarantees, wall := quota.NewGuarantees(h.View), h.Generation.Wall()
 	for _, j := range h.sortedActiveJobs() {
-		if !j.Runnable() || h.writers[j.Shard] == nil || !n.leases.MayActFor(j.Shard) {
+		if !j.Runnable() || h.writers[j.Shard] == nil || !h.Leases.MayActFor(j.Shard) {
 			continue
 		}
 		p := h.progress(j)
@@ -46,7 +44,7 @@
 			continue
 		}
 		progress := placement.Progress{Remaining: remaining, Begun: p.attempts > 0 || p.completedCount > 0}
-		candidate := placement.NewCandidate(j, n.view.EffectiveRank(j), progress, n.Settings.Cluster.Objectives, wall)
+		candidate := placement.NewCandidate(j, h.View.EffectiveRank(j), progress, h.Objectives, wall)
 		candidate.WithinGuarantee = p.withinGuarantee
 		p.starved = p.starved || candidate.Starved
 		list = append(list, candidate)
--- a/internal/coordination/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -1,4 +1,4 @@
-package coordination
+package reconcile
 
 import (
 	"context"
@@ -15,21 +15,21 @@
 
 // place gives waiting tasks to machines, and makes room for those that may
 // preempt others.
-func (h *reconciler) place() {
-	now := h.controller.now()
+func (h *Reconciler) place() {
+	now := h.now()
 	list := h.pendingJobs(now)
 	if len(list) == 0 {
 		return
 	}
 	p := &placer{reconciler: h, now: now}
-	config := placement.RoundConfig[*agent]{Fleet: p, Jobs: p, Teams: p, Actions: p, Wall: h.controller.Clock.Wall()}
+	config := placement.RoundConfig[*agent]{Fleet: p, Jobs: p, Teams: p, Actions: p, Wall: h.Generation.Wall()}
 	if placement.NewRound(config).Run(list) {
 		h.placingPasses++
 	}
 }
 
 // nextOpenTask returns the first task of a job that waits to be placed, or -1.
-func (h *reconciler) nextOpenTask(j *storage.Job, p *jobProgress) int {
+func (h *Reconciler) nextOpenTask(j *storage.Job, p *jobProgress) int {
 	for ; p.nextTask < j.Tasks; p.nextTask++ {
 		if !p.completed.Has(p.nextTask) && h.attemptsByTask[storage.TaskRef{Job: j.Index, Task: p.nextTask}] == 0 {
 			return p.nextTask
@@ -38,36 +38,31 @@
 	return -1
 }
 
-// maxAttemptCounter is how far the counter of attempts may go: a holder that has used it
-// up starts over under another grant (see Controller.tick). More than a tick can use is
-// left.
-const maxAttemptCounter = election.HolderSteps - 1<<16
-
 // nextAttemptNumber returns an attempt number above every earlier one: the grant's token
 // in the high bits, a counter of this holder's in the low ones.
-func (h *reconciler) nextAttemptNumber(x *agent) uint64 {
+func (h *Reconciler) nextAttemptNumber(x *agent) uint64 {
 	h.attemptCounter++
-	return election.DerivedNumber(h.controller.view.Grants[x.shard].FencingToken, h.attemptCounter)
+	return election.DerivedNumber(h.View.Grants[x.shard].FencingToken, h.attemptCounter)
 }
 
 // schedulable reports whether a machine takes new tasks now. One that only answers
 // commands, while its own heartbeats reach nobody, does not: its lease runs out.
-func (h *reconciler) schedulable(x *agent, now time.Duration) bool {
-	report := h.controller.Settings.Cluster.Agents.HeartbeatInterval()
-	return h.controller.leases.MayActFor(x.shard) && x.fenceConfirmed && !x.suspect && x.machine.Phase == storage.PhaseActive && x.terminationAt == 0 &&
+func (h *Reconciler) schedulable(x *agent, now time.Duration) bool {
+	report := h.AgentSettings.HeartbeatInterval()
+	return h.Leases.MayActFor(x.shard) && x.fenceConfirmed && !x.suspect && x.machine.Phase == storage.PhaseActive && x.terminationAt == 0 &&
 		now >= x.quarantinedUntil && now-min(x.lastHeartbeatAt, x.lastAnsweredAt) < 2*report+time.Second
 }
 
 // freeCapacity is what is left on a machine.
-func (h *reconciler) freeCapacity(x *agent) placement.Resources {
-	t := &h.controller.view.MachineTypes[x.machine.TypeIndex]
+func (h *Reconciler) freeCapacity(x *agent) placement.Resources {
+	t := &h.View.MachineTypes[x.machine.TypeIndex]
 	return placement.Resources{CPUs: t.CPUs - x.cpus, GPUs: t.GPUs - x.gpus, MemoryGB: t.MemoryGB - x.memory}
 }
 
 // placer tells a round of placement at one time what the reconciler knows, and carries
 // out what it decides.
 type placer struct {
-	reconciler *reconciler
+	reconciler *Reconciler
 	now        time.Duration
 }
 
@@ -89,7 +84,7 @@
 
 // Eligible reports whether a job's task may ever be on a machine.
 func (p *placer) Eligible(x *agent, j *storage.Job) bool {
-	return x.shard == j.Shard && p.reconciler.controller.view.Eligible(j, x.machine)
+	return x.shard == j.Shard && p.reconciler.View.Eligible(j, x.machine)
 }
 
 // Schedulable reports whether a machine takes new tasks now.
@@ -114,7 +109,7 @@
 func (p *placer) Describe(x *agent, j *storage.Job) placement.Machine {
 	_, cached := x.imageWantedAt[j.ImageIndex]
 	return placement.Machine{
-		Type:        &p.reconciler.controller.view.MachineTypes[x.machine.TypeIndex],
+		Type:        &p.reconciler.View.MachineTypes[x.machine.TypeIndex],
 		Spot:        x.machine.Spot,
 		Slow:        x.slow(),
 		ImageCached: cached,
@@ -136,7 +131,7 @@
 			Job:             a.job,
 			Task:            a.task,
 			Number:          a.number,
-			Rank:            p.reconciler.controller.view.EffectiveRank(a.job),
+			Rank:            p.reconciler.View.EffectiveRank(a.job),
 			Age:             p.now - a.plannedAt,
 			Stopping:        a.stopRequested,
 			WithinGuarantee: a.progress.withinGuarantee,
@@ -164,7 +159,7 @@
 // WithinQuota reports whether one more task of a job keeps its shard's share of the
 // team's maximum. Everything that may be on a machine counts.
 func (p *placer) WithinQuota(j *storage.Job) bool {
-	view := p.reconciler.controller.view
+	view := p.reconciler.View
 	used := p.reconciler.usageOf(j.Shard)[j.TeamIndex]
 	used.Add(j, 1)
 	return quota.ShardWithin(view, &view.Teams[j.TeamIndex], j.Shard, used)
@@ -199,7 +194,7 @@
 
 // guaranteedCPUs is a shard's share of what a team is guaranteed.
 func (p *placer) guaranteedCPUs(team, shard int) float64 {
-	view := p.reconciler.controller.view
+	view := p.reconciler.View
 	return view.QuotaShare(&view.Teams[team], shard, view.Teams[team].GuaranteedCPUs)
 }
 
@@ -213,9 +208,9 @@
 	_, cached := x.imageWantedAt[j.ImageIndex]
 	h.addAttempt(a)
 	h.writers[x.shard].unassigned = append(h.writers[x.shard].unassigned, a)
-	if h.controller.Log.Enabled(context.Background(), slog.LevelDebug) {
-		h.controller.Log.Debug("place", "job", j.ID, "task", task, "machine", x.machine.Name, "cached", cached, "image", j.Image,
-			"waited_ms", h.controller.Clock.Wall().UnixMilli()-j.ReadyAtMS())
+	if h.Log.Enabled(context.Background(), slog.LevelDebug) {
+		h.Log.Debug("place", "job", j.ID, "task", task, "machine", x.machine.Name, "cached", cached, "image", j.Image,
+			"waited_ms", h.Generation.Wall().UnixMilli()-j.ReadyAtMS())
 	}
 }
 
@@ -233,6 +228,6 @@
 		if a.job.CheckpointSeconds > 0 {
 			a.graceSeconds = a.job.SaveSeconds
 		}
-		p.reconciler.controller.Log.Info("preempt", "job", a.job.ID, "task", a.task, "machine", x.machine.Name, "for", waiting.ID)
+		p.reconciler.Log.Info("preempt", "job", a.job.ID, "task", a.task, "machine", x.machine.Name, "for", waiting.ID)
 	}
 }
--- a/internal/coordination/holder.go
+++ b/internal/coordination/reconcile/reconciler.go
@@ -1,20 +1,73 @@
-package coordination
+package reconcile
 
 import (
 	"cmp"
-	"maps"
+	"log/slog"
 	"slices"
 	"time"
 
 	"rockrun/internal/config"
+	"rockrun/internal/coordination/election"
+	"rockrun/internal/coordination/kv"
+	"rockrun/internal/coordination/loop"
 	"rockrun/internal/coordination/quota"
+	"rockrun/internal/coordination/replica"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
 
-// holder reconciles what should be on its machines with what is.
-type reconciler struct {
-	controller         *Controller
+// Leases are the shard leases of this controller.
+type Leases interface {
+	// Holds reports whether the view grants a shard to this incarnation.
+	Holds(shard int) bool
+	// MayActFor reports whether this controller may act for a shard now.
+	MayActFor(shard int) bool
+	// NoteAgentHeard takes in that an agent of a shard was heard.
+	NoteAgentHeard(shard int)
+}
+
+// Agents carries commands to agents.
+type Agents interface {
+	// Execute sends commands to the agent at an address. done is called later on the
+	// controller's goroutine, with the agent's heartbeat and whether it has carried out
+	// the commands.
+	Execute(address string, r protocol.CommandRequest, done func(h *protocol.AgentHeartbeat, executed bool, err error))
+}
+
+// Outcomes is told how jobs have ended.
+type Outcomes interface {
+	// Remember takes in that the final record of a job is durable.
+	Remember(job string, final storage.FinalRecord)
+}
+
+// Config is all that a Reconciler is made of.
+type Config struct {
+	Generation *loop.Generation
+	Replica    *replica.Replica
+	View       *storage.View
+	Committer  *kv.Committer
+	Leases     Leases
+	Agents     Agents
+	Outcomes   Outcomes
+	Log        *slog.Logger
+	// AgentSettings are the intervals that agents keep to.
+	AgentSettings config.Agents
+	// Objectives are what operators promise for each class of jobs.
+	Objectives []config.Objective
+	// MaxStaleness is how old a holder's knowledge of cancellations may be while it
+	// renews agents' leases.
+	MaxStaleness time.Duration
+	// MaxAttempts is how many attempt numbers are used under one grant; 0: as many as there
+	// are. See AttemptsExhausted.
+	MaxAttempts uint64
+	// EndOfPass is called at the end of every pass.
+	EndOfPass func()
+}
+
+// Reconciler reconciles the desired tasks of the shards that this controller holds with
+// what their agents report.
+type Reconciler struct {
+	Config
 	agents             map[string]*agent
 	sortedAgents       []*agent // the same, by name
 	writers            map[int]*recordWriter
@@ -31,8 +84,6 @@
 	completedJobs      []*jobProgress        // all tasks done, waiting to be durable
 	jobEndsInFlight    int                   // of those, being written
 
-	cancelledDependentWrites map[*storage.Job]*cancelledDependentWrite // jobs cancelled with another, being written
-
 	attemptCounter   uint64
 	placingPasses    int // passes that placed something
 	passScheduled    bool
@@ -67,18 +118,32 @@
 	backoffUntil       time.Duration   // no starts before
 }
 
-func newReconciler(n *Controller) *reconciler {
-	return &reconciler{
-		controller: n, agents: map[string]*agent{}, attemptsByTask: map[storage.TaskRef]int{}, writers: map[int]*recordWriter{},
-		jobs: map[*storage.Job]*jobProgress{}, usage: map[int][]quota.Usage{}, cancelledDependentWrites: map[*storage.Job]*cancelledDependentWrite{},
+// maxAttempts is how far the counter of attempts may go. What is left of the numbers is
+// more than can be used between two looks at AttemptsExhausted.
+const maxAttempts = election.HolderSteps - 1<<16
+
+// New makes a reconciler that holds nothing yet.
+func New(c Config) *Reconciler {
+	if c.MaxAttempts == 0 {
+		c.MaxAttempts = maxAttempts
+	}
+	return &Reconciler{
+		Config:         c,
+		agents:         map[string]*agent{},
+		attemptsByTask: map[storage.TaskRef]int{},
+		writers:        map[int]*recordWriter{},
+		jobs:           map[*storage.Job]*jobProgress{},
+		usage:          map[int][]quota.Usage{},
 	}
 }
 
+func (h *Reconciler) now() time.Duration { return h.Generation.Now() }
+
 // used is what a home's attempts take, by team.
-func (h *reconciler) usageOf(home int) []quota.Usage {
+func (h *Reconciler) usageOf(home int) []quota.Usage {
 	u := h.usage[home]
 	if u == nil {
-		u = make([]quota.Usage, len(h.controller.Settings.Cluster.Teams))
+		u = make([]quota.Usage, len(h.View.Teams))
 		h.usage[home] = u
 	}
 	return u
@@ -87,17 +152,16 @@
 // sync makes the holdings match the grants and the records. Changes come many
 // times a second, and nearly all are of pages of intents and of jobs: the machines
 // are gone through only for those that change what there is to hold.
-func (h *reconciler) syncWithRecords() {
-	n := h.controller
-	fleet, over := h.seenFleetRevision != n.view.FleetRevision, h.seenJobsEnded != n.view.JobsEnded
-	h.seenFleetRevision, h.seenJobsEnded = n.view.FleetRevision, n.view.JobsEnded
+func (h *Reconciler) SyncWithRecords() {
+	fleet, over := h.seenFleetRevision != h.View.FleetRevision, h.seenJobsEnded != h.View.JobsEnded
+	h.seenFleetRevision, h.seenJobsEnded = h.View.FleetRevision, h.View.JobsEnded
 	if fleet {
 		h.syncMachines()
 	}
 	if !fleet && !over {
 		return
 	}
-	h.stopInactive()
+	h.StopInactive()
 	for j, p := range h.jobs {
 		if j.Ended() && p.attempts == 0 || h.writers[j.Shard] == nil {
 			delete(h.jobs, j)
@@ -106,19 +170,18 @@
 }
 
 // syncMachines takes up the machines that are granted and lets go of the others.
-func (h *reconciler) syncMachines() {
-	n := h.controller
-	now := n.now()
-	for s := range n.shardCount {
-		if h.writers[s] != nil && !n.leases.Holds(s) {
+func (h *Reconciler) syncMachines() {
+	now := h.now()
+	for s := range h.View.Grants {
+		if h.writers[s] != nil && !h.Leases.Holds(s) {
 			delete(h.writers, s)
 		}
-		if h.writers[s] == nil && n.leases.Holds(s) && s < n.view.JobShards {
+		if h.writers[s] == nil && h.Leases.Holds(s) && s < h.View.JobShards {
 			h.writers[s] = newRecordWriter(h, s)
 		}
 	}
 	for _, x := range slices.Clone(h.sortedAgents) {
-		_, m := n.view.Machines.Find(x.machine.Name)
+		_, m := h.View.Machines.Find(x.machine.Name)
 		if m == x.machine && !m.Exists() {
 			h.endAll(x, "machine is gone")
 		}
@@ -126,11 +189,11 @@
 			h.release(x)
 		}
 	}
-	n.view.Machines.All(func(_ int, m *storage.Machine) {
+	h.View.Machines.All(func(_ int, m *storage.Machine) {
 		if !m.Exists() || h.writers[m.Shard] == nil {
 			return
 		}
-		base := max(n.view.Grants[m.Shard].FencingToken, m.FencingToken)
+		base := max(h.View.Grants[m.Shard].FencingToken, m.FencingToken)
 		x := h.agents[m.Name]
 		if x == nil {
 			h.adopt(m, base, now)
@@ -142,7 +205,7 @@
 
 // stopUnwanted stops what a cancelled or completed job still has on machines, and what is
 // on a machine that replicas of another home wait for.
-func (h *reconciler) stopInactive() {
+func (h *Reconciler) StopInactive() {
 	for _, x := range h.sortedAgents {
 		changed := false
 		for _, a := range x.attempts {
@@ -165,7 +228,7 @@
 
 // adopt takes up a machine. Every recorded intent counts as a task that may be
 // on it, for quota as for doubles, until a fenced report shows otherwise.
-func (h *reconciler) adopt(m *storage.Machine, base uint64, now time.Duration) {
+func (h *Reconciler) adopt(m *storage.Machine, base uint64, now time.Duration) {
 	x := &agent{
 		machine: m, address: m.Address, shard: m.Shard, grantToken: base, currentToken: base, highestStartToken: base - 1, heldSince: now, lastHeartbeatAt: now, lastAnsweredAt: now,
 		attempts: map[storage.TaskRef]*attempt{}, imageWantedAt: map[int]time.Duration{}, epoch: 1,
@@ -173,8 +236,8 @@
 	h.agents[m.Name] = x
 	i, _ := slices.BinarySearchFunc(h.sortedAgents, m.Name, func(y *agent, name string) int { return cmp.Compare(y.machine.Name, name) })
 	h.sortedAgents = slices.Insert(h.sortedAgents, i, x)
-	for _, ref := range sortedTasks(m.Intents) {
-		a := &attempt{job: h.controller.view.Jobs.Get(ref.Job), task: ref.Task, number: m.Intents[ref].Attempt, agent: x, startToken: base - 1, inherited: true, plannedAt: now}
+	for _, ref := range storage.SortedTasks(m.Intents) {
+		a := &attempt{job: h.View.Jobs.Get(ref.Job), task: ref.Task, number: m.Intents[ref].Attempt, agent: x, startToken: base - 1, inherited: true, plannedAt: now}
 		a.stopRequested = !a.job.Active()
 		h.addAttempt(a)
 		h.writers[m.Shard].intentPageAt(m.Intents[ref].Page).add(a)
@@ -187,8 +250,8 @@
 
 // release drops a machine that is no longer held, without deciding anything
 // about its tasks.
-func (h *reconciler) release(x *agent) {
-	for _, ref := range sortedTasks(x.attempts) {
+func (h *Reconciler) release(x *agent) {
+	for _, ref := range storage.SortedTasks(x.attempts) {
 		h.removeAttempt(x.attempts[ref])
 	}
 	delete(h.agents, x.machine.Name)
@@ -196,7 +259,7 @@
 }
 
 // add and remove keep the sums of machines and teams.
-func (h *reconciler) addAttempt(a *attempt) {
+func (h *Reconciler) addAttempt(a *attempt) {
 	a.progress = h.progress(a.job)
 	a.progress.attempts++
 	a.job.References++
@@ -205,11 +268,11 @@
 	h.attemptsByTask[a.ref()]++
 	h.charge(a, 1)
 	if a.job.Image != "" {
-		a.agent.imageWantedAt[a.job.ImageIndex] = h.controller.now()
+		a.agent.imageWantedAt[a.job.ImageIndex] = h.now()
 	}
 }
 
-func (h *reconciler) charge(a *attempt, sign float64) {
+func (h *Reconciler) charge(a *attempt, sign float64) {
 	x := a.agent
 	x.cpus += sign * a.job.CPUs
 	x.gpus += sign * a.job.GPUs
@@ -230,7 +293,7 @@
 	}
 }
 
-func (h *reconciler) removeAttempt(a *attempt) {
+func (h *Reconciler) removeAttempt(a *attempt) {
 	if a.live() {
 		h.charge(a, -1)
 		a.state = taskEnded
@@ -239,7 +302,7 @@
 		delete(a.agent.attempts, a.ref())
 	}
 	if a.page != nil {
-		a.page.drop(a, h.controller.now())
+		a.page.drop(a, h.now())
 	}
 	if h.attemptsByTask[a.ref()]--; h.attemptsByTask[a.ref()] <= 0 {
 		delete(h.attemptsByTask, a.ref())
@@ -247,10 +310,10 @@
 	a.job.References--
 	a.progress.attempts--
 	a.progress.nextTask = min(a.progress.nextTask, a.task)
-	h.controller.view.ForgetJob(a.job)
+	h.View.ForgetJob(a.job)
 }
 
-func (h *reconciler) progress(j *storage.Job) *jobProgress {
+func (h *Reconciler) progress(j *storage.Job) *jobProgress {
 	p := h.jobs[j]
 	if p == nil {
 		p = &jobProgress{job: j, completed: j.Completed.Clone(), completedCount: j.CompletedCount, completionPages: map[int]*completionPage{}, intentHeaderSize: len(intentHeader(j))}
@@ -265,29 +328,28 @@
 	return p
 }
 
-// schedulePass asks for a pass over all that this node holds, soon but once. A pass that
+// SchedulePass asks for a pass over all that this node holds, soon but once. A pass that
 // took long is followed by a longer pause, so that reports are answered first.
-func (h *reconciler) schedulePass() {
+func (h *Reconciler) SchedulePass() {
 	if h.passScheduled {
 		return
 	}
 	h.passScheduled = true
-	h.controller.generation.Later(max(5*time.Millisecond, h.nextPassAt-h.controller.now()), func() {
+	h.Generation.Later(max(5*time.Millisecond, h.nextPassAt-h.now()), func() {
 		h.passScheduled = false
 		h.pass()
 	})
 }
 
 // tick does what only the passing of time asks for.
-func (h *reconciler) tick() {
-	n := h.controller
-	now := n.now()
-	lease := n.Settings.Cluster.Agents.Lease()
+func (h *Reconciler) Tick() {
+	now := h.now()
+	lease := h.AgentSettings.Lease()
 	for _, x := range h.sortedAgents {
 		if len(x.attempts) > 0 {
 			// The worker's lease is provably out: neither this holder nor, until
 			// its knowledge ran out, an earlier one can have renewed it since.
-			last := max(x.lastAnsweredAt, x.heldSince+n.maxStaleness)
+			last := max(x.lastAnsweredAt, x.heldSince+h.MaxStaleness)
 			if now > last+lease+lease/1000+config.LeaseMargin && now > x.lastHeartbeatAt+lease {
 				h.endAll(x, "worker's lease is out")
 			}
@@ -296,37 +358,35 @@
 			h.sendCommands(x)
 		}
 	}
-	for s := range n.shardCount {
+	for s := range h.View.Grants {
 		if d := h.writers[s]; d != nil {
 			d.flushSoon()
 		}
 	}
 	if now >= h.nextSummaryAt {
 		h.nextSummaryAt = now + summaryInterval
-		for s := range n.shardCount {
+		for s := range h.View.Grants {
 			if h.writers[s] != nil {
 				h.logSummary(s)
 			}
 		}
 	}
-	h.schedulePass()
+	h.SchedulePass()
 }
 
 // passPause is the least time between two passes.
 const minPassPause = 25 * time.Millisecond
 
 // pass places what waits, writes what must be durable and sends what follows.
-func (h *reconciler) pass() {
-	n := h.controller
-	if !n.replica.Ready() {
+func (h *Reconciler) pass() {
+	if !h.Replica.Ready() {
 		return
 	}
-	n.stats.passes.Add(1)
-	began := n.now()
+	began := h.now()
 	h.evictForDrains()
 	h.place()
-	for s := range n.shardCount {
-		if d := h.writers[s]; d != nil && n.leases.MayActFor(s) {
+	for s := range h.View.Grants {
+		if d := h.writers[s]; d != nil && h.Leases.MayActFor(s) {
 			d.flush()
 		}
 	}
@@ -334,39 +394,30 @@
 		if !x.needsAttention {
 			continue
 		}
-		if !n.leases.MayActFor(x.shard) || !x.fenceConfirmed {
+		if !h.Leases.MayActFor(x.shard) || !x.fenceConfirmed {
 			if h.hasDueStops(x) {
 				h.sendCommands(x)
 			}
 			continue
 		}
 		startable, unsettled := h.hasUnsentCommands(x), h.needsResolution(x)
-		if startable || unsettled && n.now()-x.commandsSentAt > 500*time.Millisecond {
+		if startable || unsettled && h.now()-x.commandsSentAt > 500*time.Millisecond {
 			h.sendCommands(x)
-		} else if !unsettled && !x.reapDue(n.now()) && !x.hasPendingChanges() {
+		} else if !unsettled && !x.reapDue(h.now()) && !x.hasPendingChanges() {
 			x.needsAttention = false
 		}
 	}
 	h.writeJobEnds()
-	h.writeDependentCancelled()
-	h.nextPassAt = n.now() + max(minPassPause, 6*(n.now()-began))
-}
-
-// refs gives the tasks of a map in a fixed order: what a node does must follow
-// from what it knows alone, or no failure could be played again.
-func sortedTasks[V any](m map[storage.TaskRef]V) []storage.TaskRef {
-	return slices.SortedFunc(maps.Keys(m), func(a, b storage.TaskRef) int {
-		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
-	})
+	h.EndOfPass()
+	h.nextPassAt = h.now() + max(minPassPause, 6*(h.now()-began))
 }
 
 // MachineStatuses tells the leader about the machines held.
-func (h *reconciler) MachineStatuses() []protocol.MachineStatus {
-	n := h.controller
-	now := n.now()
+func (h *Reconciler) MachineStatuses() []protocol.MachineStatus {
+	now := h.now()
 	notes := make([]protocol.MachineStatus, 0, len(h.sortedAgents))
 	for _, x := range h.sortedAgents {
-		if !n.leases.Holds(x.shard) {
+		if !h.Leases.Holds(x.shard) {
 			continue
 		}
 		note := protocol.MachineStatus{
@@ -387,8 +438,8 @@
 // nothing takes more than the quota split allows. It names the grants, not itself: a
 // controller that has just been granted a shard may not know yet what is on the machines
 // there, and what it said before says nothing of them.
-func (h *reconciler) GrantsWithinQuota() []uint64 {
-	b := h.controller.view
+func (h *Reconciler) GrantsWithinQuota() []uint64 {
+	b := h.View
 	var out []uint64
 	for s := range h.writers {
 		within := true
@@ -401,3 +452,19 @@
 	}
 	return out
 }
+
+// HoldsJobShards reports whether this controller holds any job shard.
+func (h *Reconciler) HoldsJobShards() bool { return len(h.writers) > 0 }
+
+// AttemptsExhausted reports whether the attempt numbers of the grants held are used up:
+// the holder must start over under other grants.
+func (h *Reconciler) AttemptsExhausted() bool { return h.attemptCounter >= h.MaxAttempts }
+
+// OversizedValues counts the values of the shards held that are over the limit in force.
+func (h *Reconciler) OversizedValues() int {
+	count := 0
+	for _, w := range h.writers {
+		count += w.oversizedValues()
+	}
+	return count
+}
--- a/internal/coordination/record_writer.go
+++ b/internal/coordination/reconcile/record_writer.go
@@ -1,4 +1,4 @@
-package coordination
+package reconcile
 
 import (
 	"cmp"
@@ -20,7 +20,7 @@
 // replaces, so that at most one holder's pages can ever change, and a
 // transaction that is applied late finds its condition broken by any later one.
 type recordWriter struct {
-	reconciler      *reconciler
+	reconciler      *Reconciler
 	shard           int
 	intentPages     []*intentPage
 	completionPages []*completionPage
@@ -53,8 +53,8 @@
 	retryAt         time.Duration
 }
 
-func (s *pageState) idle(n *Controller) bool {
-	return !s.writeInFlight && n.replica.Revision() >= s.writtenRevision && n.now() >= s.retryAt
+func (s *pageState) idle(h *Reconciler) bool {
+	return !s.writeInFlight && h.Replica.Revision() >= s.writtenRevision && h.now() >= s.retryAt
 }
 
 // intentPage is a page of intents.
@@ -87,16 +87,16 @@
 	chunk    int
 }
 
-func newRecordWriter(h *reconciler, shard int) *recordWriter {
+func newRecordWriter(h *Reconciler, shard int) *recordWriter {
 	d := &recordWriter{reconciler: h, shard: shard, maxOperations: maxOperationsPerWrite}
-	h.controller.view.EachIntentPage(shard, func(k, entries int) {
+	h.View.EachIntentPage(shard, func(k, entries int) {
 		p := d.intentPageAt(k)
 		if entries > 0 {
-			p.dirtyAt = h.controller.now() // until its machines are taken up nobody knows what of it is wanted
+			p.dirtyAt = h.now() // until its machines are taken up nobody knows what of it is wanted
 		}
 	})
-	h.controller.view.EachCompletionPage(shard, func(k int) { d.completionPageAt(k) })
-	h.controller.view.Jobs.All(func(_ int, j *storage.Job) {
+	h.View.EachCompletionPage(shard, func(k int) { d.completionPageAt(k) })
+	h.View.Jobs.All(func(_ int, j *storage.Job) {
 		if j.Shard == shard && !j.Ended() {
 			h.progress(j)
 		}
@@ -196,7 +196,7 @@
 }
 
 // pageCapacity is how many bytes a page holds.
-func (d *recordWriter) pageCapacity() int { return d.reconciler.controller.committer.ValueCapacity() }
+func (d *recordWriter) pageCapacity() int { return d.reconciler.Committer.ValueCapacity() }
 
 // completed takes in that a task of a chunk is done.
 func (d *recordWriter) markCompleted(p *jobProgress, chunk int, now time.Duration) {
@@ -229,23 +229,23 @@
 // name to be removed at leisure, which may be never while all writes are needed for new
 // tasks.
 func (d *recordWriter) markPagesNaming(x *agent) {
-	now := d.reconciler.controller.now()
+	now := d.reconciler.now()
 	if len(x.attempts) > 0 || len(x.machine.Intents) == 0 || now < x.namesCheckedAt+namesCheckInterval {
 		return
 	}
 	x.namesCheckedAt = now
-	for _, k := range d.reconciler.controller.view.IntentPagesNaming(d.shard, x.machine) {
+	for _, k := range d.reconciler.View.IntentPagesNaming(d.shard, x.machine) {
 		d.intentPageAt(k).dirty = true
 	}
 }
 
 // settle forgets what writes may have named once the cache shows how they ended.
 func (d *recordWriter) resolveNamed(p *intentPage) {
-	n := d.reconciler.controller
-	if len(p.possiblyNamed) == 0 || p.writeInFlight || n.replica.Revision() < p.writtenRevision {
+	h := d.reconciler
+	if len(p.possiblyNamed) == 0 || p.writeInFlight || h.Replica.Revision() < p.writtenRevision {
 		return
 	}
-	if n.view.IntentPageVersion(p.id) != p.writtenOver {
+	if h.View.IntentPageVersion(p.id) != p.writtenOver {
 		p.outcomeUnknown = false
 	}
 	if !p.outcomeUnknown {
@@ -255,8 +255,8 @@
 
 // flush writes what is due.
 func (d *recordWriter) flush() {
-	n := d.reconciler.controller
-	now := n.now()
+	h := d.reconciler
+	now := h.now()
 	if now < d.nextFlushAt {
 		return
 	}
@@ -265,17 +265,17 @@
 	}
 	d.shrinkOversized(now)
 	d.assign()
-	n.committer.Budget.Fill(now)
-	if n.committer.Budget.Level() < min(1, n.committer.Budget.Rate()) {
+	h.Committer.Budget.Fill(now)
+	if h.Committer.Budget.Level() < min(1, h.Committer.Budget.Rate()) {
 		return // nothing can be written, so nothing is encoded
 	}
 	b := d.dueWrites(now)
-	if len(b.transaction.Operations) == 0 || !n.committer.Budget.Take(now, len(b.transaction.Operations)) {
+	if len(b.transaction.Operations) == 0 || !h.Committer.Budget.Take(now, len(b.transaction.Operations)) {
 		return
 	}
 	d.nextFlushAt = now + flushPause
 	for _, p := range b.intentPages {
-		p.writtenOver = n.view.IntentPageVersion(p.id)
+		p.writtenOver = h.View.IntentPageVersion(p.id)
 		p.newAttempts, p.newAttemptsSent = 0, p.newAttempts
 		for a := range p.attempts {
 			p.possiblyNamed[a.agent] = true
@@ -284,20 +284,20 @@
 	for _, s := range b.states() {
 		s.writeInFlight, s.dirty, s.dirtyAt = true, false, 0
 	}
-	n.committer.Commit(b.transaction, func(revision uint64, err error) { d.onWritten(b, revision, err) })
+	h.Committer.Commit(b.transaction, func(revision uint64, err error) { d.onWritten(b, revision, err) })
 }
 
 // assign puts new attempts on the emptiest pages that can be written now, so
 // that what has ended leaves the records with the same writes.
 func (d *recordWriter) assign() {
-	n := d.reconciler.controller
+	h := d.reconciler
 	d.unassigned = slices.DeleteFunc(d.unassigned, func(a *attempt) bool { return !a.live() || a.page != nil })
 	if len(d.unassigned) == 0 {
 		return
 	}
 	var free []*intentPage
 	for _, p := range d.intentPages {
-		if p.idle(n) && d.intentPageWritable(p) {
+		if p.idle(h) && d.intentPageWritable(p) {
 			free = append(free, p)
 		}
 	}
@@ -369,7 +369,7 @@
 		part := c.progress.completed[min(len(c.progress.completed), c.chunk*storage.TasksPerChunk/8):]
 		rec[storage.CompletionChunkName(j.ID, c.chunk)] = part[:min(len(part), storage.TasksPerChunk/8)]
 	}
-	if len(rec) == 0 && d.reconciler.controller.view.CompletionPageVersion(p.id) == 0 {
+	if len(rec) == 0 && d.reconciler.View.CompletionPageVersion(p.id) == 0 {
 		p.dirtyAt = 0
 		return op, false
 	}
--- a/internal/coordination/summary.go
+++ b/internal/coordination/reconcile/summary.go
@@ -1,19 +1,18 @@
-package coordination
+package reconcile
 
 import "time"
 
 const summaryInterval = 10 * time.Second
 
 // summary logs how a home stands.
-func (h *reconciler) logSummary(shard int) {
-	n := h.controller
+func (h *Reconciler) logSummary(shard int) {
 	machines, usable, full := 0, 0, 0
 	for _, x := range h.sortedAgents {
 		if x.shard != shard {
 			continue
 		}
 		machines++
-		if h.schedulable(x, n.now()) {
+		if h.schedulable(x, h.now()) {
 			usable++
 			if h.freeCapacity(x).CPUs < 1 {
 				full++
@@ -42,7 +41,7 @@
 			waits += max(0, j.Tasks-p.completedCount-p.attempts)
 		}
 	}
-	n.Log.Info("home", "shard", shard, "machines", machines, "usable", usable, "full", full, "waiting", waits, "dependent", dependent,
+	h.Log.Info("home", "shard", shard, "machines", machines, "usable", usable, "full", full, "waiting", waits, "dependent", dependent,
 		"unwritten", unwritten, "planned", states[taskPlanned], "fetching", states[taskFetching], "running", states[taskRunning],
-		"saving", states[taskSaving], "ended", states[taskEnded], "pages", len(h.writers[shard].intentPages), "writes", n.committer.Budget.Level())
+		"saving", states[taskSaving], "ended", states[taskEnded], "pages", len(h.writers[shard].intentPages), "writes", h.Committer.Budget.Level())
 }
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -61,12 +61,7 @@
 // countOversized counts the values that this node would have to make smaller before it
 // could write them again.
 func (n *Controller) countOversized() int64 {
-	count := 0
-	for _, w := range n.reconciler.writers {
-		if w != nil {
-			count += w.oversizedValues()
-		}
-	}
+	count := n.reconciler.OversizedValues()
 	if n.leadership != nil {
 		count += n.leadership.provisioner.OversizedGroups()
 	}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -314,7 +314,7 @@
 	n.committer.Budget.TakeAnyway(n.now(), 2)
 	n.committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: storage.JobKey(id), Version: version}},
-		Operations: endJobOperations(id, f),
+		Operations: storage.EndJobOperations(id, f),
 	}, func(_ uint64, err error) {
 		switch {
 		case err == nil:
