--- a/internal/coordination/placement/fleet_test.go
+++ b/internal/coordination/placement/fleet_test.go
@@ -36,6 +36,7 @@
 	serviceCPUs float64
 	waited      time.Duration // of every job
 	serial      uint64
+	looks       int      // at what runs on a machine
 	log         []string // actions, in order
 }
 
@@ -70,6 +71,7 @@
 }
 
 func (c *testCluster) AppendRunning(list []Running, m *testMachine) []Running {
+	c.looks++
 	return append(list, m.running...)
 }
 
@@ -143,10 +145,16 @@
 	c.log = append(c.log, line)
 }
 
-// run has a round placed for the jobs and compares what it did.
+// round places the jobs and reports what the round does.
+func (c *testCluster) round(jobs []Candidate) (placed bool) {
+	wall := time.UnixMilli(c.waited.Milliseconds())
+	return NewRound(RoundConfig[*testMachine]{Fleet: c, Jobs: c, Teams: c, Actions: c, Wall: wall}).Run(jobs)
+}
+
+// run has a round for the jobs and compares what it did.
 func (c *testCluster) run(name string, jobs []Candidate, want ...string) (placed bool) {
 	c.t.Helper()
-	placed = NewRound(RoundConfig[*testMachine]{Fleet: c, Jobs: c, Teams: c, Actions: c, Wall: time.UnixMilli(c.waited.Milliseconds())}).Run(jobs)
+	placed = c.round(jobs)
 	if !slices.Equal(c.log, want) {
 		c.t.Errorf("%s:\n%q, not\n%q", name, c.log, want)
 	}
--- a/internal/coordination/placement/order_test.go
+++ b/internal/coordination/placement/order_test.go
@@ -75,6 +75,7 @@
 		{Kind: "finished", Class: "report", WithinSeconds: 60},
 		{Kind: "deadline", Class: "report", DeadlineFactor: 2},
 		{Kind: "finished", Class: "other", WithinSeconds: 1},
+		{Kind: "deadline", Class: "tight", DeadlineFactor: 0.5},
 	}
 	for _, c := range []struct {
 		name       string
@@ -90,6 +91,8 @@
 		{"just in time for its objective", 40, Progress{Remaining: 3}, nil, Candidate{Weight: 2}},
 		{"too late for its objective", 60, Progress{Remaining: 4}, nil, Candidate{Weight: 2, Late: true}},
 		{"its deadline and not the other objective", 60, Progress{Remaining: 4}, func(j *storage.Job) { j.DeadlineSeconds = 40 }, Candidate{Weight: 2}},
+		{"its short deadline, even if the other objective is longer", 40, Progress{Remaining: 3}, func(j *storage.Job) { j.DeadlineSeconds = 20 }, Candidate{Weight: 2, Late: true}},
+		{"its deadline, even if the objective is a part of it", 20, Progress{Remaining: 4}, func(j *storage.Job) { j.Class, j.DeadlineSeconds = "tight", 40 }, Candidate{Weight: 4}},
 		{"too late for twice its deadline", 80, Progress{Remaining: 5}, func(j *storage.Job) { j.DeadlineSeconds = 40 }, Candidate{Weight: 2, Late: true}},
 		{"a class without objectives", 80, Progress{Remaining: 5}, func(j *storage.Job) { j.Class = "none" }, Candidate{Weight: 2}},
 		{"starved", 101, Progress{Remaining: 10}, func(j *storage.Job) { j.Class = "none" }, Candidate{Weight: 400.0 / 121, Starved: true}},
--- a/internal/coordination/placement/preemption.go
+++ b/internal/coordination/placement/preemption.go
@@ -105,11 +105,12 @@
 		if !r.config.Fleet.Schedulable(machine) || !allowed(r.config.Fleet, machine, waiting.Job, attemptsByZone) {
 			continue
 		}
-		if p, enough := r.preemptionOn(machine, waiting); enough && (!found || p.cost < best.cost) {
-			victims := append(best.victims[:0], p.victims...) // p's are in the scratch list
-			best, found = p, true
-			best.victims = victims
+		plan, enough := r.preemptionOn(machine, waiting)
+		if !enough || found && plan.cost >= best.cost {
+			continue
 		}
+		plan.victims = append(best.victims[:0], plan.victims...) // out of the scratch list
+		best, found = plan, true
 	}
 	return best, found
 }
@@ -120,11 +121,11 @@
 // Where nothing was promised there yet, the room that stops under way will leave counts as
 // there; a promise has counted it, and what it was promised to is off.
 func (r *Round[M]) preemptionOn(machine M, waiting *Candidate) (preemption[M], bool) {
-	plan := preemption[M]{machine: machine}
-	left, promised := r.promised[machine]
-	if plan.remaining = left; !promised {
-		plan.remaining = r.config.Fleet.Free(machine)
+	remaining, promised := r.promised[machine]
+	if !promised {
+		remaining = r.config.Fleet.Free(machine)
 	}
+	plan := preemption[M]{machine: machine, remaining: remaining}
 	r.scratch = r.config.Fleet.AppendRunning(r.scratch[:0], machine)
 	victims := r.scratch[:0]
 	for i := range r.scratch {
@@ -148,7 +149,8 @@
 	return plan, plan.remaining.Fits(waiting.Job)
 }
 
-// compareVictims puts what is to be stopped first: the lowest priority, then the latest.
+// compareVictims puts what is to be stopped first: the lowest priority of a job's own, then
+// the latest start, of which the least work is lost.
 func compareVictims(a, b Running) int {
 	return cmp.Or(
 		cmp.Compare(b.Job.Rank(), a.Job.Rank()),
--- a/internal/coordination/placement/round.go
+++ b/internal/coordination/placement/round.go
@@ -98,16 +98,22 @@
 // place gives the tasks of one job to machines.
 func (r *Round[M]) place(candidate *Candidate) {
 	state := r.config.Jobs.State(candidate.Job)
-	switch {
-	case candidate.Job.Kind == protocol.KindGang:
+	if candidate.Job.Kind == protocol.KindGang {
 		r.placeGang(candidate, state)
 		return
-	case candidate.Job.OneZone && state.Attempts == 0:
+	}
+	if candidate.Job.OneZone && state.Attempts == 0 {
 		if zone, found := r.gatheringZone(candidate); found {
 			r.placeInZone(candidate, zone)
 			return
 		}
 	}
+	r.placeAnywhere(candidate, state)
+}
+
+// placeAnywhere gives the tasks of a job to machines, and has room made for those that
+// find none.
+func (r *Round[M]) placeAnywhere(candidate *Candidate, state JobState) {
 	hopeless := slices.ContainsFunc(r.unplaceable, func(j *storage.Job) bool { return Dominates(candidate.Job, j) })
 	// Each waiting task is promised room once.
 	promises := max(1, state.Remaining-state.Attempts)
--- a/internal/coordination/placement/round_test.go
+++ b/internal/coordination/placement/round_test.go
@@ -1,9 +1,12 @@
 package placement
 
 import (
+	"math/rand/v2"
+	"strconv"
 	"testing"
 	"time"
 
+	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
 
@@ -39,6 +42,9 @@
 		{"each task is promised room once", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 4), time.Second))},
 			[]*storage.Job{testJob("a", 0, 2)}, nil,
 			[]string{"on m-1 for a: x/0", "on m-1 for a:"}, false},
+		{"what is bound to zones says nothing of what is not", []*testMachine{withFree("m-1", 0, 4)},
+			[]*storage.Job{testJob("a", 0, 2, spread), testJob("b", 0, 1)}, nil,
+			[]string{"a/0 to m-1 as 1", "b/0 to m-1 as 2"}, true},
 		{"room that is promised is no one else's", []*testMachine{withFree("m-1", 0, 1, onMachine(low("x", 4), time.Second))},
 			[]*storage.Job{testJob("a", 0, 1, takes(4)), testJob("b", 0, 1)}, nil,
 			[]string{"on m-1 for a: x/0", "on m-1 for b:"}, false},
@@ -74,6 +80,8 @@
 			[]string{"b/0 to m-1 as 1"}},
 		{"room is made for all of it", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 2), 1)), withFree("m-2", 0, 0, onMachine(low("y", 1), 2))}, nil, nil,
 			[]string{"on m-1 for g: x/0", "on m-1 for g:", "on m-2 for g: y/0"}},
+		{"room is made for no more than all of it", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 8), 1))}, nil, nil,
+			[]string{"on m-1 for g: x/0", "on m-1 for g:", "on m-1 for g:"}},
 		{"no room is made for what the quota does not let in", []*testMachine{withFree("m-1", 0, 3, onMachine(low("x", 2), 1))}, nil, map[string]int{"g": 0},
 			[]string{"b/0 to m-1 as 1"}},
 	} {
@@ -118,7 +126,8 @@
 		{"room on several machines of a zone adds up", []*testMachine{withFree("m-1", 0, 3), withFree("m-2", 1, 2), withFree("m-3", 1, 2)}, 0,
 			[]string{"run-1/0 to m-2 as 1", "run-1/1 to m-2 as 2", "run-1/2 to m-3 as 3", "run-1/3 to m-3 as 4"}},
 		{"the one with most room", []*testMachine{withFree("m-1", 0, 1), withFree("m-2", 1, 2)}, 0, toZone("m-2", 2)},
-		{"of equal ones the first", []*testMachine{withFree("m-1", 1, 2), withFree("m-2", 0, 2)}, 0, toZone("m-2", 2)},
+		{"of equal ones the first, if it comes last", []*testMachine{withFree("m-1", 1, 2), withFree("m-2", 0, 2)}, 0, toZone("m-2", 2)},
+		{"of equal ones the first, if it comes first", []*testMachine{withFree("m-1", 0, 2), withFree("m-2", 1, 2)}, 0, toZone("m-1", 2)},
 		{"machines that boot count, and are waited for", []*testMachine{withFree("m-1", 0, 2), booting(withFree("m-2", 1, 4))}, 0, nil},
 		{"but not for ever", []*testMachine{withFree("m-1", 0, 2), booting(withFree("m-2", 1, 4))}, gatherPatience, toZone("m-1", 2)},
 		{"room for all now is better than more that boots", []*testMachine{booting(withFree("m-1", 0, 8)), withFree("m-2", 1, 4)}, 0, toZone("m-2", 4)},
@@ -129,6 +138,9 @@
 			{name: "m-1", free: Resources{CPUs: 4, MemoryGB: 4}, shard: 1}, withFree("m-2", 1, 1),
 		}, 0, toZone("m-2", 1)},
 		{"no machine has room", []*testMachine{withFree("m-1", 0, 0.5)}, 0, nil},
+		{"no machine has room, and something may be stopped", []*testMachine{
+			withFree("m-1", 0, 0, onMachine(testJob("x", 1, 1, priority(lowest), takes(4)), 1)),
+		}, 0, []string{"on m-1 for run-1: x/0", "on m-1 for run-1:", "on m-1 for run-1:", "on m-1 for run-1:"}},
 	} {
 		cluster := newTestCluster(t, c.machines...)
 		cluster.waited = c.waited
@@ -145,3 +157,106 @@
 	cluster.taken["run-1/0"] = true
 	cluster.run("one is in zone 1", candidates(waiting), "run-1/1 to m-2 as 1")
 }
+
+// TestRunningTasksNeedNoPromise: room is made for the tasks of a job that wait alone.
+func TestRunningTasksNeedNoPromise(t *testing.T) {
+	waiting := testJob("run-1", 0, 2)
+	cluster := newTestCluster(t, withFree("m-1", 0, 0, onMachine(testJob("x", 1, 1, priority(lowest), takes(4)), 1)))
+	cluster.states[waiting] = &JobState{Remaining: 2, Attempts: 1, AttemptsByZone: []int{1}}
+	cluster.taken["run-1/0"] = true
+	cluster.run("one of two runs", candidates(waiting), "on m-1 for run-1: x/0")
+}
+
+// TestVainLooksAreNotRepeated: where nothing can be stopped for a job, what runs is not
+// gone through again for another like it.
+func TestVainLooksAreNotRepeated(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		other *storage.Job
+		want  int
+	}{
+		{"a like one", testJob("run-2", 0, 1, takes(4)), 1},
+		{"a larger one", testJob("run-2", 0, 1, takes(5)), 1},
+		{"a smaller one", testJob("run-2", 0, 1, takes(3)), 2},
+	} {
+		cluster := newTestCluster(t, withFree("m-1", 0, 0, onMachine(testJob("x", 1, 1, priority(lowest)), 1)))
+		cluster.round(candidates(testJob("run-1", 0, 1, takes(4)), c.other))
+		if cluster.looks != c.want {
+			t.Errorf("%s: %d looks", c.name, cluster.looks)
+		}
+	}
+}
+
+// TestRandomRounds: whatever waits and whatever there is, no machine gets more than it
+// has, no job more than its quota lets in, and a gang all of its tasks or none.
+func TestRandomRounds(t *testing.T) {
+	for seed := range uint64(300) {
+		random := rand.New(rand.NewPCG(seed, 7))
+		cluster := newTestCluster(t)
+		for i := range 1 + random.IntN(6) {
+			m := withFree("m-"+strconv.Itoa(i), random.IntN(3), float64(random.IntN(5)))
+			m.unschedulable, m.booting = random.IntN(5) == 0, random.IntN(5) == 0
+			for k := range random.IntN(3) {
+				m.running = append(m.running, onMachine(testJob("x-"+strconv.Itoa(i)+strconv.Itoa(k), 1, 1, priority(lowest)), time.Duration(k)))
+			}
+			cluster.machines = append(cluster.machines, m)
+		}
+		var jobs []*storage.Job
+		kinds := []func(*storage.Job){gang, service, oneZone, spread, func(*storage.Job) {}}
+		for i := range 1 + random.IntN(8) {
+			j := testJob("run-"+strconv.Itoa(i), 0, 1+random.IntN(5), takes(float64(1+random.IntN(3))), kinds[random.IntN(len(kinds))])
+			if random.IntN(3) == 0 {
+				cluster.quota[j.ID] = random.IntN(4)
+			}
+			jobs = append(jobs, j)
+		}
+		cluster.round(candidates(jobs...))
+		for _, m := range cluster.machines {
+			if m.free.CPUs < 0 {
+				t.Errorf("seed %d: %s is left with %v CPUs", seed, m.name, m.free.CPUs)
+			}
+		}
+		for _, j := range jobs {
+			cluster.checkJob(seed, j)
+		}
+	}
+}
+
+// checkJob checks where the tasks of a job are.
+func (c *testCluster) checkJob(seed uint64, j *storage.Job) {
+	c.t.Helper()
+	state := c.State(j)
+	if most, limited := c.quota[j.ID]; limited && state.Attempts > most {
+		c.t.Errorf("seed %d: %d attempts of %s, of which the quota lets in %d", seed, state.Attempts, j.ID, most)
+	}
+	if j.Kind == protocol.KindGang && state.Attempts != 0 && state.Attempts != j.Tasks {
+		c.t.Errorf("seed %d: %d tasks of gang %s of %d", seed, state.Attempts, j.ID, j.Tasks)
+	}
+	zones := 0
+	for _, count := range state.AttemptsByZone {
+		zones += min(count, 1)
+		if j.Spread && count > (j.Tasks+1)/2 {
+			c.t.Errorf("seed %d: %d tasks of %s, of %d, in a zone", seed, count, j.ID, j.Tasks)
+		}
+	}
+	if j.OneZone && zones > 1 {
+		c.t.Errorf("seed %d: tasks of %s in %d zones", seed, j.ID, zones)
+	}
+}
+
+// TestRoundAllocations: a look for room and for something to stop that finds none
+// allocates nothing that grows with the fleet.
+func TestRoundAllocations(t *testing.T) {
+	allocations := func(machines int) float64 {
+		cluster := newTestCluster(t)
+		victim := onMachine(testJob("x", 1, 1, priority(lowest)), time.Second)
+		for i := range machines {
+			cluster.machines = append(cluster.machines, withFree("m-"+strconv.Itoa(i), 0, 1, victim, victim))
+		}
+		waiting := candidates(testJob("run-1", 0, 4, takes(4)), testJob("run-2", 1, 4, takes(5)))
+		return testing.AllocsPerRun(10, func() { cluster.round(waiting) })
+	}
+	if few, many := allocations(10), allocations(1000); many > few {
+		t.Errorf("%v allocations for 10 machines, %v for 1000", few, many)
+	}
+}
