--- a/internal/scenario/clock.go
+++ b/internal/scenario/clock.go
@@ -22,7 +22,8 @@
 // run carries out all events until the given time.
 func (c *clock) run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].due <= until {
-		next := heap.Pop(&c.queue).(event)
+		next := c.queue[0]
+		heap.Pop(&c.queue)
 		c.now = next.due
 		next.do()
 	}
