--- a/internal/coordination/sharding/sharding_test.go
+++ b/internal/coordination/sharding/sharding_test.go
@@ -264,3 +264,74 @@
 		t.Error("it holds what its former self was granted")
 	}
 }
+
+// TestRebalance: a controller that holds two job shards gives one to another that has long
+// been well and holds none, and not before.
+func TestRebalance(t *testing.T) {
+	l := newTestLeader(t, 3, "a", "b", "c")
+	l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 2})
+	for shard := range 3 {
+		l.put(storage.GrantKey(shard), storage.GrantRecord{Controller: "b", Incarnation: 5, FencingToken: 1})
+	}
+	moved := 0
+	for step := time.Duration(0); step <= rebalanceAfter+time.Second; step += time.Second {
+		l.now += time.Second
+		for controller, incarnation := range map[string]uint64{"a": 3, "b": 5, "c": 6} {
+			l.hear(controller, incarnation)
+		}
+		granted := l.granted()
+		if len(granted) > 0 && step < rebalanceAfter-time.Second {
+			t.Fatalf("after %s: %v", step, granted)
+		}
+		moved += len(granted)
+		for key, controller := range granted {
+			if controller != "c" {
+				t.Errorf("%s is granted to %s", key, controller)
+			}
+		}
+	}
+	if moved != 1 {
+		t.Errorf("%d shards moved", moved)
+	}
+}
+
+// TestUnreachableHolderIsRelieved: a holder that hears none of its agents, while another
+// controller does, loses the shard to that one, and gets no job shard until agents reach
+// it again.
+func TestUnreachableHolderIsRelieved(t *testing.T) {
+	l := newTestLeader(t, 1, "a", "b", "c")
+	l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
+	l.put(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 5, FencingToken: 1})
+	group := storage.MachineGroupRecord{Type: "small", Zone: "z"}
+	var statuses []protocol.MachineStatus
+	for _, name := range []string{"m-1", "m-2", "m-3", "m-4"} {
+		group.Machines = append(group.Machines, storage.MachineEntry{Name: name})
+		statuses = append(statuses, protocol.MachineStatus{Name: name, Seen: true})
+	}
+	l.put(storage.MachineGroupKey("g"), group)
+	var relieved time.Duration
+	for step := time.Second; step <= 20*time.Second && relieved == 0; step += time.Second {
+		l.now += time.Second
+		l.hear("a", 3)
+		l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, Machines: statuses, ShardHeardAgo: []time.Duration{-1}})
+		l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "c", Incarnation: 6, ShardHeardAgo: []time.Duration{0}})
+		if to := l.granted()[storage.GrantKey(0)]; to != "" {
+			relieved = step
+			if to != "c" {
+				t.Errorf("granted to %s", to)
+			}
+		}
+	}
+	if relieved < membership.AgentAnswerTimeout {
+		t.Errorf("relieved after %s", relieved)
+	}
+	if !l.assigner.recentlyRelieved("b") {
+		t.Error("it may get a job shard at once")
+	}
+	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, ShardHeardAgo: []time.Duration{0}})
+	l.now += time.Second
+	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, ShardHeardAgo: []time.Duration{0}})
+	if l.assigner.recentlyRelieved("b") {
+		t.Error("it gets none although agents reach it")
+	}
+}
