--- a/internal/protocol/peer_wire.go
+++ b/internal/protocol/peer_wire.go
@@ -125,7 +125,7 @@
 }
 
 func (w *PeerHeartbeatWire) heartbeat() *PeerHeartbeat {
-	h := &PeerHeartbeat{
+	heartbeat := &PeerHeartbeat{
 		Controller:        w.Node,
 		Incarnation:       w.Incarnation,
 		SentAt:            w.SentAt,
@@ -138,9 +138,9 @@
 		ShardHeardAgo:     w.Heard,
 	}
 	for i := range w.Orphans {
-		h.UnrecordedAgents = append(h.UnrecordedAgents, w.Orphans[i].heartbeat())
+		heartbeat.UnrecordedAgents = append(heartbeat.UnrecordedAgents, w.Orphans[i].heartbeat())
 	}
-	return h
+	return heartbeat
 }
 
 func (h *AgentHeartbeat) wire() AgentHeartbeatWire {
@@ -156,13 +156,17 @@
 		NoticeS: h.TerminationSeconds,
 	}
 	for _, t := range h.Tasks {
-		wire.Tasks = append(wire.Tasks, TaskStatusWire(t))
+		wire.Tasks = append(wire.Tasks, t.wire())
 	}
 	return wire
 }
 
+func (s TaskStatus) wire() TaskStatusWire {
+	return TaskStatusWire{Task: s.Task, Attempt: s.Attempt, State: string(s.State), Cause: string(s.Cause), Saved: s.Saved}
+}
+
 func (w *AgentHeartbeatWire) heartbeat() AgentHeartbeat {
-	h := AgentHeartbeat{
+	heartbeat := AgentHeartbeat{
 		Machine:            w.Machine,
 		Address:            w.Address,
 		MachineType:        w.Type,
@@ -174,7 +178,11 @@
 		TerminationSeconds: w.NoticeS,
 	}
 	for _, t := range w.Tasks {
-		h.Tasks = append(h.Tasks, TaskStatus(t))
+		heartbeat.Tasks = append(heartbeat.Tasks, t.status())
 	}
-	return h
+	return heartbeat
+}
+
+func (w TaskStatusWire) status() TaskStatus {
+	return TaskStatus{Task: w.Task, Attempt: w.Attempt, State: TaskState(w.State), Cause: TaskCause(w.Cause), Saved: w.Saved}
 }
