--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -16,6 +16,7 @@
 
 	"rockrun/internal/config"
 	"rockrun/internal/coordination/election"
+	"rockrun/internal/coordination/jobs"
 	"rockrun/internal/coordination/kv"
 	"rockrun/internal/coordination/loop"
 	"rockrun/internal/coordination/membership"
@@ -56,12 +57,11 @@
 	controllers []string // all controllers, by name
 	shardCount  int
 
-	generation   *loop.Generation
-	view         *storage.View
-	replica      *replica.Replica
-	committer    *kv.Committer
-	watchPause   time.Duration
-	finalRecords map[string]storage.FinalRecord
+	generation *loop.Generation
+	view       *storage.View
+	replica    *replica.Replica
+	committer  *kv.Committer
+	watchPause time.Duration
 
 	shardLease   time.Duration
 	maxStaleness time.Duration
@@ -71,34 +71,38 @@
 	elector      *election.Elector
 	leadership   *leadership // nil unless this controller leads
 
-	notices    map[string]*cancellationNotices // by controller
 	reconciler *reconcile.Reconciler
-	// Jobs cancelled with another whose final records are being written.
-	cancelledDependentWrites map[*storage.Job]*cancelledDependentWrite
-	outcomes                 *outcomeReader
-	recentlyAccepted         recentSubmissions
-	stats                    stats
+	jobs       *jobs.Service
+	stats      stats
 }
 
 // New makes a controller; Start sets it going.
 func New(c Config) *Controller {
 	n := &Controller{Config: c}
-	n.controllers = []string{c.Settings.Controller}
-	for _, peer := range c.Settings.Peers {
-		n.controllers = append(n.controllers, peer.Controller)
-	}
+	n.controllers = append(peerNames(c.Settings), c.Settings.Controller)
 	slices.Sort(n.controllers)
 	n.index = slices.Index(n.controllers, c.Settings.Controller)
 	n.shardCount = len(n.controllers)
 	n.shardLease = c.Options.ShardLease(c.Settings.Cluster.Agents)
 	n.maxStaleness = c.Settings.Cluster.Agents.MaxStaleness()
-	n.finalRecords = map[string]storage.FinalRecord{}
 	limits := c.Settings.Cluster.KVStore.Limits()
 	n.committer = kv.NewCommitter(c.Store, limits, c.Log)
+	n.jobs = jobs.New(jobs.Config{
+		Store: c.Store, Committer: n.committer, Peers: c.Peers, PeerNames: peerNames(c.Settings), Log: c.Log,
+	})
 	n.watchPause = watchPause(len(n.controllers), limits)
 	return n
 }
 
+// peerNames are the other controllers, in the order of the settings.
+func peerNames(settings *config.Settings) []string {
+	var names []string
+	for _, peer := range settings.Peers {
+		names = append(names, peer.Controller)
+	}
+	return names
+}
+
 // watchPause is the pause between two reads of the changes with which all controllers
 // together use a quarter of the requests that the store allows.
 func watchPause(controllers int, limits config.StoreLimits) time.Duration {
@@ -170,13 +174,12 @@
 	n.leases = sharding.NewLeases(sharding.LeasesConfig{
 		Generation: n.generation, Replica: n.replica, ShardLease: n.shardLease, MaxStaleness: n.maxStaleness,
 	})
-	n.notices = map[string]*cancellationNotices{}
 	n.beginReconciler()
 	n.beginMembership()
-	if n.outcomes != nil {
-		n.outcomes.abandon()
-	}
-	n.outcomes = newOutcomeReader(n)
+	n.jobs.BeginGeneration(jobs.GenerationConfig{
+		Generation: n.generation, Replica: n.replica, View: n.view, Leases: n.leases, Reconciler: n.reconciler,
+		NeedsOutcomes: func() bool { return n.leadership != nil || n.reconciler.HoldsJobShards() },
+	})
 	for _, done := range former.Abandon() {
 		done(protocol.ErrNotExecuted)
 	}
@@ -185,7 +188,6 @@
 
 // beginReconciler makes what runs the tasks of the shards held.
 func (n *Controller) beginReconciler() {
-	n.cancelledDependentWrites = map[*storage.Job]*cancelledDependentWrite{}
 	n.reconciler = reconcile.New(reconcile.Config{
 		Generation:    n.generation,
 		Replica:       n.replica,
@@ -193,7 +195,7 @@
 		Committer:     n.committer,
 		Leases:        n.leases,
 		Agents:        n.Agents,
-		Outcomes:      outcomes{n},
+		Outcomes:      n.jobs,
 		Log:           n.Log,
 		AgentSettings: n.Settings.Cluster.Agents,
 		Objectives:    n.Settings.Cluster.Objectives,
@@ -201,19 +203,11 @@
 		MaxAttempts:   n.maxAttempts,
 		EndOfPass: func() {
 			n.stats.passes.Add(1)
-			n.writeDependentCancelled()
+			n.jobs.WriteCancelledDependents()
 		},
 	})
 }
 
-// outcomes takes in the ends of jobs that the reconciler has made durable.
-type outcomes struct{ controller *Controller }
-
-// Remember takes in that the final record of a job is durable.
-func (o outcomes) Remember(job string, final storage.FinalRecord) {
-	o.controller.rememberFinal(job, final)
-}
-
 // beginMembership makes what tells the leader about this controller, or makes this one the
 // leader.
 func (n *Controller) beginMembership() {
@@ -267,8 +261,7 @@
 	}
 	n.updateWriteBudget()
 	n.reporter.WriteLiveness()
-	n.sendCancellations()
-	n.outcomes.readWanted()
+	n.jobs.Tick()
 	n.refreshGauges()
 	n.elector.Tick()
 	if n.leadership != nil {
@@ -287,7 +280,7 @@
 		return
 	}
 	n.leases.ObserveGrants()
-	n.outcomes.readWanted()
+	n.jobs.ReadMissingOutcomes()
 	n.reconciler.SyncWithRecords()
 	n.reconciler.SchedulePass()
 }
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -90,15 +90,6 @@
 }
 func (b *testController) Ask(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {}
 
-// peersFunc is a link to other controllers.
-type peersFunc func(string, protocol.PeerRequest, func(protocol.PeerAnswer, error))
-
-func (f peersFunc) Ask(node string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
-	f(node, r, done)
-}
-
-func settingsSibling(name string) config.Peer { return config.Peer{Controller: name} }
-
 // firstPage is the first page of the only home.
 var firstPage = storage.PageID{}
 
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -17,7 +17,7 @@
 		}
 		reply(protocol.PeerAnswer{Reply: registry.OnHeartbeat(r.Heartbeat)})
 	case len(r.Cancelled) > 0:
-		n.applyCancellations(r.Cancelled)
+		n.jobs.ApplyCancellations(r.Cancelled)
 		reply(protocol.PeerAnswer{})
 	default:
 		reply(protocol.PeerAnswer{})
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -3,8 +3,6 @@
 import (
 	"sync/atomic"
 	"time"
-
-	"rockrun/internal/storage"
 )
 
 // gaugesEvery is how often the gauges are counted anew: it takes a walk through all
@@ -13,12 +11,10 @@
 
 // stats are counts of a node that other goroutines may read.
 type stats struct {
-	passes                    atomic.Uint64
-	jobsReleased              atomic.Uint64
-	jobsCancelledByDependency atomic.Uint64
-	jobsAwaitingDependencies  atomic.Int64
-	oversizedValues           atomic.Int64
-	nextGaugesAt              time.Duration // when to count waiting and oversized again
+	passes                   atomic.Uint64
+	jobsAwaitingDependencies atomic.Int64
+	oversizedValues          atomic.Int64
+	nextGaugesAt             time.Duration // when to count waiting and oversized again
 }
 
 // Stats are a node's counts.
@@ -32,8 +28,9 @@
 
 // Stats returns the counts; it may be called from any goroutine.
 func (n *Controller) Stats() Stats {
+	jobs := n.jobs.Counters()
 	return Stats{
-		Passes: n.stats.passes.Load(), JobsReleased: n.stats.jobsReleased.Load(), JobsCancelledByDependency: n.stats.jobsCancelledByDependency.Load(),
+		Passes: n.stats.passes.Load(), JobsReleased: jobs.Released, JobsCancelledByDependency: jobs.CancelledWithAnother,
 		JobsAwaitingDependencies: n.stats.jobsAwaitingDependencies.Load(), OversizedValues: n.stats.oversizedValues.Load(),
 	}
 }
@@ -44,20 +41,10 @@
 		return
 	}
 	n.stats.nextGaugesAt = n.now() + gaugeInterval
-	n.stats.jobsAwaitingDependencies.Store(n.countWaiting())
+	n.stats.jobsAwaitingDependencies.Store(n.jobs.CountAwaitingDependencies())
 	n.stats.oversizedValues.Store(n.countOversized())
 }
 
-func (n *Controller) countWaiting() int64 {
-	var count int64
-	n.view.Jobs.All(func(_ int, j *storage.Job) {
-		if !j.Ended() && j.AwaitsDependencies() && n.leases.Holds(j.Shard) {
-			count++
-		}
-	})
-	return count
-}
-
 // countOversized counts the values that this node would have to make smaller before it
 // could write them again.
 func (n *Controller) countOversized() int64 {
