--- a/internal/coordination/jobs/cancel.go
+++ b/internal/coordination/jobs/cancel.go
@@ -19,10 +19,11 @@
 		reply(api.FromError(err))
 		return
 	}
-	s.cancel(id, cancelAttempts, reply)
+	s.tryCancel(id, cancelAttempts, reply)
 }
 
-func (s *Service) cancel(id string, attempts int, reply func(api.Answer)) {
+// tryCancel makes one attempt, and the others if that one fails.
+func (s *Service) tryCancel(id string, attempts int, reply func(api.Answer)) {
 	if final, ended := s.finals.get(id); ended {
 		reply(receipt(id, final.Stage))
 		return
@@ -53,7 +54,7 @@
 			s.cancellationConfirmed(id)
 			reply(receipt(id, final.Stage))
 		case errors.Is(err, protocol.ErrConflict) && attempts > 1:
-			s.cancel(id, attempts-1, reply)
+			s.tryCancel(id, attempts-1, reply)
 		default:
 			reply(api.FromError(storeError(id, err)))
 		}
--- a/internal/coordination/jobs/service.go
+++ b/internal/coordination/jobs/service.go
@@ -28,9 +28,10 @@
 	SchedulePass()
 }
 
-// Peers carries messages to other controllers. done is called later on the controller's
-// goroutine.
+// Peers carries messages to other controllers.
 type Peers interface {
+	// Ask sends a message to a controller; done is called later on this controller's
+	// goroutine.
 	Ask(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
 }
 
