--- a/cmd/rockrun/main.go
+++ b/cmd/rockrun/main.go
@@ -1,5 +1,5 @@
 // Command rockrun is a cluster scheduler: one controller of a service that
-// takes jobs from users, rents machines and runs the jobs' tasks on them.
+// takes jobs from users, creates machines and runs the jobs' tasks on them.
 package main
 
 import (
@@ -18,6 +18,13 @@
 
 const version = "0.2.0"
 
+// The garbage collector runs when the heap has grown by gcPercent, and more often where
+// memory would exceed memoryTarget of what the settings allow.
+const (
+	gcPercent    = 200
+	memoryTarget = 0.7
+)
+
 type cli struct {
 	Config  string           `help:"Platform settings (TOML)." placeholder:"FILE" required:""`
 	Options string           `help:"Operators' options (HCL)." placeholder:"FILE"`
@@ -48,16 +55,16 @@
 
 // Run checks the files.
 func (*checkCmd) Run(c *cli) error {
-	s, o, err := c.load()
+	settings, options, err := c.load()
 	if err != nil {
 		return err
 	}
-	for _, w := range s.Warnings(o) {
+	for _, w := range settings.Warnings(options) {
 		fmt.Printf("warning: %s: %s\n", w.Field, w.Why)
 	}
 	fmt.Printf("ok: node %s of %d, %d teams, block lease %s\n",
-		s.Controller, len(s.Peers)+1, len(s.Cluster.Teams), o.ShardLease(s.Cluster.Agents))
-	limits := s.Cluster.KVStore.Limits()
+		settings.Controller, len(settings.Peers)+1, len(settings.Cluster.Teams), options.ShardLease(settings.Cluster.Agents))
+	limits := settings.Cluster.KVStore.Limits()
 	fmt.Printf("limits in force: %g requests and %g writes a second, values of %d bytes, %d changes a transaction\n",
 		limits.RequestRate, limits.WriteRate, limits.ValueBytes, limits.Operations)
 	return nil
@@ -65,32 +72,32 @@
 
 // Run serves until the process is told to end.
 func (*serveCmd) Run(c *cli) error {
-	s, o, err := c.load()
+	settings, options, err := c.load()
 	if err != nil {
 		return err
 	}
 	log := logger()
 	runtime.GOMAXPROCS(1)
-	if mb := s.Cluster.ProcessLimits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * 0.7 * (1 << 20)))
+	if mb := settings.Cluster.ProcessLimits.MemoryMB; mb > 0 {
+		debug.SetMemoryLimit(int64(mb * memoryTarget * (1 << 20)))
 	}
-	debug.SetGCPercent(200)
+	debug.SetGCPercent(gcPercent)
 
-	public, err := net.Listen("tcp4", s.PublicAddr)
+	public, err := net.Listen("tcp4", settings.PublicAddr)
 	if err != nil {
-		return fmt.Errorf("listen for users and workers: %w", err)
+		return fmt.Errorf("listen for users and agents: %w", err)
 	}
-	peer, err := net.Listen("tcp4", s.PeerAddr)
+	peer, err := net.Listen("tcp4", settings.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("listen for controllers: %w", err)
 	}
 
-	for _, w := range s.Warnings(o) {
+	for _, w := range settings.Warnings(options) {
 		log.Warn("limit likely to be too small", "field", w.Field, "why", w.Why)
 	}
-	node := newController(s, o, log)
-	node.start(peer, log)
-	return node.serveUntilStopped(public, peer, log)
+	running := newProcess(settings, options, log)
+	running.start(peer, log)
+	return running.serveUntilStopped(public, peer, log)
 }
 
 func logger() *slog.Logger {
