--- a/internal/coordination/provisioning/groups_test.go
+++ b/internal/coordination/provisioning/groups_test.go
@@ -45,31 +45,61 @@
 // TestOversizedGroupMoves: machines leave a group that is too large for another job shard;
 // where that is more than a transaction takes, the group is split first.
 func TestOversizedGroupMoves(t *testing.T) {
-	l := newTestLeader(t)
-	p := l.provisioner
-	l.put(storage.MachineGroupKey("large"), largeGroup(60))
-	l.limitStore(2048, 3, 12)
-	for range 10 {
-		l.now += time.Second
-		p.writer.begin()
-		p.moves.begin()
-		for i := range 30 {
-			if m := l.machine(machineName(5000 + i)); m.Shard == 0 {
-				p.moves.add(m, 1)
+	for _, c := range []struct {
+		name     string
+		machines int
+		parts    int // of the group, once it is first written
+	}{
+		{"what is left fits", 60, 1},
+		{"it is split before anything moves", 90, 3},
+	} {
+		l := newTestLeader(t)
+		l.put(storage.MachineGroupKey("large"), largeGroup(c.machines))
+		l.limitStore(2048, 3, 12)
+		for round := range 10 {
+			l.moveMachines(30, 1)
+			if left := groupsInShard(l, 0); round == 0 && left != c.parts {
+				t.Errorf("%s: %d groups after the first write", c.name, left)
 			}
 		}
-		p.moves.write()
-		l.applyTransactions()
+		moved := 0
+		for i := range c.machines {
+			if m := l.machine(machineName(5000 + i)); m.Shard == 1 && m.Group != "" {
+				moved++
+			}
+		}
+		if moved != 30 {
+			t.Errorf("%s: %d machines have moved", c.name, moved)
+		}
 	}
-	moved := 0
-	for i := range 60 {
-		if m := l.machine(machineName(5000 + i)); m.Shard == 1 && m.Group != "" {
-			moved++
+}
+
+// moveMachines moves the first machines of a large group that are in the batch shard to
+// another, as far as one tick does.
+func (l *testLeader) moveMachines(count, toShard int) {
+	l.t.Helper()
+	l.now += time.Second
+	p := l.provisioner
+	p.writer.begin()
+	p.moves.begin()
+	for i := range count {
+		if m := l.machine(machineName(5000 + i)); m.Shard == storage.BatchShard {
+			p.moves.add(m, toShard)
 		}
 	}
-	if moved != 30 {
-		t.Errorf("%d machines have moved", moved)
+	p.moves.write()
+	l.applyTransactions()
+}
+
+// groupsInShard counts the groups of a shard that have machines.
+func groupsInShard(l *testLeader, shard int) int {
+	count := 0
+	for _, group := range l.replica.View.MachineGroups {
+		if group.Shard == shard && len(group.Machines) > 0 {
+			count++
+		}
 	}
+	return count
 }
 
 // TestOversizedGroupsAreCounted: a group counts while its record is over the limit.
