--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/holder_test.go
@@ -10,7 +10,6 @@
 	"rockrun/internal/config"
 	"rockrun/internal/coordination/api"
 	"rockrun/internal/coordination/kv"
-	"rockrun/internal/coordination/loop"
 	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
@@ -140,14 +139,6 @@
 	b.controller.committer.SetLimits(limits)
 }
 
-// limitWrites lets the writes of this controller arrive at a rate, of which one is there.
-func (b *testController) limitWrites(rate float64) {
-	budget := &b.controller.committer.Budget
-	*budget = loop.NewTokenBucket(1)
-	budget.Fill(b.now)
-	budget.SetRate(rate)
-}
-
 func (b *testController) apply(key string, record any) {
 	b.t.Helper()
 	b.revision++
--- a/internal/coordination/reconcile/allocs_test.go
+++ b/internal/coordination/reconcile/allocs_test.go
@@ -45,7 +45,7 @@
 		before := f.view.FleetRevision
 		f.apply(key, record)
 		f.recordsChanged()
-		if f.reconciler.seenFleetRevision != f.view.FleetRevision {
+		if f.reconciler.seen.fleet != f.view.FleetRevision {
 			t.Fatal("the reconciler has not looked at the last change")
 		}
 		return f.view.FleetRevision != before
@@ -63,12 +63,12 @@
 	if !goesThrough(storage.MachineGroupKey("c"), storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-2", Address: "v"}}}) {
 		t.Error("a new machine group did not")
 	}
-	if f.reconciler.agents["m-2"] == nil {
+	if f.reconciler.agents.find("m-2") == nil {
 		t.Error("the new machine is not held")
 	}
 	f.remove(storage.JobKey("run-50"))
 	f.recordsChanged()
-	if f.reconciler.seenJobsEnded != f.view.JobsEnded {
+	if f.reconciler.seen.jobsEnded != f.view.JobsEnded {
 		t.Error("the end of a job was not looked at")
 	}
 }
--- /dev/null
+++ b/internal/coordination/reconcile/attempt_state_test.go
@@ -0,0 +1,49 @@
+package reconcile
+
+import (
+	"errors"
+	"testing"
+
+	"rockrun/internal/protocol"
+)
+
+// TestAttemptTransitions: a state is followed by itself and any later one. What goes back
+// is an error that names both; it is believed of an agent, but nothing follows the end.
+func TestAttemptTransitions(t *testing.T) {
+	states := []attemptState{attemptPlanned, attemptFetching, attemptRunning, attemptSaving, attemptEnded}
+	for _, from := range states {
+		for _, to := range states {
+			state := from
+			err := state.advance(to)
+			var transition *TransitionError
+			if legal := to >= from; legal != (err == nil) {
+				t.Errorf("%s to %s: %v", from, to, err)
+			} else if !legal && (!errors.As(err, &transition) || transition.From != from || transition.To != to) {
+				t.Errorf("%s to %s: %v", from, to, err)
+			}
+			if want := to; from == attemptEnded && state != attemptEnded || from != attemptEnded && state != want {
+				t.Errorf("%s to %s: it is %s", from, to, state)
+			}
+		}
+	}
+}
+
+// TestStateOnAgent: what agents call the states.
+func TestStateOnAgent(t *testing.T) {
+	for _, c := range []struct {
+		reported string
+		want     attemptState
+		known    bool
+	}{
+		{protocol.TaskFetching, attemptFetching, true},
+		{protocol.TaskAwaitingGang, attemptFetching, true},
+		{protocol.TaskRunning, attemptRunning, true},
+		{protocol.TaskSaving, attemptSaving, true},
+		{protocol.TaskEnded, attemptEnded, true},
+		{"dreaming", attemptPlanned, false},
+	} {
+		if state, known := stateOnAgent(c.reported); state != c.want || known != c.known {
+			t.Errorf("%s: %s, known %t", c.reported, state, known)
+		}
+	}
+}
--- a/internal/coordination/reconcile/completion.go
+++ b/internal/coordination/reconcile/completion.go
@@ -8,106 +8,121 @@
 	"rockrun/internal/storage"
 )
 
-// end marks an attempt as proven over. A completed one stays until that is
-// durable; any other makes its task wait again.
-func (h *Reconciler) end(a *attempt, cause string) {
-	if !a.live() {
+// maxJobEndsInFlight bounds the ends of jobs being written: with answers in half a second,
+// sixteen jobs end each second.
+const maxJobEndsInFlight = 8
+
+// completions are what waits to be durable.
+type completions struct {
+	attempts        []*attempt     // completed
+	jobs            []*jobProgress // all tasks done
+	jobEndsInFlight int
+}
+
+// end marks an attempt as proven over. A completed one stays until that is durable; any
+// other makes its task wait again.
+func (r *Reconciler) end(attempt *attempt, cause string) {
+	if !attempt.live() {
 		return
 	}
-	h.charge(a, -1)
-	a.state, a.cause = taskEnded, cause
-	if cause == protocol.CauseDone && !a.job.Ended() && !a.job.IsService() {
-		if p := a.progress; !p.completed.Has(a.task) {
-			p.completed.Set(a.task)
-			p.completedCount++
-			if p.completedCount >= a.job.Tasks {
-				h.completedJobs = append(h.completedJobs, p)
-			} else if d := h.writers[a.agent.shard]; d != nil {
-				d.markCompleted(p, a.task/storage.TasksPerChunk, h.now())
-			}
-		}
-		h.completedAttempts = append(h.completedAttempts, a)
+	r.usage.charge(attempt, -1)
+	attempt.state = attemptEnded
+	if cause != protocol.CauseDone || attempt.job.Ended() || attempt.job.IsService() {
+		r.removeAttempt(attempt)
 		return
 	}
-	h.removeAttempt(a)
+	if attempt.progress.complete(attempt.task) {
+		r.recordCompletion(attempt)
+	}
+	r.completions.attempts = append(r.completions.attempts, attempt)
 }
 
-// settleAll ends every attempt of a machine that is proven to run nothing.
-func (h *Reconciler) endAll(x *agent, why string) {
-	if len(x.attempts) > 0 {
-		h.Log.Info("tasks lost", "machine", x.machine.Name, "tasks", len(x.attempts), "why", why)
+// recordCompletion sees to it that a completed task becomes durable, with its job where it
+// was the last.
+func (r *Reconciler) recordCompletion(a *attempt) {
+	if a.progress.done() {
+		r.completions.jobs = append(r.completions.jobs, a.progress)
+	} else if writer := r.writers[a.agent.shard]; writer != nil {
+		writer.markCompleted(a.progress, a.task/storage.TasksPerChunk)
 	}
-	for _, ref := range storage.SortedTasks(x.attempts) {
-		h.end(x.attempts[ref], "lost")
-	}
-	x.unexpected = nil
 }
 
-// maxFinishing bounds the ends of jobs under way: with answers in half a second, sixteen
-// jobs end each second.
-const maxJobEndsInFlight = 8
+// endAll ends every attempt of a machine that is proven to run nothing.
+func (r *Reconciler) endAll(agent *agent, reason string) {
+	if len(agent.attempts) > 0 {
+		r.Log.Info("tasks lost", "machine", agent.machine.Name, "tasks", len(agent.attempts), "reason", reason)
+	}
+	for _, ref := range storage.SortedTasks(agent.attempts) {
+		r.end(agent.attempts[ref], "lost")
+	}
+	agent.unexpected.list = nil
+}
 
-// finish makes jobs durable whose tasks are all done, and lets completed
-// attempts leave their machines once that is.
-func (h *Reconciler) writeJobEnds() {
-	h.completedJobs = slices.DeleteFunc(h.completedJobs, func(p *jobProgress) bool {
-		if p.job.Ended() || h.jobs[p.job] != p {
+// writeJobEnds makes jobs durable whose tasks are all done, and lets completed attempts
+// leave their machines once that is.
+func (r *Reconciler) writeJobEnds() {
+	pending := &r.completions
+	pending.jobs = slices.DeleteFunc(pending.jobs, func(progress *jobProgress) bool {
+		if progress.job.Ended() || r.jobs[progress.job] != progress {
 			return true
 		}
-		if h.mayWriteJobEnd(p) {
-			h.writeJobEnd(p)
+		if r.mayWriteJobEnd(progress) {
+			r.writeJobEnd(progress)
 		}
 		return false
 	})
-	h.completedAttempts = slices.DeleteFunc(h.completedAttempts, h.releaseCompleted)
+	pending.attempts = slices.DeleteFunc(pending.attempts, r.releaseCompleted)
 }
 
-// mayFinish reports whether the end of a job may be written now.
-func (h *Reconciler) mayWriteJobEnd(p *jobProgress) bool {
-	return !p.endInFlight && h.Replica.Revision() >= p.endWrittenRevision && h.now() >= p.retryAt && h.Leases.MayActFor(p.job.Shard) && h.jobEndsInFlight < maxJobEndsInFlight
+// mayWriteJobEnd reports whether the end of a job may be written now.
+func (r *Reconciler) mayWriteJobEnd(progress *jobProgress) bool {
+	return progress.endWrite.Ready(r.now(), r.Replica.Revision()) && r.Leases.MayActFor(progress.job.Shard) &&
+		r.completions.jobEndsInFlight < maxJobEndsInFlight
 }
 
-// finishJob writes that a job is done. Users wait for it and there are few jobs beside
+// writeJobEnd writes that a job is done. Users wait for it and there are few jobs beside
 // tasks, so it doesn't wait for a write to be to spare.
-func (h *Reconciler) writeJobEnd(p *jobProgress) {
-	j := p.job
-	h.Committer.Budget.TakeAnyway(h.now(), 2)
-	p.endInFlight = true
-	h.jobEndsInFlight++
-	f := storage.FinalRecord{Stage: protocol.StageDone, CompletedTasks: j.Tasks, EndedAtMS: h.Generation.Wall().UnixMilli()}
-	h.Committer.Commit(protocol.Transaction{
+func (r *Reconciler) writeJobEnd(progress *jobProgress) {
+	job := progress.job
+	final := storage.FinalRecord{Stage: protocol.StageDone, CompletedTasks: job.Tasks, EndedAtMS: r.Generation.Wall().UnixMilli()}
+	operations := storage.EndJobOperations(job.ID, final)
+	transaction := protocol.Transaction{
 		Conditions: []protocol.Condition{
-			{Key: storage.JobKey(j.ID), Version: j.Version},
-			{Key: storage.GrantKey(j.Shard), Version: h.View.Grants[j.Shard].Version},
+			{Key: storage.JobKey(job.ID), Version: job.Version},
+			r.View.GrantCondition(job.Shard),
 		},
-		Operations: storage.EndJobOperations(j.ID, f),
-	}, func(revision uint64, err error) {
-		p.endInFlight = false
-		h.jobEndsInFlight--
-		if h.Generation.Ended() {
+		Operations: operations,
+	}
+	r.Committer.Budget.TakeAnyway(r.now(), len(operations))
+	progress.endWrite.Begin()
+	r.completions.jobEndsInFlight++
+	r.Committer.Commit(transaction, func(revision uint64, err error) {
+		progress.endWrite.Finish()
+		r.completions.jobEndsInFlight--
+		if r.Generation.Ended() {
 			return
 		}
 		if err != nil {
-			h.Log.Debug("completed job not written", "job", j.ID, "err", err)
-			p.retryAt = h.now() + h.Generation.Jitter(kv.RetryPause/2)
+			r.Log.Debug("end of job not written", "job", job.ID, "err", err)
+			progress.endWrite.RetryAt(r.now() + r.Generation.Jitter(kv.RetryPause/2))
 			return
 		}
-		p.endWrittenRevision = revision
-		h.Outcomes.Remember(j.ID, f)
-		h.Log.Debug("job done", "job", j.ID)
+		progress.endWrite.Written(revision)
+		r.Outcomes.Remember(job.ID, final)
+		r.Log.Debug("job done", "job", job.ID)
 	})
 }
 
 // releaseCompleted lets a completed attempt leave its machine once its completion is
 // durable, and reports whether it need not be looked at any more.
-func (h *Reconciler) releaseCompleted(a *attempt) bool {
-	if h.agents[a.agent.machine.Name] != a.agent || a.agent.attempts[a.ref()] != a {
+func (r *Reconciler) releaseCompleted(a *attempt) bool {
+	if !r.agents.contains(a.agent) || a.agent.attempts[a.ref()] != a {
 		return true
 	}
 	if !a.job.Ended() && !a.job.Completed.Has(a.task) {
 		return false
 	}
-	h.removeAttempt(a)
+	r.removeAttempt(a)
 	a.agent.needsAttention = true // it can be reaped
 	return true
 }
--- a/internal/coordination/reconcile/fixture_test.go
+++ b/internal/coordination/reconcile/fixture_test.go
@@ -242,7 +242,7 @@
 }
 
 // agent is the agent of m-1.
-func (f *fixture) agent() *agent { return f.reconciler.agents["m-1"] }
+func (f *fixture) agent() *agent { return f.reconciler.agents.find("m-1") }
 
 // liveAttempts counts the attempts that may be on m-1.
 func (f *fixture) liveAttempts() int {
--- a/internal/coordination/reconcile/fleet_test.go
+++ b/internal/coordination/reconcile/fleet_test.go
@@ -19,7 +19,7 @@
 		f.reconciler.Tick()
 		f.reconciler.pass()
 	}
-	if held := len(f.reconciler.agents); held < largeFleet {
+	if held := len(f.reconciler.agents.sorted); held < largeFleet {
 		t.Fatalf("%d machines are held", held)
 	}
 	if n := len(f.commandRequests); n < largeFleet || n > largeFleet+1 {
--- a/internal/coordination/reconcile/heartbeat.go
+++ b/internal/coordination/reconcile/heartbeat.go
@@ -12,221 +12,207 @@
 
 // OnHeartbeat takes in the heartbeat of a machine of a shard held. It calls reply with the
 // answer, which renews the agent's lease, or returns an api.RetryLaterError.
-func (h *Reconciler) OnHeartbeat(m *storage.Machine, r *protocol.AgentHeartbeat, reply func(protocol.AgentHeartbeatAnswer)) error {
-	x := h.agents[m.Name]
-	if x == nil || !h.Leases.MayActFor(m.Shard) || r.FencingToken > x.currentToken {
-		return &api.RetryLaterError{Reason: api.ErrNotEntitled, Machine: m.Name}
-	}
-	if !r.NewerThan(x.epoch, x.sequence) && h.now()-x.lastHeartbeatAt > membership.AgentAnswerTimeout {
+func (r *Reconciler) OnHeartbeat(machine *storage.Machine, heartbeat *protocol.AgentHeartbeat, reply func(protocol.AgentHeartbeatAnswer)) error {
+	agent := r.agents.find(machine.Name)
+	if agent == nil || !r.Leases.MayActFor(machine.Shard) || heartbeat.FencingToken > agent.fence.current {
+		return &api.RetryLaterError{Reason: api.ErrNotEntitled, Machine: machine.Name}
+	}
+	contact := &agent.contact
+	news := heartbeat.NewerThan(contact.epoch, contact.sequence)
+	if !news && r.now()-contact.lastHeartbeatAt > membership.AgentAnswerTimeout {
 		// A copy that was held back on its way. Nobody waits for its answer,
 		// and it must not count as the renewal of a lease.
-		return &api.RetryLaterError{Reason: api.ErrOldHeartbeat, Machine: m.Name}
+		return &api.RetryLaterError{Reason: api.ErrOldHeartbeat, Machine: machine.Name}
 	}
-	h.onHeartbeat(x, r, true)
-	x.lastAnsweredAt = h.now()
-	cmds := h.commandsFor(x)
-	reply(protocol.AgentHeartbeatAnswer{FencingToken: x.currentToken, Commands: cmds})
-	if !x.fenceConfirmed {
-		h.sendCommands(x)
+	r.observeHeartbeat(agent, heartbeat, true)
+	contact.lastAnsweredAt = r.now()
+	commands := r.commandsFor(agent)
+	reply(protocol.AgentHeartbeatAnswer{FencingToken: agent.fence.current, Commands: commands})
+	if !agent.fence.confirmed {
+		r.sendCommands(agent)
 	}
 	return nil
 }
 
-// report takes in what a worker says. Old news is ignored: held packets can
-// bring reports minutes late. asked is set where the worker waits for an answer;
-// otherwise the report itself answers a command and shows that those get through.
-func (h *Reconciler) onHeartbeat(x *agent, r *protocol.AgentHeartbeat, asked bool) {
-	now := h.now()
-	if !r.NewerThan(x.epoch, x.sequence) {
+// observeHeartbeat takes in what an agent says. Old news is ignored: packets that were
+// held back can bring heartbeats minutes late. awaitsAnswer is set where the agent waits
+// for an answer; otherwise the heartbeat itself answers a command and shows that those get
+// through.
+func (r *Reconciler) observeHeartbeat(agent *agent, heartbeat *protocol.AgentHeartbeat, awaitsAnswer bool) {
+	now := r.now()
+	contact := &agent.contact
+	if !heartbeat.NewerThan(contact.epoch, contact.sequence) {
 		return
 	}
-	if x.sequence == 0 {
-		x.firstHeartbeatAt = now
+	if contact.sequence == 0 {
+		contact.firstHeartbeatAt = now
+	}
+	r.judgeReachability(agent, heartbeat, awaitsAnswer)
+	contact.observe(heartbeat, now)
+	agent.fence.observe(heartbeat.FencingToken)
+	if heartbeat.Address != "" {
+		agent.address = heartbeat.Address
 	}
-	h.judgeReachability(x, r, asked)
-	x.epoch, x.sequence, x.lastHeartbeatAt = r.Epoch, r.Sequence, now
-	x.fenceConfirmed = r.FencingToken >= x.grantToken
-	if r.Address != "" {
-		x.address = r.Address
+	agent.terminationAt = 0
+	if heartbeat.TerminationSeconds != nil {
+		agent.terminationAt = now + time.Duration(*heartbeat.TerminationSeconds*float64(time.Second))
+	}
+	listed, ended := r.applyTaskStatuses(agent, heartbeat)
+	agent.unexpected.observe(now)
+	agent.needsAttention = agent.needsAttention || agent.unexpected.reapDue(now)
+	if listed < len(agent.attempts) && r.endMissingAttempts(agent, heartbeat) {
+		ended = true
 	}
-	x.terminationAt = 0
-	if r.TerminationSeconds != nil {
-		x.terminationAt = now + time.Duration(*r.TerminationSeconds*float64(time.Second))
+	if ended || agent.needsAttention {
+		r.SchedulePass()
+	}
+}
+
+// judgeReachability judges from a heartbeat whether answers and commands reach the agent.
+func (r *Reconciler) judgeReachability(agent *agent, heartbeat *protocol.AgentHeartbeat, awaitsAnswer bool) {
+	now := r.now()
+	patience := 2*r.AgentSettings.HeartbeatInterval() + membership.AgentAnswerTimeout
+	shown := heartbeat.FencingToken
+	reachability, fence := &agent.reachability, &agent.fence
+	reachability.begin(fence, agent.contact.heldSince)
+	if r.seemsUnheard(agent, heartbeat, patience) {
+		reachability.probe(fence, shown, now, r.AgentSettings.Lease())
+	}
+	heardFor := now - agent.contact.firstHeartbeatAt
+	if reachability.observe(fence, shown, awaitsAnswer, now, heardFor, patience) {
+		r.Log.Info("machine hears nothing", "machine", agent.machine.Name, "epoch", heartbeat.Epoch, "token", shown)
 	}
-	found, news := h.applyTaskStatuses(x, r)
-	x.updateReapable(now)
-	if found < len(x.attempts) && h.endMissingAttempts(x, r) {
-		news = true
+}
+
+// seemsUnheard reports whether a heartbeat gives reason to think that the agent hears
+// nothing. One that hears lists new tasks in its next heartbeat, and its epoch stays as
+// long as its heartbeats are answered.
+func (r *Reconciler) seemsUnheard(agent *agent, heartbeat *protocol.AgentHeartbeat, patience time.Duration) bool {
+	now := r.now()
+	contact := &agent.contact
+	if heartbeat.Epoch > contact.epoch && contact.sequence > 0 && now-contact.lastAnsweredAt < r.AgentSettings.Lease()/2 {
+		return true
 	}
-	if news || x.needsAttention {
-		h.SchedulePass()
+	for _, attempt := range agent.attempts {
+		startOverdue := attempt.state == attemptPlanned && attempt.start.sent() && !attempt.inherited && now-attempt.start.sentAt > patience
+		if startOverdue && !listsAttempt(heartbeat, attempt.number) {
+			return true
+		}
 	}
+	return false
+}
+
+func listsAttempt(heartbeat *protocol.AgentHeartbeat, number uint64) bool {
+	return slices.ContainsFunc(heartbeat.Tasks, func(t protocol.TaskStatus) bool { return t.Attempt == number })
 }
 
-// reportedTasks takes in the tasks that a report lists. It returns how many of the
+// applyTaskStatuses takes in the tasks that a heartbeat lists. It returns how many of the
 // attempts here it lists and whether any has ended.
-func (h *Reconciler) applyTaskStatuses(x *agent, r *protocol.AgentHeartbeat) (found int, ended bool) {
-	x.unexpected = x.unexpected[:0]
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		id, task, err := protocol.ParseTaskName(t.Task)
+func (r *Reconciler) applyTaskStatuses(agent *agent, heartbeat *protocol.AgentHeartbeat) (listed int, ended bool) {
+	agent.unexpected.reset()
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		id, task, err := protocol.ParseTaskName(status.Task)
 		if err != nil {
-			h.Log.Warn("report names no task", "machine", r.Machine, "task", t.Task)
+			r.Log.Warn("heartbeat lists what is no task", "machine", heartbeat.Machine, "task", status.Task)
 			continue
 		}
-		job, _ := h.View.Jobs.Find(id)
-		a := x.attempts[storage.TaskRef{Job: job, Task: task}]
-		if job < 0 || a == nil || a.number != t.Attempt {
-			x.unexpected = append(x.unexpected, *t)
+		job, _ := r.View.Jobs.Find(id)
+		attempt := agent.attempts[storage.TaskRef{Job: job, Task: task}]
+		if job < 0 || attempt == nil || attempt.number != status.Attempt {
+			agent.unexpected.add(status)
 			continue
 		}
-		a.listedInSequence = r.Sequence
-		found++
-		if a.live() && h.applyTaskState(a, t) {
+		attempt.listedInSequence = heartbeat.Sequence
+		listed++
+		if attempt.live() && r.applyTaskStatus(attempt, status) {
 			ended = true
 		}
 	}
-	return found, ended
+	return listed, ended
 }
 
-// reportedState takes in a task's state and reports whether it has ended.
-func (h *Reconciler) applyTaskState(a *attempt, t *protocol.TaskStatus) bool {
-	switch t.State {
-	case protocol.TaskFetching, protocol.TaskAwaitingGang:
-		a.state = taskFetching
-	case protocol.TaskRunning:
-		if a.state != taskRunning {
-			a.state, a.runningSince = taskRunning, h.now()
-		}
-	case protocol.TaskSaving:
-		a.state = taskSaving
-	case protocol.TaskEnded:
-		h.applyTaskOutcome(a, t)
+// applyTaskStatus takes in the state of a live attempt and reports whether it has ended.
+func (r *Reconciler) applyTaskStatus(attempt *attempt, status *protocol.TaskStatus) (ended bool) {
+	state, known := stateOnAgent(status.State)
+	switch {
+	case !known:
+		return false
+	case state == attemptEnded:
+		r.applyOutcome(attempt, status)
 		return true
+	case state == attemptRunning && attempt.state != attemptRunning:
+		attempt.runningSince = r.now()
+	}
+	if err := attempt.state.advance(state); err != nil {
+		r.Log.Warn("attempt went back", "machine", attempt.agent.machine.Name, "task", status.Task, "attempt", attempt.number, "err", err)
 	}
 	return false
 }
 
-// noteReaps keeps since when there have been tasks to reap.
-func (x *agent) updateReapable(now time.Duration) {
-	if len(x.unexpected) == 0 {
-		x.reapableSince = 0
-	} else if x.reapableSince == 0 {
-		x.reapableSince = now
-	}
-	x.needsAttention = x.needsAttention || x.reapDue(now)
-}
-
-// missingTasks ends the attempts whose absence from a report proves that they are
+// endMissingAttempts ends the attempts whose absence from a heartbeat proves that they are
 // over, and reports whether there were any.
-func (h *Reconciler) endMissingAttempts(x *agent, r *protocol.AgentHeartbeat) (ended bool) {
-	for _, ref := range storage.SortedTasks(x.attempts) {
-		a := x.attempts[ref]
-		if a.listedInSequence == r.Sequence || !a.live() {
+func (r *Reconciler) endMissingAttempts(agent *agent, heartbeat *protocol.AgentHeartbeat) (ended bool) {
+	for _, ref := range storage.SortedTasks(agent.attempts) {
+		attempt := agent.attempts[ref]
+		if attempt.listedInSequence == heartbeat.Sequence || !attempt.live() {
 			continue
 		}
-		switch {
-		case a.startEpoch != 0 && r.Epoch > a.startEpoch:
-			h.end(a, "session over")
-		case a.state != taskPlanned:
-			// Seen before and not any more: it is over. Only a new session or a
-			// reap of ours does this, and both come after its end.
-			h.end(a, "vanished")
-		case a.inherited && x.fenceConfirmed, a.stopRequested && a.startToken > 0 && r.FencingToken > a.startToken:
-			// Not there, and every start that was ever sent for it is fenced.
-			h.end(a, "never started")
-		default:
-			continue
+		if cause := causeOfAbsence(attempt, heartbeat); cause != "" {
+			r.end(attempt, cause)
+			ended = true
 		}
-		ended = true
 	}
 	return ended
 }
 
-// judgeReachability judges from a report whether answers and commands reach the machine. A
-// worker that hears shows a higher token in its next report, new tasks likewise,
-// and its session stays as long as its reports are answered. One that is not so
-// is asked to show a higher token; if it doesn't for several reports, what it
-// runs ends with its lease, and it must not be counted on.
-func (h *Reconciler) judgeReachability(x *agent, r *protocol.AgentHeartbeat, asked bool) {
-	now := h.now()
-	w := h.AgentSettings
-	patience := 2*w.HeartbeatInterval() + membership.AgentAnswerTimeout
-	if x.probeToken < x.grantToken {
-		x.probeToken, x.probedAt = x.grantToken, x.heldSince
-	}
-	odd := r.Epoch > x.epoch && x.sequence > 0 && now-x.lastAnsweredAt < w.Lease()/2
-	for _, a := range x.attempts {
-		odd = odd || a.state == taskPlanned && a.startToken > 0 && !a.inherited && now-a.startSentAt > patience &&
-			!slices.ContainsFunc(r.Tasks, func(t protocol.TaskStatus) bool { return t.Attempt == a.number })
-	}
-	if odd && x.fenceConfirmed && r.FencingToken >= x.probeToken && (x.probeToken == x.grantToken || now-x.probedAt > w.Lease()) {
-		x.currentToken++
-		x.probeToken, x.probedAt = x.currentToken, now
-	}
-	x.suspect = r.FencingToken < x.probeToken
-	unresponsive := x.suspect && asked && now-x.probedAt > patience
-	if unresponsive && !x.unresponsive && x.probeToken == x.grantToken {
-		// It may have come up long after it was taken up; then it has not been
-		// answered yet.
-		unresponsive = x.sequence > 0 && now-x.firstHeartbeatAt > patience
-	}
-	if unresponsive && !x.unresponsive {
-		h.Log.Info("machine hears nothing", "machine", x.machine.Name, "session", r.Epoch, "token", r.FencingToken)
-	}
-	x.unresponsive = unresponsive
+// causeOfAbsence is why an attempt that a heartbeat does not list is over, or "" where its
+// absence proves nothing.
+func causeOfAbsence(attempt *attempt, heartbeat *protocol.AgentHeartbeat) string {
+	start, fence := &attempt.start, &attempt.agent.fence
+	switch {
+	case start.epoch != 0 && heartbeat.Epoch > start.epoch:
+		return "epoch over"
+	case attempt.state != attemptPlanned:
+		// Seen before and not any more: it is over. Only a new epoch or a reap of ours
+		// does this, and both come after its end.
+		return "vanished"
+	case attempt.inherited && fence.confirmed, attempt.stop.requested && start.sent() && heartbeat.FencingToken > start.token:
+		// Not there, and every start that was ever sent for it is fenced.
+		return "never started"
+	}
+	return ""
 }
 
-// outcome takes in how a task was reported to have ended.
-func (h *Reconciler) applyTaskOutcome(a *attempt, t *protocol.TaskStatus) {
-	x := a.agent
-	now := h.now()
-	p := a.progress
-	switch t.Cause {
+// jobUnknownPause is for how long a job is not started again that an agent did not know.
+const jobUnknownPause = 2 * time.Second
+
+// applyOutcome takes in how a task was reported to have ended.
+func (r *Reconciler) applyOutcome(attempt *attempt, status *protocol.TaskStatus) {
+	now := r.now()
+	health, progress := &attempt.agent.health, attempt.progress
+	machine := attempt.agent.machine.Name
+	switch status.Cause {
 	case protocol.CauseDone:
-		x.consecutiveErrors, p.failures, p.failedOn = 0, 0, nil
-		if a.runningSince > 0 {
-			x.recordRunTime(p, (now - a.runningSince).Seconds())
+		health.noteDone()
+		progress.failures = failureRecord{}
+		if attempt.runningSince > 0 {
+			health.noteRunTime(&progress.runTimes, (now - attempt.runningSince).Seconds())
 		}
 	case protocol.CauseError:
-		p.failures++
-		if p.failedOn == nil {
-			p.failedOn = map[string]bool{}
-		}
-		p.failedOn[x.machine.Name] = true
-		// A faulty machine fails whatever it is given; a faulty job fails
-		// wherever it is, and after the second machine the fault is taken to be
-		// the job's. Both are tried again ever more slowly.
-		if len(p.failedOn) < 3 {
-			x.consecutiveErrors++
-			x.quarantinedUntil = now + time.Duration(min(x.consecutiveErrors, 6))*10*time.Second
+		// Faulty machines and faulty jobs are tried again ever more slowly.
+		if progress.failures.note(machine) {
+			health.noteError(now)
 		}
-		p.backoffUntil = now + min(time.Duration(1<<min(p.failures, 6))*250*time.Millisecond, 20*time.Second)
-		h.Log.Info("task failed", "task", t.Task, "machine", x.machine.Name, "errors", x.consecutiveErrors, "fails", p.failures)
+		progress.backoffUntil = now + progress.failures.backoff()
+		r.Log.Info("task failed", "machine", machine, "task", status.Task, "attempt", attempt.number,
+			"errors", health.consecutiveErrors, "fails", progress.failures.count)
 	case protocol.CauseNoCapacity, protocol.CauseAlreadyPresent:
-		x.quarantinedUntil = now + 2*time.Second
-		h.Log.Warn("start refused", "task", t.Task, "machine", x.machine.Name, "cause", t.Cause)
+		health.noteRefusal(now)
+		r.Log.Warn("start refused", "machine", machine, "task", status.Task, "attempt", attempt.number, "cause", status.Cause)
 	case protocol.CauseJobUnknown:
-		p.backoffUntil = now + 2*time.Second
-		h.Log.Warn("job unknown to worker", "task", t.Task, "machine", x.machine.Name)
+		progress.backoffUntil = now + jobUnknownPause
+		r.Log.Warn("job unknown to agent", "machine", machine, "task", status.Task, "attempt", attempt.number)
 	}
-	h.end(a, t.Cause)
+	r.end(attempt, status.Cause)
 }
-
-// measure compares a completed task's run time with those of its own job: the
-// owners' estimates are too often wrong to tell a slow machine by.
-func (x *agent) recordRunTime(p *jobProgress, took float64) {
-	if p.measuredRuns >= 2 && p.measuredSeconds > 0 {
-		ratio := took / (p.measuredSeconds / float64(p.measuredRuns))
-		if x.runTimeSamples == 0 {
-			x.relativeRunTime = 1
-		}
-		x.relativeRunTime += (ratio - x.relativeRunTime) * 0.3
-		x.runTimeSamples++
-	}
-	p.measuredRuns++
-	p.measuredSeconds += took
-}
-
-// slow reports whether a machine has shown to be much slower than others.
-func (x *agent) slow() bool { return x.runTimeSamples >= 4 && x.relativeRunTime > 1.6 }
--- a/internal/coordination/reconcile/heartbeat_test.go
+++ b/internal/coordination/reconcile/heartbeat_test.go
@@ -66,11 +66,11 @@
 // seen or not.
 func TestUnprovenAttemptsCount(t *testing.T) {
 	f := newFixture(t, inherited)
-	if got := f.reconciler.usageOf(0)[0].CPUs; got != 4 {
+	if got := f.reconciler.usage.ofShard(0)[0].CPUs; got != 4 {
 		t.Errorf("an inherited attempt counts as %v CPUs", got)
 	}
 	f.heartbeat(1, grantToken)
-	if got := f.reconciler.usageOf(0)[0].CPUs; got != 0 {
+	if got := f.reconciler.usage.ofShard(0)[0].CPUs; got != 0 {
 		t.Errorf("once it has ended it counts as %v CPUs", got)
 	}
 }
@@ -103,16 +103,16 @@
 func TestCopiesRenewNothing(t *testing.T) {
 	f := newFixture(t)
 	f.heartbeat(5, grantToken)
-	answeredAt := f.agent().lastAnsweredAt
+	answeredAt := f.agent().contact.lastAnsweredAt
 	f.now += membership.AgentAnswerTimeout + time.Second
 	f.refreshKnowledge()
 	if _, err := f.heartbeat(5, grantToken); !errors.Is(err, api.ErrOldHeartbeat) {
 		t.Errorf("a late copy: %v", err)
 	}
-	if _, err := f.heartbeat(3, grantToken); !errors.Is(err, api.ErrOldHeartbeat) || f.agent().lastAnsweredAt != answeredAt {
-		t.Errorf("an older one: %v, answered at %s", err, f.agent().lastAnsweredAt)
+	if _, err := f.heartbeat(3, grantToken); !errors.Is(err, api.ErrOldHeartbeat) || f.agent().contact.lastAnsweredAt != answeredAt {
+		t.Errorf("an older one: %v, answered at %s", err, f.agent().contact.lastAnsweredAt)
 	}
-	if _, err := f.heartbeat(6, grantToken); err != nil || f.agent().lastAnsweredAt != f.now {
+	if _, err := f.heartbeat(6, grantToken); err != nil || f.agent().contact.lastAnsweredAt != f.now {
 		t.Errorf("a new one: %v", err)
 	}
 }
@@ -134,7 +134,7 @@
 		t.Fatal("absence alone ended a start that may be on its way")
 	}
 	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 2, Sequence: 4, FencingToken: grantToken}
-	f.reconciler.onHeartbeat(f.agent(), r, true)
+	f.reconciler.observeHeartbeat(f.agent(), r, true)
 	if f.liveAttempts() != 0 {
 		t.Error("a new epoch did not end it")
 	}
@@ -151,7 +151,7 @@
 	f.now += 8 * time.Second
 	f.refreshKnowledge()
 	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", Epoch: 1, Sequence: 9, FencingToken: grantToken}
-	f.reconciler.onHeartbeat(f.agent(), r, false)
+	f.reconciler.observeHeartbeat(f.agent(), r, false)
 	if f.reconciler.schedulable(f.agent(), f.now) {
 		t.Error("it takes tasks on the strength of an answer to a command")
 	}
--- a/internal/coordination/reconcile/oversized_pages_test.go
+++ b/internal/coordination/reconcile/oversized_pages_test.go
@@ -23,10 +23,10 @@
 		w.flush()
 		f.applyTransactions()
 		for _, p := range w.intentPages {
-			p.writeInFlight = false
+			p.write.Finish()
 		}
 		for _, p := range w.completionPages {
-			p.writeInFlight = false
+			p.write.Finish()
 		}
 		each()
 	}
@@ -45,14 +45,14 @@
 	if before < 30 {
 		t.Fatalf("%d pages are over the limit", before)
 	}
-	lost := f.reconciler.agents[fleetMachineName(17)]
+	lost := f.reconciler.agents.find(fleetMachineName(17))
 	lost.machine.Phase = storage.PhaseDraining
 	f.reconciler.end(lost.attempts[storage.SortedTasks(lost.attempts)[0]], "stopped")
-	other := f.reconciler.agents[fleetMachineName(200)] // goes on taking tasks, so there is no hurry
+	other := f.reconciler.agents.find(fleetMachineName(200)) // goes on taking tasks, so there is no hurry
 	f.reconciler.end(other.attempts[storage.SortedTasks(other.attempts)[0]], "stopped")
 	f.flushFor(10, func() {
 		t.Helper()
-		for _, x := range f.reconciler.sortedAgents {
+		for _, x := range f.reconciler.agents.sorted {
 			for ref, a := range x.attempts {
 				if x.machine.Intents[ref].Attempt != a.number {
 					t.Fatalf("no page names the task on %s", x.machine.Name)
@@ -70,61 +70,84 @@
 	}
 }
 
-// TestOversizedCompletionPageIsEmptied is the same for a page of completed tasks: what has
-// completed is in the records all the time.
-func TestOversizedCompletionPageIsEmptied(t *testing.T) {
+// completionJob is the identifier of a job of completionPageFixture.
+func completionJob(number int) string { return fmt.Sprintf("run-%06d", 100+number) }
+
+// newCompletionPageFixture is a fixture with so many jobs, of each of which task 0 is done
+// and all share a page.
+func newCompletionPageFixture(t *testing.T, jobs int) *fixture {
 	f := newFixture(t)
-	const jobs = 60
-	id := func(i int) string { return fmt.Sprintf("run-%06d", 100+i) }
 	page := storage.CompletionPage{}
 	for i := range jobs {
-		page[storage.CompletionChunkName(id(i), 0)] = []byte{1}
-		f.apply(storage.JobKey(id(i)), storage.JobRecord{Spec: protocol.JobSpec{
-			ID: id(i), Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 80, CPUs: 1, MemoryGB: 1,
+		id := completionJob(i)
+		page[storage.CompletionChunkName(id, 0)] = []byte{1}
+		f.apply(storage.JobKey(id), storage.JobRecord{Spec: protocol.JobSpec{
+			ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 80, CPUs: 1, MemoryGB: 1,
 		}})
 	}
 	f.apply(storage.CompletionPageKey(firstPage), page)
 	f.recordsChanged()
-	w := f.reconciler.writers[0]
 	for i := range jobs {
-		_, j := f.view.Jobs.Find(id(i))
-		f.reconciler.progress(j)
+		f.progressOf(completionJob(i))
 	}
+	return f
+}
+
+// progressOf is the progress of a job.
+func (f *fixture) progressOf(id string) *jobProgress {
+	_, job := f.view.Jobs.Find(id)
+	return f.reconciler.progressOf(job)
+}
+
+// complete lets a task be done.
+func (f *fixture) complete(id string, task int) {
+	progress := f.progressOf(id)
+	progress.complete(task)
+	f.reconciler.writers[0].markCompleted(progress, 0)
+}
+
+// recordsCompleted reports whether a page in the store says that a task is done.
+func (f *fixture) recordsCompleted(id string, task int) bool {
+	for key, value := range f.values {
+		if !strings.HasPrefix(key, "r/d/") {
+			continue
+		}
+		var record storage.CompletionPage
+		if err := json.Unmarshal(value, &record); err != nil {
+			f.t.Fatal(err)
+		}
+		if storage.TaskSet(record[storage.CompletionChunkName(id, 0)]).Has(task) {
+			return true
+		}
+	}
+	return false
+}
+
+// TestOversizedCompletionPageIsEmptied is the same for a page of completed tasks: what has
+// completed is in the records all the time.
+func TestOversizedCompletionPageIsEmptied(t *testing.T) {
+	const jobs, firstTask, laterTask = 60, 0, 5
+	f := newCompletionPageFixture(t, jobs)
+	w := f.reconciler.writers[0]
 	f.limitStore(1024, 4, math.MaxInt)
 	if w.oversizedValues() != 1 {
 		t.Fatalf("%d pages are over the limit", w.oversizedValues())
 	}
-	completed := func(i, task int) {
-		_, j := f.view.Jobs.Find(id(i))
-		p := f.reconciler.progress(j)
-		p.completed.Set(task)
-		p.completedCount++
-		w.markCompleted(p, 0, f.now)
-	}
-	recorded := func(i, task int) bool {
-		for key, value := range f.values {
-			var rec storage.CompletionPage
-			if strings.HasPrefix(key, "r/d/") && json.Unmarshal(value, &rec) == nil && storage.TaskSet(rec[storage.CompletionChunkName(id(i), 0)]).Has(task) {
-				return true
-			}
-		}
-		return false
-	}
-	for _, first := range []int{0, 1} {
+	for _, first := range []int{0, 1} { // every other job, then the rest
 		for i := first; i < jobs; i += 2 {
-			completed(i, 5)
+			f.complete(completionJob(i), laterTask)
 		}
 		f.flushFor(10, func() {
 			t.Helper()
 			for i := range jobs {
-				if !recorded(i, 0) {
-					t.Fatalf("what had completed of %s is in no page", id(i))
+				if !f.recordsCompleted(completionJob(i), firstTask) {
+					t.Fatalf("what had completed of %s is in no page", completionJob(i))
 				}
 			}
 		})
 		for i := first; i < jobs; i += 2 {
-			if !recorded(i, 5) {
-				t.Errorf("what has completed of %s since is in no page", id(i))
+			if !f.recordsCompleted(completionJob(i), laterTask) {
+				t.Errorf("what has completed of %s since is in no page", completionJob(i))
 			}
 		}
 	}
@@ -151,7 +174,7 @@
 		f.apply(storage.MachineGroupKey("large"), group)
 		f.recordsChanged()
 		held := map[string]*agent{}
-		for name, x := range f.reconciler.agents {
+		for name, x := range f.reconciler.agents.byName {
 			held[name] = x
 		}
 		entries := group.Machines
@@ -164,7 +187,7 @@
 		f.apply(storage.MachineGroupKey("large"), group)
 		f.recordsChanged()
 		for _, entry := range entries {
-			if x := f.reconciler.agents[entry.Name]; x == nil || x != held[entry.Name] || x.grantToken != grantToken {
+			if x := f.reconciler.agents.find(entry.Name); x == nil || x != held[entry.Name] || x.fence.granted != grantToken {
 				t.Errorf("%d machines: %s is held anew", machines, entry.Name)
 			}
 		}
--- a/internal/coordination/reconcile/page_batch.go
+++ b/internal/coordination/reconcile/page_batch.go
@@ -8,10 +8,9 @@
 
 	"rockrun/internal/coordination/kv"
 	"rockrun/internal/protocol"
-	"rockrun/internal/storage"
 )
 
-// batch is a transaction with the pages that it writes.
+// pageBatch is a transaction with the pages that it writes.
 type pageBatch struct {
 	transaction     protocol.Transaction
 	intentPages     []*intentPage
@@ -20,123 +19,123 @@
 
 func (b *pageBatch) states() []*pageState {
 	var states []*pageState
-	for _, p := range b.intentPages {
-		states = append(states, &p.pageState)
+	for _, page := range b.intentPages {
+		states = append(states, &page.pageState)
 	}
-	for _, p := range b.completionPages {
-		states = append(states, &p.pageState)
+	for _, page := range b.completionPages {
+		states = append(states, &page.pageState)
 	}
 	return states
 }
 
 // add puts one changed page into the transaction.
-func (b *pageBatch) add(key string, version uint64, op protocol.Operation) {
-	b.transaction.Conditions = append(b.transaction.Conditions, protocol.Condition{Key: key, Version: version})
-	b.transaction.Operations = append(b.transaction.Operations, op)
+func (b *pageBatch) add(version uint64, operation protocol.Operation) {
+	b.transaction.Conditions = append(b.transaction.Conditions, protocol.Condition{Key: operation.Put, Version: version})
+	b.transaction.Operations = append(b.transaction.Operations, operation)
 }
 
-// dueWrites collects the pages that are to be written now: completed tasks first.
-// There are never more than there are writes for: waiting for a few at once, this
-// would starve beside others that take one or two as they come.
-func (d *recordWriter) dueWrites(now time.Duration) *pageBatch {
-	h := d.reconciler
-	b := &pageBatch{}
-	b.transaction.Conditions = []protocol.Condition{{Key: storage.GrantKey(d.shard), Version: h.View.Grants[d.shard].Version}}
-	most := min(h.Committer.Limits().Operations, d.maxOperations, max(1, int(h.Committer.Budget.Level())))
-	for _, p := range d.completionPages {
-		if p.dirtyAt == 0 && h.View.HasStaleCompletions(p.id) {
-			p.dirtyAt = now
+// dueWrites collects the pages that are to be written now: completed tasks first. There are
+// never more than there are writes for: waiting for a few at once, this would starve beside
+// others that take one or two as they come.
+func (w *recordWriter) dueWrites(now time.Duration) *pageBatch {
+	batch := &pageBatch{}
+	batch.transaction.Conditions = []protocol.Condition{w.View.GrantCondition(w.shard)}
+	most := min(w.Committer.Limits().Operations, w.maxOperations, max(1, int(w.Committer.Budget.Level())))
+	for _, page := range w.completionPages {
+		if page.dirtyAt == 0 && w.View.HasStaleCompletions(page.id) {
+			page.touch(now)
 		}
-		if len(b.transaction.Operations) >= most || !p.idle(h) || !d.completionPageDue(p, now) || !d.completionPageWritable(p) {
+		full := len(batch.transaction.Operations) >= most
+		if full || !w.idle(&page.pageState) || !w.completionPageDue(page, now) || !w.completionPageWritable(page) {
 			continue
 		}
-		if op, any := d.completionPageOperation(p); any {
-			b.completionPages = append(b.completionPages, p)
-			b.add(storage.CompletionPageKey(p.id), h.View.CompletionPageVersion(p.id), op)
+		if operation, needed := w.completionPageOperation(page); needed {
+			batch.completionPages = append(batch.completionPages, page)
+			batch.add(w.View.CompletionPageVersion(page.id), operation)
 		}
 	}
-	due := d.duePages(now)
-	for _, p := range due[:min(len(due), max(most-len(b.transaction.Operations), 0))] {
-		b.intentPages = append(b.intentPages, p)
-		b.add(storage.IntentPageKey(p.id), h.View.IntentPageVersion(p.id), d.intentPageOperation(p))
+	due := w.dueIntentPages(now)
+	for _, page := range due[:min(len(due), max(most-len(batch.transaction.Operations), 0))] {
+		batch.intentPages = append(batch.intentPages, page)
+		batch.add(w.View.IntentPageVersion(page.id), w.intentPageOperation(page))
 	}
-	return b
+	return batch
 }
 
-// doneDue reports whether a page of completed tasks is to be written now. They stay on
-// their machines' lists until it is, where the next holder finds them, and a job that
-// is over needs no page of them: so while writes are short these wait longer. Where
+// completionPageDue reports whether a page of completed tasks is to be written now. They
+// stay on their machines' lists until it is, where the next holder finds them, and a job
+// that is over needs no page of them: so while writes are short these wait longer. Where
 // each page was written every second, they took as many writes as new tasks did.
-func (d *recordWriter) completionPageDue(p *completionPage, now time.Duration) bool {
-	if p.dirtyAt == 0 {
+func (w *recordWriter) completionPageDue(page *completionPage, now time.Duration) bool {
+	if page.dirtyAt == 0 {
 		return false
 	}
-	waited := now - p.dirtyAt
-	return waited > completionMaxDelay || waited > completionDelay && d.spareWrites()
+	waited := now - page.dirtyAt
+	return waited > completionMaxDelay || waited > completionDelay && w.spareWrites()
 }
 
 // spareWrites reports whether there are writes beyond those that new tasks need.
-func (d *recordWriter) spareWrites() bool {
-	budget := &d.reconciler.Committer.Budget
+func (w *recordWriter) spareWrites() bool {
+	budget := &w.Committer.Budget
 	return budget.Level() > budget.Rate()/2
 }
 
-// duePages lists the pages of intents that are to be written, those with most new
-// tasks first. Every drained machine makes a page due as well; written in turn, a few
-// dozen of those would keep new tasks waiting for seconds while machines stand idle.
-func (d *recordWriter) duePages(now time.Duration) []*intentPage {
+// dueIntentPages lists the pages of intents that are to be written, those with most new
+// tasks first. Every drained machine makes a page due as well; written in turn, a few dozen
+// of those would keep new tasks waiting for seconds while machines stand idle.
+func (w *recordWriter) dueIntentPages(now time.Duration) []*intentPage {
 	var due []*intentPage
-	for _, p := range d.intentPages {
-		if d.intentPageDue(p, now) && d.intentPageWritable(p) {
-			due = append(due, p)
+	for _, page := range w.intentPages {
+		if w.intentPageDue(page, now) && w.intentPageWritable(page) {
+			due = append(due, page)
 		}
 	}
 	slices.SortStableFunc(due, func(a, b *intentPage) int { return cmp.Compare(b.newAttempts, a.newAttempts) })
 	return due
 }
 
-// due reports whether a page of intents is to be written now.
-func (d *recordWriter) intentPageDue(p *intentPage, now time.Duration) bool {
-	h := d.reconciler
-	stale := p.dirtyAt > 0 && d.spareWrites() && now-p.dirtyAt > removalDelay
-	return p.idle(h) && (p.dirty || stale) && (len(p.attempts) > 0 || h.View.IntentPageVersion(p.id) != 0)
+// intentPageDue reports whether a page of intents is to be written now.
+func (w *recordWriter) intentPageDue(page *intentPage, now time.Duration) bool {
+	stale := page.dirtyAt > 0 && w.spareWrites() && now-page.dirtyAt > removalDelay
+	return w.idle(&page.pageState) && (page.dirty || stale) &&
+		(len(page.attempts) > 0 || w.View.IntentPageVersion(page.id) != 0)
 }
 
-// written takes in how a write ended.
-func (d *recordWriter) onWritten(b *pageBatch, revision uint64, err error) {
-	h := d.reconciler
-	if h.Generation.Ended() || h.writers[d.shard] != d {
+// onWritten takes in how a write ended.
+func (w *recordWriter) onWritten(batch *pageBatch, revision uint64, err error) {
+	if w.retired || w.Generation.Ended() {
 		return
 	}
-	for _, s := range b.states() {
-		s.writeInFlight = false
-		if err == nil {
-			s.writtenRevision = revision
-		} else {
-			s.dirty, s.dirtyAt, s.retryAt = true, max(1, h.now()-removalDelay), h.now()+h.Generation.Jitter(kv.RetryPause/2)
-		}
-	}
 	if err == nil {
-		d.maxOperations = min(d.maxOperations+1, maxOperationsPerWrite)
+		w.onBatchApplied(batch, revision)
 	} else {
-		h.Log.Debug("pages not written", "shard", d.shard, "err", err)
-		// Where all controllers together ask for more writes than there are, small
-		// transactions get through and large ones starve.
-		d.maxOperations = max(1, d.maxOperations/2)
-		for _, p := range b.intentPages {
-			p.newAttempts += p.newAttemptsSent
-			p.outcomeUnknown = p.outcomeUnknown || errors.Is(err, protocol.ErrOutcomeUnknown)
-		}
+		w.onBatchFailed(batch, err)
 	}
-	h.SchedulePass()
-	// A pass over a large fleet takes long, and what is to be written need not wait
-	// for the next.
-	h.Generation.Later(flushPause, d.flushSoon)
+	w.schedulePass()
+	// A pass over a large fleet takes long, and what is to be written need not wait for
+	// the next.
+	w.Generation.Later(flushPause, w.flushSoon)
 }
 
-// flushSoon writes what is due outside of a pass.
-func (d *recordWriter) flushSoon() {
-	if d.reconciler.writers[d.shard] == d && !d.reconciler.Generation.Ended() && d.reconciler.Leases.MayActFor(d.shard) {
-		d.flush()
+func (w *recordWriter) onBatchApplied(batch *pageBatch, revision uint64) {
+	for _, state := range batch.states() {
+		state.write.Written(revision)
+	}
+	w.maxOperations = min(w.maxOperations+1, maxOperationsPerWrite)
+}
+
+// onBatchFailed has the pages written again. Where all controllers together ask for more
+// writes than there are, small transactions get through and large ones starve.
+func (w *recordWriter) onBatchFailed(batch *pageBatch, err error) {
+	w.Log.Debug("pages not written", "shard", w.shard, "err", err)
+	now := w.now()
+	for _, state := range batch.states() {
+		state.write.Done(now + w.Generation.Jitter(kv.RetryPause/2))
+		state.dirty, state.dirtyAt = true, max(1, now-removalDelay)
+	}
+	w.maxOperations = max(1, w.maxOperations/2)
+	for _, page := range batch.intentPages {
+		page.newAttempts += page.newAttemptsSent
+		page.outcomeUnknown = page.outcomeUnknown || errors.Is(err, protocol.ErrOutcomeUnknown)
 	}
 }
--- a/internal/coordination/reconcile/pending_jobs.go
+++ b/internal/coordination/reconcile/pending_jobs.go
@@ -1,8 +1,6 @@
 package reconcile
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"rockrun/internal/coordination/placement"
@@ -10,45 +8,38 @@
 	"rockrun/internal/storage"
 )
 
-// sortedActiveJobs lists the jobs that are neither over nor cancelled, in the order in
-// which they could start.
-func (h *Reconciler) sortedActiveJobs() []*storage.Job {
-	if h.seenJobsAdded != h.View.JobsAdded {
-		h.seenJobsAdded = h.View.JobsAdded
-		h.activeJobs = h.activeJobs[:0]
-		h.View.Jobs.All(func(_ int, j *storage.Job) {
-			if j.Active() {
-				h.activeJobs = append(h.activeJobs, j)
-			}
-		})
-		slices.SortFunc(h.activeJobs, func(a, b *storage.Job) int {
-			return cmp.Or(cmp.Compare(a.ReadyAtMS(), b.ReadyAtMS()), cmp.Compare(a.ID, b.ID))
-		})
-	}
-	h.activeJobs = slices.DeleteFunc(h.activeJobs, func(j *storage.Job) bool { return !j.Active() })
-	return h.activeJobs
-}
-
 // pendingJobs lists the jobs of the job shards held that have tasks to place, in order.
-func (h *Reconciler) pendingJobs(now time.Duration) []placement.Candidate {
+func (r *Reconciler) pendingJobs(now time.Duration) []placement.Candidate {
 	var list []placement.Candidate
-	guarantees, wall := quota.NewGuarantees(h.View), h.Generation.Wall()
-	for _, j := range h.sortedActiveJobs() {
-		if !j.Runnable() || h.writers[j.Shard] == nil || !h.Leases.MayActFor(j.Shard) {
+	guarantees, wall := quota.NewGuarantees(r.View), r.Generation.Wall()
+	for _, job := range r.activeJobs.update(r.View) {
+		if !job.Runnable() || r.writers[job.Shard] == nil || !r.Leases.MayActFor(job.Shard) {
 			continue
 		}
-		p := h.progress(j)
-		remaining := j.Tasks - p.completedCount
-		p.withinGuarantee = guarantees.Claim(j, remaining)
-		if now < p.backoffUntil || h.nextOpenTask(j, p) < 0 {
+		progress := r.progressOf(job)
+		remaining := job.Tasks - progress.completedCount
+		progress.withinGuarantee = guarantees.Claim(job, remaining)
+		if now < progress.backoffUntil || r.nextOpenTask(job, progress) < 0 {
 			continue
 		}
-		progress := placement.Progress{Remaining: remaining, Begun: p.attempts > 0 || p.completedCount > 0}
-		candidate := placement.NewCandidate(j, h.View.EffectiveRank(j), progress, h.Objectives, wall)
-		candidate.WithinGuarantee = p.withinGuarantee
-		p.starved = p.starved || candidate.Starved
+		begun := progress.attempts > 0 || progress.completedCount > 0
+		rank := r.View.EffectiveRank(job)
+		candidate := placement.NewCandidate(job, rank, placement.Progress{Remaining: remaining, Begun: begun}, r.Objectives, wall)
+		candidate.WithinGuarantee = progress.withinGuarantee
+		progress.starved = progress.starved || candidate.Starved
 		list = append(list, candidate)
 	}
-	placement.Sort(list, h.placingPasses%placement.LongLateTurn == placement.LongLateTurn-1)
+	placement.Sort(list, r.placingPasses%placement.LongLateTurn == placement.LongLateTurn-1)
 	return list
 }
+
+// nextOpenTask returns the first task of a job that waits to be placed, or -1.
+func (r *Reconciler) nextOpenTask(job *storage.Job, progress *jobProgress) int {
+	for ; progress.nextTask < job.Tasks; progress.nextTask++ {
+		ref := storage.TaskRef{Job: job.Index, Task: progress.nextTask}
+		if !progress.completed.Has(progress.nextTask) && r.attemptsByTask[ref] == 0 {
+			return progress.nextTask
+		}
+	}
+	return -1
+}
--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -3,60 +3,53 @@
 import (
 	"context"
 	"log/slog"
-	"slices"
 	"time"
 
 	"rockrun/internal/coordination/election"
 	"rockrun/internal/coordination/placement"
 	"rockrun/internal/coordination/quota"
-	"rockrun/internal/protocol"
 	"rockrun/internal/storage"
 )
 
 // place gives waiting tasks to machines, and makes room for those that may
 // preempt others.
-func (h *Reconciler) place() {
-	now := h.now()
-	list := h.pendingJobs(now)
+func (r *Reconciler) place() {
+	now := r.now()
+	list := r.pendingJobs(now)
 	if len(list) == 0 {
 		return
 	}
-	p := &placer{reconciler: h, now: now}
-	config := placement.RoundConfig[*agent]{Fleet: p, Jobs: p, Teams: p, Actions: p, Wall: h.Generation.Wall()}
+	p := &placer{reconciler: r, now: now}
+	config := placement.RoundConfig[*agent]{Fleet: p, Jobs: p, Teams: p, Actions: p, Wall: r.Generation.Wall()}
 	if placement.NewRound(config).Run(list) {
-		h.placingPasses++
+		r.placingPasses++
 	}
 }
 
-// nextOpenTask returns the first task of a job that waits to be placed, or -1.
-func (h *Reconciler) nextOpenTask(j *storage.Job, p *jobProgress) int {
-	for ; p.nextTask < j.Tasks; p.nextTask++ {
-		if !p.completed.Has(p.nextTask) && h.attemptsByTask[storage.TaskRef{Job: j.Index, Task: p.nextTask}] == 0 {
-			return p.nextTask
-		}
-	}
-	return -1
-}
-
 // nextAttemptNumber returns an attempt number above every earlier one: the grant's token
 // in the high bits, a counter of this holder's in the low ones.
-func (h *Reconciler) nextAttemptNumber(x *agent) uint64 {
-	h.attemptCounter++
-	return election.DerivedNumber(h.View.Grants[x.shard].FencingToken, h.attemptCounter)
+func (r *Reconciler) nextAttemptNumber(agent *agent) uint64 {
+	r.attemptCounter++
+	return election.DerivedNumber(r.View.Grants[agent.shard].FencingToken, r.attemptCounter)
 }
 
+// silenceMargin is how much longer than two heartbeat intervals an agent may be silent that
+// takes new tasks.
+const silenceMargin = time.Second
+
 // schedulable reports whether a machine takes new tasks now. One that only answers
 // commands, while its own heartbeats reach nobody, does not: its lease runs out.
-func (h *Reconciler) schedulable(x *agent, now time.Duration) bool {
-	report := h.AgentSettings.HeartbeatInterval()
-	return h.Leases.MayActFor(x.shard) && x.fenceConfirmed && !x.suspect && x.machine.Phase == storage.PhaseActive && x.terminationAt == 0 &&
-		now >= x.quarantinedUntil && now-min(x.lastHeartbeatAt, x.lastAnsweredAt) < 2*report+time.Second
+func (r *Reconciler) schedulable(agent *agent, now time.Duration) bool {
+	silence := now - agent.contact.silentSince()
+	return r.Leases.MayActFor(agent.shard) && agent.fence.confirmed && !agent.reachability.suspect &&
+		agent.machine.Phase == storage.PhaseActive && agent.terminationAt == 0 && !agent.health.quarantined(now) &&
+		silence < 2*r.AgentSettings.HeartbeatInterval()+silenceMargin
 }
 
 // freeCapacity is what is left on a machine.
-func (h *Reconciler) freeCapacity(x *agent) placement.Resources {
-	t := &h.View.MachineTypes[x.machine.TypeIndex]
-	return placement.Resources{CPUs: t.CPUs - x.cpus, GPUs: t.GPUs - x.gpus, MemoryGB: t.MemoryGB - x.memory}
+func (r *Reconciler) freeCapacity(agent *agent) placement.Resources {
+	t := &r.View.MachineTypes[agent.machine.TypeIndex]
+	return placement.Resources{CPUs: t.CPUs - agent.load.cpus, GPUs: t.GPUs - agent.load.gpus, MemoryGB: t.MemoryGB - agent.load.memoryGB}
 }
 
 // placer tells a round of placement at one time what the reconciler knows, and carries
@@ -74,118 +67,106 @@
 )
 
 // Machines lists all agents, by their machines' names.
-func (p *placer) Machines() []*agent { return p.reconciler.sortedAgents }
+func (p *placer) Machines() []*agent { return p.reconciler.agents.sorted }
 
 // Free is what a machine has left.
-func (p *placer) Free(x *agent) placement.Resources { return p.reconciler.freeCapacity(x) }
+func (p *placer) Free(agent *agent) placement.Resources { return p.reconciler.freeCapacity(agent) }
 
 // Zone is the index of a machine's zone.
-func (p *placer) Zone(x *agent) int { return x.machine.ZoneIndex }
+func (p *placer) Zone(agent *agent) int { return agent.machine.ZoneIndex }
 
 // Eligible reports whether a job's task may ever be on a machine.
-func (p *placer) Eligible(x *agent, j *storage.Job) bool {
-	return x.shard == j.Shard && p.reconciler.View.Eligible(j, x.machine)
+func (p *placer) Eligible(agent *agent, job *storage.Job) bool {
+	return agent.shard == job.Shard && p.reconciler.View.Eligible(job, agent.machine)
 }
 
 // Schedulable reports whether a machine takes new tasks now.
-func (p *placer) Schedulable(x *agent) bool { return p.reconciler.schedulable(x, p.now) }
+func (p *placer) Schedulable(agent *agent) bool { return p.reconciler.schedulable(agent, p.now) }
 
 // Booting reports whether a machine is new and has not been heard of yet.
-func (p *placer) Booting(x *agent) bool {
-	return x.machine.Phase == storage.PhaseActive && x.sequence == 0 && len(x.machine.Intents) == 0
+func (p *placer) Booting(agent *agent) bool {
+	return agent.machine.Phase == storage.PhaseActive && agent.contact.sequence == 0 && len(agent.machine.Intents) == 0
 }
 
 // ListsTask reports whether a machine still lists an earlier attempt at a task that is
 // not reaped; a start of another attempt would be refused.
-func (p *placer) ListsTask(x *agent, j *storage.Job, task int) bool {
-	if len(x.unexpected) == 0 {
-		return false
-	}
-	name := protocol.TaskName(j.ID, task)
-	return slices.ContainsFunc(x.unexpected, func(t protocol.TaskStatus) bool { return t.Task == name })
+func (p *placer) ListsTask(agent *agent, job *storage.Job, task int) bool {
+	return agent.unexpected.lists(job, task)
 }
 
 // Describe says what weighs in the choice of a machine.
-func (p *placer) Describe(x *agent, j *storage.Job) placement.Machine {
-	_, cached := x.imageWantedAt[j.ImageIndex]
+func (p *placer) Describe(agent *agent, job *storage.Job) placement.Machine {
 	return placement.Machine{
-		Type:        &p.reconciler.View.MachineTypes[x.machine.TypeIndex],
-		Spot:        x.machine.Spot,
-		Slow:        x.slow(),
-		ImageCached: cached,
-		UsedCPUs:    x.cpus,
-		ServiceCPUs: x.serviceCPUs,
+		Type:        &p.reconciler.View.MachineTypes[agent.machine.TypeIndex],
+		Spot:        agent.machine.Spot,
+		Slow:        agent.health.slow(),
+		ImageCached: agent.hasImage(job),
+		UsedCPUs:    agent.load.cpus,
+		ServiceCPUs: agent.load.serviceCPUs,
 	}
 }
 
 // ServiceCPUs is what all replicas on all machines take.
-func (p *placer) ServiceCPUs() float64 { return p.reconciler.serviceCPUs }
+func (p *placer) ServiceCPUs() float64 { return p.reconciler.usage.serviceCPUs }
 
 // AppendRunning appends the attempts that may be on a machine to a list.
-func (p *placer) AppendRunning(list []placement.Running, x *agent) []placement.Running {
-	for _, a := range x.attempts {
-		if !a.live() {
+func (p *placer) AppendRunning(list []placement.Running, agent *agent) []placement.Running {
+	for _, attempt := range agent.attempts {
+		if !attempt.live() {
 			continue
 		}
 		list = append(list, placement.Running{
-			Job:             a.job,
-			Task:            a.task,
-			Number:          a.number,
-			Rank:            p.reconciler.View.EffectiveRank(a.job),
-			Age:             p.now - a.plannedAt,
-			Stopping:        a.stopRequested,
-			WithinGuarantee: a.progress.withinGuarantee,
-			Starved:         a.progress.starved,
+			Job:             attempt.job,
+			Task:            attempt.task,
+			Number:          attempt.number,
+			Rank:            p.reconciler.View.EffectiveRank(attempt.job),
+			Age:             p.now - attempt.plannedAt,
+			Stopping:        attempt.stop.requested,
+			WithinGuarantee: attempt.progress.withinGuarantee,
+			Starved:         attempt.progress.starved,
 		})
 	}
 	return list
 }
 
 // State is how far the tasks of a job have come.
-func (p *placer) State(j *storage.Job) placement.JobState {
-	progress := p.reconciler.progress(j)
+func (p *placer) State(job *storage.Job) placement.JobState {
+	progress := p.reconciler.progressOf(job)
 	return placement.JobState{
-		Remaining:      j.Tasks - progress.completedCount,
+		Remaining:      job.Tasks - progress.completedCount,
 		Attempts:       progress.attempts,
 		AttemptsByZone: progress.attemptsByZone,
 	}
 }
 
 // NextTask is the first task of a job that waits to be placed, or -1.
-func (p *placer) NextTask(j *storage.Job) int {
-	return p.reconciler.nextOpenTask(j, p.reconciler.progress(j))
+func (p *placer) NextTask(job *storage.Job) int {
+	return p.reconciler.nextOpenTask(job, p.reconciler.progressOf(job))
 }
 
 // WithinQuota reports whether one more task of a job keeps its shard's share of the
 // team's maximum. Everything that may be on a machine counts.
-func (p *placer) WithinQuota(j *storage.Job) bool {
+func (p *placer) WithinQuota(job *storage.Job) bool {
 	view := p.reconciler.View
-	used := p.reconciler.usageOf(j.Shard)[j.TeamIndex]
-	used.Add(j, 1)
-	return quota.ShardWithin(view, &view.Teams[j.TeamIndex], j.Shard, used)
+	used := p.reconciler.usage.ofShard(job.Shard)[job.TeamIndex]
+	used.Add(job, 1)
+	return quota.ShardWithin(view, &view.Teams[job.TeamIndex], job.Shard, used)
 }
 
 // RunsBelow reports whether any attempt is of a lower priority than rank.
-func (p *placer) RunsBelow(rank int) bool {
-	for lower := rank + 1; lower < maxRank; lower++ {
-		if p.reconciler.liveAttemptsByRank[lower] > 0 {
-			return true
-		}
-	}
-	return false
-}
+func (p *placer) RunsBelow(rank int) bool { return p.reconciler.usage.anyBelow(rank) }
 
 // BorrowsBeyond reports whether a job's team would use no less than its guarantee with
 // one task of the job less.
-func (p *placer) BorrowsBeyond(j *storage.Job) bool {
-	return p.reconciler.usageOf(j.Shard)[j.TeamIndex].CPUs-j.CPUs >= p.guaranteedCPUs(j.TeamIndex, j.Shard)
+func (p *placer) BorrowsBeyond(job *storage.Job) bool {
+	return p.reconciler.usage.ofShard(job.Shard)[job.TeamIndex].CPUs-job.CPUs >= p.guaranteedCPUs(job.TeamIndex, job.Shard)
 }
 
 // OthersBorrow reports whether any team but the job's uses more than its guarantee in the
 // job's shard.
-func (p *placer) OthersBorrow(j *storage.Job) bool {
-	for team, used := range p.reconciler.usageOf(j.Shard) {
-		if team != j.TeamIndex && used.CPUs > p.guaranteedCPUs(team, j.Shard) {
+func (p *placer) OthersBorrow(job *storage.Job) bool {
+	for team, used := range p.reconciler.usage.ofShard(job.Shard) {
+		if team != job.TeamIndex && used.CPUs > p.guaranteedCPUs(team, job.Shard) {
 			return true
 		}
 	}
@@ -199,35 +180,34 @@
 }
 
 // NextAttemptNumber is a number above that of every earlier attempt.
-func (p *placer) NextAttemptNumber(x *agent) uint64 { return p.reconciler.nextAttemptNumber(x) }
+func (p *placer) NextAttemptNumber(agent *agent) uint64 { return p.reconciler.nextAttemptNumber(agent) }
 
 // Place makes a new attempt at a task.
-func (p *placer) Place(j *storage.Job, task int, x *agent, number uint64) {
-	h := p.reconciler
-	a := &attempt{job: j, task: task, agent: x, plannedAt: p.now, number: number}
-	_, cached := x.imageWantedAt[j.ImageIndex]
-	h.addAttempt(a)
-	h.writers[x.shard].unassigned = append(h.writers[x.shard].unassigned, a)
-	if h.Log.Enabled(context.Background(), slog.LevelDebug) {
-		h.Log.Debug("place", "job", j.ID, "task", task, "machine", x.machine.Name, "cached", cached, "image", j.Image,
-			"waited_ms", h.Generation.Wall().UnixMilli()-j.ReadyAtMS())
+func (p *placer) Place(job *storage.Job, task int, agent *agent, number uint64) {
+	r := p.reconciler
+	cached := agent.hasImage(job)
+	a := &attempt{job: job, task: task, agent: agent, plannedAt: p.now, number: number}
+	r.addAttempt(a)
+	writer := r.writers[agent.shard]
+	writer.unassigned = append(writer.unassigned, a)
+	if r.Log.Enabled(context.Background(), slog.LevelDebug) {
+		r.Log.Debug("place", "machine", agent.machine.Name, "job", job.ID, "task", task, "attempt", number, "cached", cached,
+			"image", job.Image, "waited_ms", r.Generation.Wall().UnixMilli()-job.ReadyAtMS())
 	}
 }
 
 // Unplace drops an attempt that has just been placed.
-func (p *placer) Unplace(j *storage.Job, task int, x *agent) {
-	p.reconciler.removeAttempt(x.attempts[storage.TaskRef{Job: j.Index, Task: task}])
+func (p *placer) Unplace(job *storage.Job, task int, agent *agent) {
+	p.reconciler.removeAttempt(agent.attempts[storage.TaskRef{Job: job.Index, Task: task}])
 }
 
 // Preempt asks for the stop of attempts on a machine; those that can save their progress
 // get the time for it.
-func (p *placer) Preempt(x *agent, victims []placement.Running, waiting *storage.Job) {
+func (p *placer) Preempt(agent *agent, victims []placement.Running, waiting *storage.Job) {
 	for _, victim := range victims {
-		a := x.attempts[storage.TaskRef{Job: victim.Job.Index, Task: victim.Task}]
-		a.stopRequested, a.stopSentAt, x.needsAttention = true, 0, true
-		if a.job.CheckpointSeconds > 0 {
-			a.graceSeconds = a.job.SaveSeconds
-		}
-		p.reconciler.Log.Info("preempt", "job", a.job.ID, "task", a.task, "machine", x.machine.Name, "for", waiting.ID)
+		agent.needsAttention = true
+		a := agent.attempts[storage.TaskRef{Job: victim.Job.Index, Task: victim.Task}]
+		a.stop.request(a.saveGrace())
+		p.reconciler.Log.Info("preempt", "machine", agent.machine.Name, "job", a.job.ID, "task", a.task, "attempt", a.number, "for", waiting.ID)
 	}
 }
--- a/internal/coordination/reconcile/record_writer_test.go
+++ b/internal/coordination/reconcile/record_writer_test.go
@@ -11,38 +11,48 @@
 	"rockrun/internal/storage"
 )
 
-// TestPageSizeIsBounded: what a page of intents is taken to hold is never less than
-// what its value takes, however attempts come and go: a value over the limit would be
-// refused again and again, and none of its tasks could ever start.
+// TestPageSizeIsBounded: what a page of intents is taken to hold is never less than what
+// its value takes, however attempts come and go: a value over the limit would be refused
+// again and again, and none of its tasks could ever start.
 func TestPageSizeIsBounded(t *testing.T) {
 	for seed := range uint64(2) {
 		f := newFleetFixture(t, mediumFleet)
 		random := rand.New(rand.NewPCG(seed, 3))
-		for i := range 40 {
-			id := fmt.Sprintf("run-%d", 700_000_000+random.IntN(1_000_000)*(i+1))
-			f.apply(storage.JobKey(id), storage.JobRecord{Spec: protocol.JobSpec{
-				ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2000, CPUs: 0.333333 * float64(1+i%3), MemoryGB: 0.1, Spot: true, EstimateSeconds: 15,
-			}})
-		}
-		f.recordsChanged()
+		f.addRandomJobs(random, 40)
 		w := f.reconciler.writers[0]
 		for range 12 {
-			f.now += 200_000_000
+			f.now += 200 * time.Millisecond
 			f.refreshKnowledge()
 			f.reconciler.place()
 			w.assign()
-			for _, p := range w.intentPages {
-				size := len(w.intentPageOperation(p).Value)
-				if size > p.bytes+2 || size > w.pageCapacity() {
-					t.Fatalf("seed %d: a page of %d bytes is taken for %d, at most %d", seed, size, p.bytes, w.pageCapacity())
+			for _, page := range w.intentPages {
+				size := len(w.intentPageOperation(page).Value)
+				if size > page.bytes+2 || size > w.pageCapacity() {
+					t.Fatalf("seed %d: a page of %d bytes is taken for %d, at most %d", seed, size, page.bytes, w.pageCapacity())
 				}
 			}
-			for _, x := range f.reconciler.sortedAgents {
-				for _, ref := range storage.SortedTasks(x.attempts) {
-					if random.IntN(4) == 0 {
-						f.reconciler.end(x.attempts[ref], "stopped")
-					}
-				}
+			f.endQuarter(random)
+		}
+	}
+}
+
+// addRandomJobs adds jobs of small tasks, with identifiers of different lengths.
+func (f *fixture) addRandomJobs(random *rand.Rand, jobs int) {
+	for i := range jobs {
+		id := fmt.Sprintf("run-%d", 700_000_000+random.IntN(1_000_000)*(i+1))
+		f.apply(storage.JobKey(id), storage.JobRecord{Spec: protocol.JobSpec{
+			ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2000, CPUs: 0.333333 * float64(1+i%3), MemoryGB: 0.1, Spot: true, EstimateSeconds: 15,
+		}})
+	}
+	f.recordsChanged()
+}
+
+// endQuarter ends one attempt in four.
+func (f *fixture) endQuarter(random *rand.Rand) {
+	for _, agent := range f.reconciler.agents.sorted {
+		for _, ref := range storage.SortedTasks(agent.attempts) {
+			if random.IntN(4) == 0 {
+				f.reconciler.end(agent.attempts[ref], "stopped")
 			}
 		}
 	}
@@ -54,7 +64,7 @@
 // at a time the whole fleet stayed rented (repechage-next, simulated).
 func TestDrainedMachineLosesItsNames(t *testing.T) {
 	f := newFleetFixture(t, mediumFleet)
-	x := f.reconciler.agents[fleetMachineName(17)]
+	x := f.reconciler.agents.find(fleetMachineName(17))
 	f.reconciler.end(x.attempts[storage.SortedTasks(x.attempts)[0]], "stopped")
 	x.machine.Phase = storage.PhaseDraining
 	for range 20 {
@@ -80,7 +90,7 @@
 	f := newFleetFixture(t, mediumFleet)
 	w := f.reconciler.writers[0]
 	leave := func(machine int, phase storage.MachinePhase) {
-		x := f.reconciler.agents[fleetMachineName(machine)]
+		x := f.reconciler.agents.find(fleetMachineName(machine))
 		x.machine.Phase = phase
 		for _, ref := range storage.SortedTasks(x.attempts) {
 			f.reconciler.end(x.attempts[ref], "stopped")
@@ -125,7 +135,7 @@
 	const starting = 2000
 	f := newFleetFixture(t, largeFleet)
 	for i := range starting {
-		x := f.reconciler.agents[fleetMachineName(i)]
+		x := f.reconciler.agents.find(fleetMachineName(i))
 		f.reconciler.end(x.attempts[storage.SortedTasks(x.attempts)[0]], "stopped")
 	}
 	f.apply(storage.JobKey("run-900000"), storage.JobRecord{Spec: protocol.JobSpec{
