--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,3 @@
-// Package config reads the two files a controller is given: the platform's
-// settings (TOML) and, if there is one, the operators' options (HCL).
 package config
 
 import (
@@ -7,7 +5,6 @@
 	"fmt"
 	"os"
 	"strings"
-	"time"
 
 	"github.com/pelletier/go-toml/v2"
 )
@@ -17,21 +14,21 @@
 type Settings struct {
 	Controller string   `toml:"node_name"`
 	Zone       string   `toml:"area"`
-	PublicAddr string   `toml:"public_addr"`
-	PeerAddr   string   `toml:"peer_bind"`
+	PublicAddr string   `toml:"public_addr"` // for users, operators and agents
+	PeerAddr   string   `toml:"peer_bind"`   // for the other controllers
 	Peers      []Peer   `toml:"siblings"`
 	External   External `toml:"external"`
 	Cluster    Cluster  `toml:"cluster"`
 }
 
-// Sibling is another controller.
+// Peer is another controller.
 type Peer struct {
 	Controller string `toml:"node_name"`
 	Zone       string `toml:"area"`
 	Address    string `toml:"address"`
 }
 
-// External names the services the controllers depend on.
+// External has the addresses of the services that the controllers depend on.
 type External struct {
 	Cloud   string `toml:"cloud"`
 	KVStore string `toml:"state"`
@@ -39,9 +36,9 @@
 
 // Cluster is what all controllers share.
 type Cluster struct {
-	Size          int           `toml:"initial_size"`
+	Size          int           `toml:"initial_size"` // controllers when the cluster starts
 	Zones         []string      `toml:"zones"`
-	ClockOffMS    float64       `toml:"clock_off_ms"`
+	ClockOffMS    float64       `toml:"clock_off_ms"` // bound of what the wall clock differs from true time
 	Teams         []Team        `toml:"teams"`
 	Objectives    []Objective   `toml:"objectives"`
 	Agents        Agents        `toml:"workers"`
@@ -50,7 +47,7 @@
 	ProcessLimits ProcessLimits `toml:"limits"`
 }
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team is a team with its quota; an amount of 0 is none.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
@@ -59,66 +56,59 @@
 	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
-// Objective is one aim on starting or finishing work.
-type Objective struct {
-	Kind           string  `toml:"kind"`
-	Class          string  `toml:"class"`
-	WithinSeconds  float64 `toml:"within_s"`
-	DeadlineFactor float64 `toml:"times"`
-	Share          float64 `toml:"share"`
-}
+// ObjectiveKind is what an objective promises. Kinds without a constant are not acted on.
+type ObjectiveKind string
+
+// Kinds of objectives that order jobs.
+const (
+	ObjectiveFinished ObjectiveKind = "finished" // done WithinSeconds of submission; for jobs without a deadline
+	ObjectiveDeadline ObjectiveKind = "deadline" // done within DeadlineFactor times the job's deadline
+)
 
-// Workers are the workers' times.
-type Agents struct {
-	HeartbeatSeconds float64 `toml:"report_s"`
-	LeaseSeconds     float64 `toml:"lease_s"`
-	CancelSeconds    float64 `toml:"cancel_s"`
+// Objective is a service-level objective: what operators promise for a class of jobs.
+type Objective struct {
+	Kind           ObjectiveKind `toml:"kind"`
+	Class          string        `toml:"class"`
+	WithinSeconds  float64       `toml:"within_s"`
+	DeadlineFactor float64       `toml:"times"`
+	Share          float64       `toml:"share"` // of the jobs that are to meet it
 }
 
-// Cloud is what the cloud allows.
+// Cloud is what the cloud allows and promises.
 type Cloud struct {
 	RequestsPerSecond float64 `toml:"rps"`
-	ListLagSeconds    float64 `toml:"list_lag_s"`
+	ListLagSeconds    float64 `toml:"list_lag_s"` // how old its list of machines usually is; sometimes twice that
 }
 
-// Limits are the machine's.
+// ProcessLimits are what the host gives the controller's process; 0 is no limit.
 type ProcessLimits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"mem_mb"`
 	Sockets  int     `toml:"fd_limit"`
 }
 
-// Lease is the workers' lease.
-func (w Agents) Lease() time.Duration { return seconds(w.LeaseSeconds) }
-
-// Report is the time between a worker's reports.
-func (w Agents) HeartbeatInterval() time.Duration { return seconds(w.HeartbeatSeconds) }
-
-// Cancel is the time in which all tasks of a cancelled job must be gone.
-func (w Agents) CancelTimeout() time.Duration { return seconds(w.CancelSeconds) }
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// LoadSettings reads and checks the platform's settings.
+// LoadSettings reads and checks the platform's settings. Its error names the file, and
+// otherwise is that of ParseSettings.
 func LoadSettings(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s, err := ParseSettings(data)
+	settings, err := ParseSettings(data)
 	if err != nil {
 		return nil, fmt.Errorf("settings %s: %w", path, err)
 	}
-	return s, nil
+	return settings, nil
 }
 
-// ParseSettings reads and checks settings. Every fault found is in the error.
+// ParseSettings reads and checks settings. The error is the decoder's, with line and
+// field, or all faults found, each a FieldError.
 func ParseSettings(data []byte) (*Settings, error) {
-	var s Settings
-	if err := toml.Unmarshal(data, &s); err != nil {
+	var settings Settings
+	if err := toml.Unmarshal(data, &settings); err != nil {
 		return nil, nameField(err)
 	}
-	return &s, s.check()
+	return &settings, settings.check()
 }
 
 // nameField puts the field and the line before a decoder's error, which names the
@@ -133,63 +123,45 @@
 }
 
 func (s *Settings) check() error {
-	var found faults
-	s.checkNode(&found)
+	var found fieldErrors
+	s.checkAddresses(&found)
 	s.checkTeams(&found)
-	workers := s.Cluster.Agents
-	found.positive("cluster.workers.report_s", workers.HeartbeatSeconds)
-	found.positive("cluster.workers.lease_s", workers.LeaseSeconds)
-	found.positive("cluster.workers.cancel_s", workers.CancelSeconds)
-	if workers.CancelSeconds > 0 && workers.CancelSeconds <= workers.LeaseSeconds {
-		found.add("cluster.workers.cancel_s", "must exceed lease_s")
-	}
+	s.Cluster.Agents.check(&found)
 	s.Cluster.KVStore.check(&found)
-	found.positive("cluster.cloud.rps", s.Cluster.Cloud.RequestsPerSecond)
+	found.requirePositive("cluster.cloud.rps", s.Cluster.Cloud.RequestsPerSecond)
 	if s.Cluster.ProcessLimits.MemoryMB < 0 || s.Cluster.ProcessLimits.Sockets < 0 {
-		found.add("cluster.limits", "below 0")
+		found.add("cluster.limits", problemNegative)
 	}
 	return errors.Join(found...)
 }
 
-// checkNode checks this controller's own addresses and the other controllers.
-func (s *Settings) checkNode(found *faults) {
+// checkAddresses checks this controller's name, all addresses and the other controllers.
+func (s *Settings) checkAddresses(found *fieldErrors) {
 	if s.Controller == "" {
-		found.add("node_name", missing)
+		found.add("node_name", problemMissing)
 	}
-	found.address("public_addr", s.PublicAddr)
-	found.address("peer_bind", s.PeerAddr)
-	found.address("external.cloud", s.External.Cloud)
-	found.address("external.state", s.External.KVStore)
+	found.requireAddress("public_addr", s.PublicAddr)
+	found.requireAddress("peer_bind", s.PeerAddr)
+	found.requireAddress("external.cloud", s.External.Cloud)
+	found.requireAddress("external.state", s.External.KVStore)
 	seen := map[string]bool{s.Controller: true}
-	for i, p := range s.Peers {
+	for i, peer := range s.Peers {
 		field := fmt.Sprintf("siblings[%d].", i)
-		found.unique(field+"node_name", p.Controller, seen)
-		found.address(field+"address", p.Address)
+		found.requireUnique(field+"node_name", peer.Controller, seen)
+		found.requireAddress(field+"address", peer.Address)
 	}
 }
 
-func (s *Settings) checkTeams(found *faults) {
+func (s *Settings) checkTeams(found *fieldErrors) {
 	if len(s.Cluster.Teams) == 0 {
-		found.add("cluster.teams", missing)
+		found.add("cluster.teams", problemMissing)
 	}
 	seen := map[string]bool{}
-	for i, t := range s.Cluster.Teams {
+	for i, team := range s.Cluster.Teams {
 		field := fmt.Sprintf("cluster.teams[%d].", i)
-		found.unique(field+"name", t.Name, seen)
-		if t.GuaranteedCPUs < 0 || t.MaxCPUs < 0 || t.GuaranteedGPUs < 0 || t.MaxGPUs < 0 {
-			found.add(field+"cpus", "below 0")
+		found.requireUnique(field+"name", team.Name, seen)
+		if team.GuaranteedCPUs < 0 || team.MaxCPUs < 0 || team.GuaranteedGPUs < 0 || team.MaxGPUs < 0 {
+			found.add(field+"cpus", problemNegative)
 		}
 	}
 }
-
-// Margin is what the time budgets of leases leave at most for answers on their
-// way (a worker drops answers after 4 s) and for slow processes.
-const LeaseMargin = 5 * time.Second
-
-// Authority is how old a holder's knowledge of cancellations may be while it
-// still renews workers' leases: a cancellation it has not heard of must reach
-// the end of the worker's lease within the time for cancelling.
-func (w Agents) MaxStaleness() time.Duration {
-	spare := w.CancelTimeout() - w.Lease()
-	return min(spare-min(LeaseMargin, spare/4)-w.Lease()/1000, w.Lease())
-}
--- a/internal/config/state.go
+++ b/internal/config/store_limits.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// State is what the state service allows all controllers together.
+// KVStore is what the key-value store allows all controllers together.
 type KVStore struct {
 	RequestsPerSecond     float64          `toml:"rps"`
 	WritesPerSecond       float64          `toml:"write_rps"`
@@ -11,8 +11,8 @@
 	Announced             *AnnouncedLimits `toml:"next"`
 }
 
-// Next is what the state service will allow from some later moment that nobody
-// announces. What it doesn't name stays as it is.
+// AnnouncedLimits are what the key-value store will allow from some later moment that
+// nobody announces. What they don't name stays as it is.
 type AnnouncedLimits struct {
 	RequestsPerSecond     *float64 `toml:"rps"`
 	WritesPerSecond       *float64 `toml:"write_rps"`
@@ -20,7 +20,7 @@
 	TransactionOperations *int     `toml:"txn_ops"`
 }
 
-// StateLimits are the limits that requests to the state service keep to.
+// StoreLimits are the limits that requests to the key-value store keep to.
 type StoreLimits struct {
 	RequestRate float64 // requests a second of all controllers together
 	WriteRate   float64 // puts and removals a second of all controllers together
@@ -29,6 +29,17 @@
 	Conditions  int     // conditions in a transaction
 }
 
+// ConditionsPerOperation is how many conditions a transaction may have for each operation
+// that it may have.
+const ConditionsPerOperation = 4
+
+// MinOperations is how many operations a transaction must allow: a job's end takes two, an
+// election two, a machine group that is split three.
+const MinOperations = 3
+
+// highestLimit keeps sums of limits within their types.
+const highestLimit = 1e9
+
 // Limits are the limits in force: the lower ones of today's and those to come. The
 // change comes without notice and a larger value is refused from then on, so every
 // value written has to fit before.
@@ -48,42 +59,34 @@
 	}
 }
 
-// ConditionsPerChange is how many conditions a transaction may have for each change.
-const ConditionsPerOperation = 4
-
-// LeastChanges is how many changes a transaction must allow: a job's end takes two, an
-// election two, a block that is split three.
-const MinOperations = 3
-
-// highestLimit keeps sums of limits within their types.
-const highestLimit = 1e9
-
-func lower[T int | float64](now T, next *T) T {
-	if next == nil {
-		return now
+// lower is the lower one of a limit and the one announced for it, if there is one.
+func lower[T int | float64](today T, announced *T) T {
+	if announced == nil {
+		return today
 	}
-	return min(now, *next)
+	return min(today, *announced)
 }
 
 // check names the limits that are missing or impossible.
-func (s KVStore) check(found *faults) {
-	checkLimits(found, "cluster.state.", AnnouncedLimits{&s.RequestsPerSecond, &s.WritesPerSecond, &s.ValueKiB, &s.TransactionOperations})
+func (s KVStore) check(found *fieldErrors) {
+	today := AnnouncedLimits{&s.RequestsPerSecond, &s.WritesPerSecond, &s.ValueKiB, &s.TransactionOperations}
+	today.check(found, "cluster.state.")
 	if s.Announced != nil {
-		checkLimits(found, "cluster.state.next.", *s.Announced)
+		s.Announced.check(found, "cluster.state.next.")
 	}
 }
 
-// checkLimits checks the limits that are given; nil ones are not.
-func checkLimits(found *faults, prefix string, limits AnnouncedLimits) {
+// check checks the limits that are given; nil ones are not.
+func (l *AnnouncedLimits) check(found *fieldErrors, prefix string) {
 	for _, limit := range []struct {
 		field string
 		value *float64
-	}{{"rps", limits.RequestsPerSecond}, {"write_rps", limits.WritesPerSecond}, {"value_kb", limits.ValueKiB}} {
+	}{{"rps", l.RequestsPerSecond}, {"write_rps", l.WritesPerSecond}, {"value_kb", l.ValueKiB}} {
 		if limit.value != nil && !(*limit.value > 0 && *limit.value <= highestLimit) {
-			found.add(prefix+limit.field, notPositive)
+			found.add(prefix+limit.field, problemNotPositive)
 		}
 	}
-	if ops := limits.TransactionOperations; ops != nil && (*ops < MinOperations || *ops > highestLimit) {
+	if operations := l.TransactionOperations; operations != nil && (*operations < MinOperations || *operations > highestLimit) {
 		found.add(prefix+"txn_ops", fmt.Sprintf("missing or below %d", MinOperations))
 	}
 }
--- a/internal/coordination/placement/order.go
+++ b/internal/coordination/placement/order.go
@@ -19,12 +19,6 @@
 // long goes first once.
 const LongLateTurn = 3
 
-// Kinds of service-level objectives that give a job a time limit, as in the settings.
-const (
-	objectiveFinished = "finished" // done within a time of its submission
-	objectiveDeadline = "deadline" // done within a multiple of its own deadline
-)
-
 // minWeightCPUs keeps jobs that take next to no CPU from weighing nothing.
 const minWeightCPUs = 0.1
 
@@ -76,9 +70,9 @@
 	for _, o := range objectives {
 		switch {
 		case o.Class != j.Class:
-		case o.Kind == objectiveFinished && j.DeadlineSeconds == 0:
+		case o.Kind == config.ObjectiveFinished && j.DeadlineSeconds == 0:
 			limitSeconds = o.WithinSeconds
-		case o.Kind == objectiveDeadline && j.DeadlineSeconds > 0:
+		case o.Kind == config.ObjectiveDeadline && j.DeadlineSeconds > 0:
 			limitSeconds = max(limitSeconds, j.DeadlineSeconds*o.DeadlineFactor)
 		}
 	}
