--- a/internal/coordination/quota/quota_test.go
+++ b/internal/coordination/quota/quota_test.go
@@ -199,16 +199,20 @@
 // TestOnlyRunnableJobsWait: a job that waits for another has no part of a quota; once the
 // other is done it waits for one.
 func TestOnlyRunnableJobsWait(t *testing.T) {
-	l := newTestLeader(storage.Team{Name: "red", MaxCPUs: 8})
-	l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
-	l.put(storage.JobKey("run-20"), storage.JobRecord{Spec: protocol.JobSpec{
-		ID: "run-20", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2, CPUs: 2, Dependencies: []string{"run-7"},
-	}})
-	if d := Demands(l.replica.View)[0][0]; d != (Demand{}) {
-		t.Errorf("while it waits: %+v", d)
-	}
-	l.replica.View.SetOutcome("run-7", storage.FinalRecord{Stage: protocol.StageDone})
-	if d := Demands(l.replica.View)[0][0]; d != (Demand{Waiting: half}) {
-		t.Errorf("released: %+v", d)
+	for _, c := range []struct{ name, kind string }{{"array", protocol.KindArray}, {"service", protocol.KindService}} {
+		t.Run(c.name, func(t *testing.T) {
+			l := newTestLeader(storage.Team{Name: "red", MaxCPUs: 8})
+			l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
+			l.put(storage.JobKey("run-20"), storage.JobRecord{Spec: protocol.JobSpec{
+				ID: "run-20", Team: "red", Kind: c.kind, Priority: "normal", Tasks: 2, CPUs: 2, Dependencies: []string{"run-7"},
+			}})
+			if d := Demands(l.replica.View)[0][0]; d != (Demand{}) {
+				t.Errorf("while it waits: %+v", d)
+			}
+			l.replica.View.SetOutcome("run-7", storage.FinalRecord{Stage: protocol.StageDone})
+			if d := Demands(l.replica.View)[0][0]; d != (Demand{Waiting: half}) {
+				t.Errorf("released: %+v", d)
+			}
+		})
 	}
 }
