--- a/internal/coordination/provisioning/claims_test.go
+++ b/internal/coordination/provisioning/claims_test.go
@@ -154,3 +154,31 @@
 		last = urgency
 	}
 }
+
+// TestClaimedDrainsAreHurried: what is on a claimed machine is stopped once replicas wait for
+// it, under the drain's stamp of before, and that is written once.
+func TestClaimedDrainsAreHurried(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		entry storage.MachineEntry
+		spare bool
+		want  bool
+	}{
+		{"replicas wait", storage.MachineEntry{}, false, true},
+		{"the room is for those to come", storage.MachineEntry{}, true, false},
+		{"it was written", storage.MachineEntry{Evict: true}, false, false},
+	} {
+		f := newClaimFixture(t)
+		c.entry.Name, c.entry.Phase, c.entry.DrainStamp = "m-1", storage.PhaseDraining, 7
+		f.putGroup("b", c.entry)
+		_, service := f.replica.View.Jobs.Find("svc-1")
+		claims := f.provisioner.claims
+		claims.byMachine["m-1"] = service.Shard
+		unmet := autoscaler.Unmet{{Job: service, Shard: service.Shard, Count: 1, Spare: c.spare}}
+		claims.update(f.provisioner.fleet().Supplies(), unmet, func(autoscaler.Pool) bool { return true })
+		changes := f.provisioner.writer.changes["b"]
+		if hurried := len(changes) == 1 && changes[0].evict && changes[0].drainStamp == 7; hurried != c.want || len(changes) > 1 {
+			t.Errorf("%s: changes %+v", c.name, changes)
+		}
+	}
+}
