--- /dev/null
+++ b/internal/coordination/reconcile/agent_table.go
@@ -0,0 +1,30 @@
+package reconcile
+
+import (
+	"cmp"
+	"slices"
+)
+
+// agentTable is the agents of the machines held.
+type agentTable struct {
+	byName map[string]*agent
+	sorted []*agent // the same, by machine name
+}
+
+// find returns the agent of a machine, or nil.
+func (t *agentTable) find(machine string) *agent { return t.byName[machine] }
+
+// contains reports whether an agent is still held, and not another in its stead.
+func (t *agentTable) contains(a *agent) bool { return t.byName[a.machine.Name] == a }
+
+func (t *agentTable) insert(a *agent) {
+	name := a.machine.Name
+	t.byName[name] = a
+	i, _ := slices.BinarySearchFunc(t.sorted, name, func(other *agent, name string) int { return cmp.Compare(other.machine.Name, name) })
+	t.sorted = slices.Insert(t.sorted, i, a)
+}
+
+func (t *agentTable) remove(a *agent) {
+	delete(t.byName, a.machine.Name)
+	t.sorted = slices.DeleteFunc(t.sorted, func(other *agent) bool { return other == a })
+}
--- a/internal/coordination/reconcile/bench_test.go
+++ b/internal/coordination/reconcile/bench_test.go
@@ -83,10 +83,10 @@
 // BenchmarkPageWritten is the value of a page of intents, made to be written.
 func BenchmarkPageWritten(b *testing.B) {
 	f := newFleetFixture(b, mediumFleet)
-	w := f.reconciler.writers[0]
+	writer := f.reconciler.writers[0]
 	b.ReportAllocs()
 	for b.Loop() {
-		if op := w.intentPageOperation(w.intentPages[0]); len(op.Value) == 0 {
+		if op := writer.intentPageOperation(writer.intentPages[0]); len(op.Value) == 0 {
 			b.Fatal("an empty value")
 		}
 	}
--- a/internal/coordination/reconcile/commands_test.go
+++ b/internal/coordination/reconcile/commands_test.go
@@ -13,26 +13,26 @@
 	f := newFixture(t)
 	f.heartbeat(1, grantToken)
 	f.reconciler.pass()
-	x := f.agent()
+	agent := f.agent()
 	if f.liveAttempts() != 1 {
 		t.Fatalf("%d attempts are planned", f.liveAttempts())
 	}
 	var number uint64
-	for _, a := range x.attempts {
+	for _, a := range agent.attempts {
 		number = a.number
 	}
-	if commands := f.commandsFor(x.contact.sequence+1, x.fence.current); len(commands) != 0 {
+	if commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current); len(commands) != 0 {
 		t.Fatalf("commands before the intent is durable: %v", commands)
 	}
 	f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {storage.IntentEntry(0, "m-1", number)}})
-	commands := f.commandsFor(x.contact.sequence+1, x.fence.current)
+	commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current)
 	if len(commands) != 1 || commands[0].Verb != protocol.VerbStart {
 		t.Fatalf("commands once it is: %v", commands)
 	}
-	startToken := x.fence.highestStart
+	startToken := agent.fence.highestStart
 	ended := protocol.TaskStatus{Task: "run-1/0", Attempt: number, State: protocol.TaskEnded, Cause: protocol.CauseDone}
 	for range 2 {
-		for _, c := range f.commandsFor(x.contact.sequence+1, x.fence.current, ended) {
+		for _, c := range f.commandsFor(agent.contact.sequence+1, agent.fence.current, ended) {
 			if c.Verb == protocol.VerbReap {
 				t.Fatal("reaped before its completion is durable")
 			}
@@ -42,12 +42,12 @@
 	f.apply(storage.CompletionPageKey(firstPage), storage.CompletionPage{storage.CompletionChunkName("run-1", 0): {1}})
 	f.reconciler.pass()
 	// It waits for company for a while, and then goes by itself.
-	if commands := f.commandsFor(x.contact.sequence+1, x.fence.current, ended); len(commands) != 0 {
+	if commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current, ended); len(commands) != 0 {
 		t.Fatalf("commands as soon as it is durable: %v", commands)
 	}
 	f.now += reapAfter
 	f.refreshKnowledge()
-	answer, err := f.heartbeat(x.contact.sequence+1, x.fence.current, ended)
+	answer, err := f.heartbeat(agent.contact.sequence+1, agent.fence.current, ended)
 	if err != nil || len(answer.Commands) == 0 || answer.Commands[0].Verb != protocol.VerbReap {
 		t.Fatalf("commands after it is durable: %v, %v", answer.Commands, err)
 	}
--- a/internal/coordination/reconcile/oversized_pages_test.go
+++ b/internal/coordination/reconcile/oversized_pages_test.go
@@ -16,17 +16,17 @@
 // flushFor lets the writer of the job shard write for so long, as passes do.
 func (f *fixture) flushFor(seconds int, each func()) {
 	f.t.Helper()
-	w := f.reconciler.writers[0]
+	writer := f.reconciler.writers[0]
 	for range 5 * seconds {
 		f.now += 200 * time.Millisecond
 		f.refreshKnowledge()
-		w.flush()
+		writer.flush()
 		f.applyTransactions()
-		for _, p := range w.intentPages {
-			p.write.Finish()
+		for _, page := range writer.intentPages {
+			page.write.Finish()
 		}
-		for _, p := range w.completionPages {
-			p.write.Finish()
+		for _, page := range writer.completionPages {
+			page.write.Finish()
 		}
 		each()
 	}
@@ -40,8 +40,8 @@
 func TestOversizedPagesAreEmptied(t *testing.T) {
 	f := newFleetFixture(t, mediumFleet)
 	f.limitStore(512, 4, math.MaxInt)
-	w := f.reconciler.writers[0]
-	before := w.oversizedValues()
+	writer := f.reconciler.writers[0]
+	before := writer.oversizedValues()
 	if before < 30 {
 		t.Fatalf("%d pages are over the limit", before)
 	}
@@ -52,20 +52,20 @@
 	f.reconciler.end(other.attempts[storage.SortedTasks(other.attempts)[0]], "stopped")
 	f.flushFor(10, func() {
 		t.Helper()
-		for _, x := range f.reconciler.agents.sorted {
-			for ref, a := range x.attempts {
-				if x.machine.Intents[ref].Attempt != a.number {
-					t.Fatalf("no page names the task on %s", x.machine.Name)
+		for _, agent := range f.reconciler.agents.sorted {
+			for ref, a := range agent.attempts {
+				if agent.machine.Intents[ref].Attempt != a.number {
+					t.Fatalf("no page names the task on %s", agent.machine.Name)
 				}
 			}
 		}
 	})
-	for _, x := range []*agent{lost, other} {
-		if len(x.machine.Intents) > 0 {
-			t.Errorf("%s is still named", x.machine.Name)
+	for _, agent := range []*agent{lost, other} {
+		if len(agent.machine.Intents) > 0 {
+			t.Errorf("%s is still named", agent.machine.Name)
 		}
 	}
-	if left := w.oversizedValues(); left != before-2 {
+	if left := writer.oversizedValues(); left != before-2 {
 		t.Errorf("%d pages are over the limit, of %d before", left, before)
 	}
 }
@@ -128,10 +128,10 @@
 func TestOversizedCompletionPageIsEmptied(t *testing.T) {
 	const jobs, firstTask, laterTask = 60, 0, 5
 	f := newCompletionPageFixture(t, jobs)
-	w := f.reconciler.writers[0]
+	writer := f.reconciler.writers[0]
 	f.limitStore(1024, 4, math.MaxInt)
-	if w.oversizedValues() != 1 {
-		t.Fatalf("%d pages are over the limit", w.oversizedValues())
+	if writer.oversizedValues() != 1 {
+		t.Fatalf("%d pages are over the limit", writer.oversizedValues())
 	}
 	for _, first := range []int{0, 1} { // every other job, then the rest
 		for i := first; i < jobs; i += 2 {
@@ -151,8 +151,8 @@
 			}
 		}
 	}
-	if w.oversizedValues() > 0 {
-		t.Errorf("%d pages are over the limit", w.oversizedValues())
+	if writer.oversizedValues() > 0 {
+		t.Errorf("%d pages are over the limit", writer.oversizedValues())
 	}
 }
 
@@ -174,8 +174,8 @@
 		f.apply(storage.MachineGroupKey("large"), group)
 		f.recordsChanged()
 		held := map[string]*agent{}
-		for name, x := range f.reconciler.agents.byName {
-			held[name] = x
+		for name, agent := range f.reconciler.agents.byName {
+			held[name] = agent
 		}
 		entries := group.Machines
 		for i, part := range slices.Collect(slices.Chunk(entries, 25)) { // the first keeps the key, and comes last
@@ -187,7 +187,7 @@
 		f.apply(storage.MachineGroupKey("large"), group)
 		f.recordsChanged()
 		for _, entry := range entries {
-			if x := f.reconciler.agents.find(entry.Name); x == nil || x != held[entry.Name] || x.fence.granted != grantToken {
+			if agent := f.reconciler.agents.find(entry.Name); agent == nil || agent != held[entry.Name] || agent.fence.granted != grantToken {
 				t.Errorf("%d machines: %s is held anew", machines, entry.Name)
 			}
 		}
--- a/internal/coordination/reconcile/record_writer_test.go
+++ b/internal/coordination/reconcile/record_writer_test.go
@@ -19,16 +19,16 @@
 		f := newFleetFixture(t, mediumFleet)
 		random := rand.New(rand.NewPCG(seed, 3))
 		f.addRandomJobs(random, 40)
-		w := f.reconciler.writers[0]
+		writer := f.reconciler.writers[0]
 		for range 12 {
 			f.now += 200 * time.Millisecond
 			f.refreshKnowledge()
 			f.reconciler.place()
-			w.assign()
-			for _, page := range w.intentPages {
-				size := len(w.intentPageOperation(page).Value)
-				if size > page.bytes+2 || size > w.pageCapacity() {
-					t.Fatalf("seed %d: a page of %d bytes is taken for %d, at most %d", seed, size, page.bytes, w.pageCapacity())
+			writer.assign()
+			for _, page := range writer.intentPages {
+				size := len(writer.intentPageOperation(page).Value)
+				if size > page.bytes+2 || size > writer.pageCapacity() {
+					t.Fatalf("seed %d: a page of %d bytes is taken for %d, at most %d", seed, size, page.bytes, writer.pageCapacity())
 				}
 			}
 			f.endQuarter(random)
@@ -64,9 +64,9 @@
 // at a time the whole fleet stayed rented (repechage-next, simulated).
 func TestDrainedMachineLosesItsNames(t *testing.T) {
 	f := newFleetFixture(t, mediumFleet)
-	x := f.reconciler.agents.find(fleetMachineName(17))
-	f.reconciler.end(x.attempts[storage.SortedTasks(x.attempts)[0]], "stopped")
-	x.machine.Phase = storage.PhaseDraining
+	agent := f.reconciler.agents.find(fleetMachineName(17))
+	f.reconciler.end(agent.attempts[storage.SortedTasks(agent.attempts)[0]], "stopped")
+	agent.machine.Phase = storage.PhaseDraining
 	for range 20 {
 		f.now += time.Second
 		f.refreshKnowledge()
@@ -75,11 +75,11 @@
 		f.reconciler.writers[0].flush()
 		f.applyTransactions()
 	}
-	if len(x.machine.Intents) > 0 {
+	if len(agent.machine.Intents) > 0 {
 		t.Error("the machine is still named")
 	}
-	if note := f.reconciler.MachineStatuses()[17]; note.Name != x.machine.Name || note.Tasks > 0 {
-		t.Errorf("%+v", note)
+	if status := f.reconciler.MachineStatuses()[17]; status.Name != agent.machine.Name || status.Tasks > 0 {
+		t.Errorf("%+v", status)
 	}
 }
 
@@ -88,24 +88,24 @@
 // cleaned up.
 func TestNewTasksAreWrittenFirst(t *testing.T) {
 	f := newFleetFixture(t, mediumFleet)
-	w := f.reconciler.writers[0]
-	leave := func(machine int, phase storage.MachinePhase) {
-		x := f.reconciler.agents.find(fleetMachineName(machine))
-		x.machine.Phase = phase
-		for _, ref := range storage.SortedTasks(x.attempts) {
-			f.reconciler.end(x.attempts[ref], "stopped")
+	writer := f.reconciler.writers[0]
+	endOn := func(machine int, phase storage.MachinePhase) {
+		agent := f.reconciler.agents.find(fleetMachineName(machine))
+		agent.machine.Phase = phase
+		for _, ref := range storage.SortedTasks(agent.attempts) {
+			f.reconciler.end(agent.attempts[ref], "stopped")
 		}
 	}
 	for page := range 20 {
-		leave(page*fleetTasksPerPage, storage.PhaseDraining)
+		endOn(page*fleetTasksPerPage, storage.PhaseDraining)
 	}
 	for i := 1; i < fleetTasksPerPage; i++ {
-		leave(19*fleetTasksPerPage+i, storage.PhaseDraining) // the emptiest of those pages, so new tasks are put there
-		leave(30*fleetTasksPerPage+i, storage.PhaseActive)
+		endOn(19*fleetTasksPerPage+i, storage.PhaseDraining) // the emptiest of those pages, so new tasks are put there
+		endOn(30*fleetTasksPerPage+i, storage.PhaseActive)
 	}
 	dirty := 0
-	for _, p := range w.intentPages {
-		if p.dirty {
+	for _, page := range writer.intentPages {
+		if page.dirty {
 			dirty++
 		}
 	}
@@ -114,13 +114,13 @@
 	}
 	f.waitingJob()
 	f.reconciler.place()
-	if len(w.unassigned) == 0 {
+	if len(writer.unassigned) == 0 {
 		t.Fatal("nothing new was placed")
 	}
 	f.transactions = nil
 	f.limitWrites(1)
 	f.now += flushPause
-	w.flush()
+	writer.flush()
 	if len(f.transactions) != 1 || len(f.transactions[0].Operations) != 1 {
 		t.Fatalf("transactions: %v", f.transactions)
 	}
@@ -135,8 +135,8 @@
 	const starting = 2000
 	f := newFleetFixture(t, largeFleet)
 	for i := range starting {
-		x := f.reconciler.agents.find(fleetMachineName(i))
-		f.reconciler.end(x.attempts[storage.SortedTasks(x.attempts)[0]], "stopped")
+		agent := f.reconciler.agents.find(fleetMachineName(i))
+		f.reconciler.end(agent.attempts[storage.SortedTasks(agent.attempts)[0]], "stopped")
 	}
 	f.apply(storage.JobKey("run-900000"), storage.JobRecord{Spec: protocol.JobSpec{
 		ID: "run-900000", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: starting, CPUs: 4, MemoryGB: 29, Spot: true, EstimateSeconds: 15,
@@ -144,8 +144,8 @@
 	f.recordsChanged()
 	f.transactions = nil
 	f.reconciler.place()
-	w := f.reconciler.writers[0]
-	w.assign()
+	writer := f.reconciler.writers[0]
+	writer.assign()
 	placed := 0
 	for ref := range f.reconciler.attemptsByTask {
 		if f.view.Jobs.Get(ref.Job).ID == "run-900000" {
@@ -153,8 +153,8 @@
 		}
 	}
 	pages := 0
-	for _, p := range w.intentPages {
-		for a := range p.attempts {
+	for _, page := range writer.intentPages {
+		for a := range page.attempts {
 			if !a.durable() {
 				pages++
 				break
