--- a/internal/storage/view.go
+++ b/internal/storage/view.go
@@ -1,8 +1,9 @@
 package storage
 
 // View is the replicated records as this controller has read them. Apply and Remove
-// alone change it, and the two words that come ahead of the changes: MarkCancelled and
-// SetOutcome. Everyone else reads; attempts only count themselves in Job.References.
+// change it, and the two words that come ahead of the changes: MarkCancelled and
+// SetOutcome. All others read it, with two exceptions: attempts count themselves in
+// Job.References and then call ForgetJob, and any name may be given an index.
 //
 // Its parts by concern are embedded: view.Leader is the Leadership's.
 type View struct {
