--- a/cmd/rockrun/main.go
+++ b/cmd/rockrun/main.go
@@ -1,5 +1,5 @@
 // Command rockrun is a cluster scheduler: one controller of a service that
-// takes jobs from users, creates machines and runs the jobs' tasks on them.
+// takes jobs from users, rents machines and runs the jobs' tasks on them.
 package main
 
 import (
@@ -18,13 +18,15 @@
 
 const version = "0.2.0"
 
-// The garbage collector runs when the heap has grown by gcPercent, and more often where
-// memory would exceed memoryTarget of what the settings allow.
+// Bounds that keep a controller within its part of a machine.
 const (
-	gcPercent    = 200
-	memoryTarget = 0.7
+	// memoryShare of what the settings allow is left to Go's heap.
+	memoryShare = 0.7
+	// gcPercent is by how much the heap grows between two collections.
+	gcPercent = 200
 )
 
+// cli is the command line.
 type cli struct {
 	Config  string           `help:"Platform settings (TOML)." placeholder:"FILE" required:""`
 	Options string           `help:"Operators' options (HCL)." placeholder:"FILE"`
@@ -34,28 +36,31 @@
 	Check checkCmd `cmd:"" help:"Check both files without serving, show the limits in force and warn of small ones."`
 }
 
+// serveCmd is the command that serves.
 type serveCmd struct{}
 
+// checkCmd is the command that checks the files.
 type checkCmd struct{}
 
 func main() {
-	var c cli
-	ctx := kong.Parse(&c, kong.Name("rockrun"), kong.Description("A cluster scheduler."), kong.Vars{"version": version})
-	ctx.FatalIfErrorf(ctx.Run(&c))
+	var args cli
+	ctx := kong.Parse(&args, kong.Name("rockrun"), kong.Description("A cluster scheduler."), kong.Vars{"version": version})
+	ctx.FatalIfErrorf(ctx.Run(&args))
 }
 
+// load reads both files.
 func (c *cli) load() (*config.Settings, config.Options, error) {
-	s, err := config.LoadSettings(c.Config)
+	settings, err := config.LoadSettings(c.Config)
 	if err != nil {
 		return nil, config.Options{}, err
 	}
-	o, err := config.LoadOptions(c.Options)
-	return s, o, err
+	options, err := config.LoadOptions(c.Options)
+	return settings, options, err
 }
 
 // Run checks the files.
-func (*checkCmd) Run(c *cli) error {
-	settings, options, err := c.load()
+func (*checkCmd) Run(args *cli) error {
+	settings, options, err := args.load()
 	if err != nil {
 		return err
 	}
@@ -71,36 +76,41 @@
 }
 
 // Run serves until the process is told to end.
-func (*serveCmd) Run(c *cli) error {
-	settings, options, err := c.load()
+func (*serveCmd) Run(args *cli) error {
+	settings, options, err := args.load()
 	if err != nil {
 		return err
 	}
-	log := logger()
-	runtime.GOMAXPROCS(1)
-	if mb := settings.Cluster.ProcessLimits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * memoryTarget * (1 << 20)))
-	}
-	debug.SetGCPercent(gcPercent)
-
+	log := newLogger()
+	boundRuntime(settings.Cluster.ProcessLimits.MemoryMB)
 	public, err := net.Listen("tcp4", settings.PublicAddr)
 	if err != nil {
 		return fmt.Errorf("listen for users and agents: %w", err)
 	}
-	peer, err := net.Listen("tcp4", settings.PeerAddr)
+	peers, err := net.Listen("tcp4", settings.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("listen for controllers: %w", err)
 	}
-
 	for _, w := range settings.Warnings(options) {
 		log.Warn("limit likely to be too small", "field", w.Field, "why", w.Why)
 	}
-	running := newProcess(settings, options, log)
-	running.start(peer, log)
-	return running.serveUntilStopped(public, peer, log)
+	p := newProcess(settings, options, log)
+	p.start(peers)
+	return p.serveUntilStopped(public, peers)
+}
+
+// boundRuntime keeps Go's runtime to one processor and, if the settings say so, to the memory
+// allowed.
+func boundRuntime(memoryMB float64) {
+	runtime.GOMAXPROCS(1)
+	if memoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryMB * memoryShare * (1 << 20)))
+	}
+	debug.SetGCPercent(gcPercent)
 }
 
-func logger() *slog.Logger {
+// newLogger makes the logger, whose level the environment's LOG_LEVEL gives.
+func newLogger() *slog.Logger {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
 	case "error":
--- a/cmd/rockrun/process.go
+++ b/cmd/rockrun/process.go
@@ -1,11 +1,12 @@
 package main
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"os"
 	"os/signal"
 	"syscall"
 	"time"
@@ -16,23 +17,9 @@
 	"rockrun/internal/transport"
 )
 
-// process is a controller and what connects it with the outside, put together.
-type process struct {
-	loop       *transport.Loop
-	controller *coordination.Controller
-	server     *transport.Server
-	sockets    transport.Sockets
-}
-
 // defaultSockets is split where the settings give no limit.
 const defaultSockets = 4096
 
-// Bounds within which the limit on requests in progress adapts.
-const (
-	minRequests = 4
-	maxRequests = 200
-)
-
 // Bounds on calls to the outside, from when they are sent to when their answer counts as
 // lost, and on connections that stay open without a call.
 const (
@@ -42,73 +29,134 @@
 	idleTimeout  = 20 * time.Second
 )
 
+// connectionsPerAgent is how many connections to one agent may be open at a time.
+const connectionsPerAgent = 2
+
+// Bounds on the users' requests in progress.
+const (
+	minRequests = 4
+	maxRequests = 200
+)
+
+// shutdownStep bounds each of the two steps of a graceful end: handing over, and answering
+// the requests under way.
+const shutdownStep = 3 * time.Second
+
+// process is one controller with all that connects it to the outside.
+type process struct {
+	log        *slog.Logger
+	loop       *transport.Loop
+	controller *coordination.Controller
+	server     *transport.Server
+	peers      *transport.PeerServer
+}
+
 func newProcess(settings *config.Settings, options config.Options, log *slog.Logger) *process {
 	loop := transport.NewLoop()
+	sockets := splitSockets(settings)
+	limiter := transport.NewLimiter(minRequests, maxRequests)
+	metrics := transport.NewMetrics(limiter)
+	metrics.Limits(settings.Cluster.ProcessLimits.Cores, settings.Cluster.ProcessLimits.MemoryMB)
+	backend := newBackend(settings, loop, sockets, metrics)
+	controller := coordination.New(coordination.Config{
+		Settings: settings,
+		Options:  options,
+		Clock:    loop,
+		Log:      log,
+		Store:    backend.KVStore,
+		Cloud:    backend.Cloud,
+		Agents:   backend.Agents,
+		Peers:    transport.NewPeerCalls(loop, peerAddresses(settings)),
+		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	})
+	metrics.Controller(controller.Stats)
+	return &process{
+		log:        log,
+		loop:       loop,
+		controller: controller,
+		server: transport.NewServer(transport.ServerConfig{
+			Loop: loop, Controller: controller, Limiter: limiter, Metrics: metrics, Sockets: sockets.Public,
+		}),
+		peers: transport.NewPeerServer(transport.PeerServerConfig{
+			Connections: sockets.Peers, Loop: loop, Handle: controller.OnPeer, Log: log,
+		}),
+	}
+}
+
+func splitSockets(settings *config.Settings) transport.Sockets {
 	limit := settings.Cluster.ProcessLimits.Sockets
 	if limit == 0 {
 		limit = defaultSockets
 	}
-	sockets := transport.SplitSockets(limit, len(settings.Peers))
-	serviceHTTP := transport.NewClient(sockets.KVStore, sockets.KVStore+sockets.Cloud, idleTimeout)
+	return transport.SplitSockets(limit, len(settings.Peers))
+}
+
+func peerAddresses(settings *config.Settings) map[string]string {
+	addrs := map[string]string{}
+	for _, peer := range settings.Peers {
+		addrs[peer.Controller] = peer.Address
+	}
+	return addrs
+}
+
+// newBackend makes the clients of the key-value store, the cloud and the agents.
+func newBackend(settings *config.Settings, loop *transport.Loop, sockets transport.Sockets, metrics *transport.Metrics) *transport.Backend {
+	services := transport.NewClient(transport.ClientConfig{
+		PerHost: sockets.KVStore, Total: sockets.KVStore + sockets.Cloud, Idle: idleTimeout,
+	})
 	// Tasks follow one another on a machine every quarter of a minute or so, and a
 	// connection made anew costs three times the command itself. Above three
 	// quarters of their part of the sockets connections are closed at once.
-	agentHTTP := transport.NewClient(2, sockets.Agents, idleTimeout)
-	limiter := transport.NewLimiter(minRequests, maxRequests)
-	metrics := transport.NewMetrics(limiter)
-	metrics.Connections("workers", agentHTTP)
-	metrics.Connections("services", serviceHTTP)
-	metrics.Limits(settings.Cluster.ProcessLimits.Cores, settings.Cluster.ProcessLimits.MemoryMB)
-	backend := transport.NewBackend(loop, sockets, metrics,
-		&protocol.KVClient{HTTP: serviceHTTP, Addr: settings.External.KVStore, Timeout: storeTimeout},
-		&protocol.CloudClient{HTTP: serviceHTTP, Addr: settings.External.Cloud, Timeout: cloudTimeout},
-		&protocol.AgentClient{HTTP: agentHTTP, Timeout: agentTimeout})
-	addresses := map[string]string{}
-	for _, peer := range settings.Peers {
-		addresses[peer.Controller] = peer.Address
-	}
-	controller := coordination.New(coordination.Config{
-		Settings: settings, Options: options, Clock: loop, Log: log,
-		Store: transport.KVStoreCalls{Backend: backend}, Cloud: transport.CloudCalls{Backend: backend},
-		Agents: transport.AgentCalls{Backend: backend}, Peers: transport.NewPeerCalls(loop, addresses),
-		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	agents := transport.NewClient(transport.ClientConfig{
+		PerHost: connectionsPerAgent, Total: sockets.Agents, Idle: idleTimeout,
+	})
+	metrics.Connections("workers", agents)
+	metrics.Connections("services", services)
+	return transport.NewBackend(transport.BackendConfig{
+		Loop:        loop,
+		Sockets:     sockets,
+		Metrics:     metrics,
+		KVClient:    &protocol.KVClient{HTTP: services, Addr: settings.External.KVStore, Timeout: storeTimeout},
+		CloudClient: &protocol.CloudClient{HTTP: services, Addr: settings.External.Cloud, Timeout: cloudTimeout},
+		AgentClient: &protocol.AgentClient{HTTP: agents, Timeout: agentTimeout},
 	})
-	metrics.Controller(controller.Stats)
-	server := transport.NewServer(loop, controller, limiter, metrics, sockets.Public)
-	return &process{loop: loop, controller: controller, server: server, sockets: sockets}
 }
 
-// start begins to follow the records and to answer the other controllers.
-func (p *process) start(peer net.Listener, log *slog.Logger) {
+// start begins to follow the records and to answer the other controllers. The loop ends with
+// serveUntilStopped, the peer server when its listener is closed there.
+func (p *process) start(peers net.Listener) {
 	go p.loop.Run()
 	p.loop.Post(p.controller.Start)
-	go transport.ServePeers(peer, p.sockets.Peers, p.loop, p.controller.OnPeer, log)
+	go p.peers.Serve(peers)
 }
 
-// endsWithin bounds the two steps of a graceful end: handing over, and answering the
-// requests under way.
-const endsWithin = 3 * time.Second
-
 // serveUntilStopped answers users and agents until the process is told to end.
-func (p *process) serveUntilStopped(public, peer net.Listener, log *slog.Logger) error {
-	ended := make(chan error, 1)
-	go func() { ended <- p.server.Serve(public) }()
-	stop := make(chan os.Signal, 1)
-	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
+func (p *process) serveUntilStopped(public, peers net.Listener) error {
+	stopped, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer release()
+	served := make(chan error, 1)
+	go func() { served <- p.server.Serve(public) }()
 	select {
-	case err := <-ended:
+	case err := <-served:
 		return fmt.Errorf("serve: %w", err)
-	case <-stop:
+	case <-stopped.Done():
 	}
-	log.Info("ending")
-	gone := make(chan struct{})
-	p.loop.Post(func() { p.controller.Stop(func() { close(gone) }) })
-	select {
-	case <-gone:
-	case <-time.After(endsWithin):
+	p.log.Info("ending")
+	p.handOver()
+	err := p.server.Shutdown(shutdownStep)
+	if closeErr := peers.Close(); closeErr != nil && !errors.Is(closeErr, net.ErrClosed) {
+		p.log.Warn("peer listener not closed", "err", closeErr)
 	}
-	err := p.server.Shutdown(endsWithin)
-	peer.Close()
 	p.loop.Close()
 	return err
 }
+
+// handOver has the controller give up its shards and the leadership, and waits for it.
+func (p *process) handOver() {
+	done := make(chan struct{})
+	p.loop.Post(func() { p.controller.Stop(func() { close(done) }) })
+	select {
+	case <-done:
+	case <-time.After(shutdownStep):
+	}
+}
--- a/internal/transport/backend.go
+++ b/internal/transport/backend.go
@@ -1,149 +1,141 @@
 package transport
 
 import (
-	"fmt"
 	"time"
 
 	"rockrun/internal/protocol"
 )
 
-// Backend turns the blocking clients into calls that come back on the loop.
-// The number of calls under way is bounded by kind; one more than that is
-// refused at once, as if the service had said so.
-type Backend struct {
+// maxCommandsInFlight bounds the commands under way to agents, beside half of their sockets.
+const maxCommandsInFlight = 128
+
+// BackendConfig is what a Backend is made of.
+type BackendConfig struct {
 	Loop        *Loop
+	Sockets     Sockets // bounds the calls under way
+	Metrics     *Metrics
 	KVClient    *protocol.KVClient
 	CloudClient *protocol.CloudClient
 	AgentClient *protocol.AgentClient
-
-	metrics                         *Metrics
-	kvSlots, cloudSlots, agentSlots chan struct{}
 }
 
-// NewBackend bounds the calls under way.
-func NewBackend(loop *Loop, sockets Sockets, metrics *Metrics, s *protocol.KVClient, c *protocol.CloudClient, w *protocol.AgentClient) *Backend {
-	return &Backend{Loop: loop, metrics: metrics, KVClient: s, CloudClient: c, AgentClient: w,
-		kvSlots: make(chan struct{}, sockets.KVStore), cloudSlots: make(chan struct{}, sockets.Cloud), agentSlots: make(chan struct{}, min(sockets.Agents/2, 128))}
+// Backend turns the blocking clients into calls that return at once and come back on the
+// loop, in the forms that the components of a controller ask for.
+type Backend struct {
+	KVStore *KVStoreCalls
+	Cloud   *CloudCalls
+	Agents  *AgentCalls
 }
 
-// run makes a call on a goroutine of its own and hands its result to the loop.
-func (b *Backend) run(slots chan struct{}, call func() func(), full func(error)) {
-	select {
-	case slots <- struct{}{}:
-		go func() {
-			finish := call()
-			<-slots
-			b.Loop.Post(finish)
-		}()
-	default:
-		go b.Loop.Post(func() { full(fmt.Errorf("%w: too many calls under way", protocol.ErrNotExecuted)) })
+// NewBackend makes the calls.
+func NewBackend(c BackendConfig) *Backend {
+	commands := min(c.Sockets.Agents/2, maxCommandsInFlight)
+	return &Backend{
+		KVStore: &KVStoreCalls{client: c.KVClient, pool: newCallPool(c.Loop, c.Sockets.KVStore), metrics: c.Metrics},
+		Cloud:   &CloudCalls{client: c.CloudClient, pool: newCallPool(c.Loop, c.Sockets.Cloud)},
+		Agents:  &AgentCalls{client: c.AgentClient, pool: newCallPool(c.Loop, commands), metrics: c.Metrics},
 	}
 }
 
-// StateCalls is the state service as the node sees it.
-type KVStoreCalls struct{ *Backend }
+// KVStoreCalls is the key-value store as kv.Store.
+type KVStoreCalls struct {
+	client  *protocol.KVClient
+	pool    callPool
+	metrics *Metrics
+}
+
+// Get implements kv.Store.
+func (s *KVStoreCalls) Get(key string, done func(protocol.KeyValue, bool, error)) {
+	type lookup struct {
+		item  protocol.KeyValue
+		found bool
+	}
+	start(s.pool, func() (lookup, error) {
+		item, found, err := s.client.Get(key)
+		return lookup{item, found}, err
+	}, func(l lookup, err error) { done(l.item, l.found, err) })
+}
 
-// Get implements coordination.State.
-func (b KVStoreCalls) Get(key string, done func(protocol.KeyValue, bool, error)) {
-	b.run(b.kvSlots, func() func() {
-		it, found, err := b.KVClient.Get(key)
-		return func() { done(it, found, err) }
-	}, func(err error) { done(protocol.KeyValue{}, false, err) })
+// List implements kv.Store.
+func (s *KVStoreCalls) List(prefix, after string, done func(protocol.KeyValuePage, error)) {
+	start(s.pool, func() (protocol.KeyValuePage, error) { return s.client.List(prefix, after) }, done)
 }
 
-// List implements coordination.State.
-func (b KVStoreCalls) List(prefix, after string, done func(protocol.KeyValuePage, error)) {
-	b.run(b.kvSlots, func() func() {
-		p, err := b.KVClient.List(prefix, after)
-		return func() { done(p, err) }
-	}, func(err error) { done(protocol.KeyValuePage{}, err) })
+// Commit implements kv.Store.
+func (s *KVStoreCalls) Commit(transaction protocol.Transaction, done func(uint64, error)) {
+	start(s.pool, func() (uint64, error) {
+		revision, err := s.client.Commit(transaction)
+		s.metrics.transactions.WithLabelValues(resultLabel(err)).Inc()
+		return revision, err
+	}, done)
 }
 
-// Txn implements coordination.State.
-func (b KVStoreCalls) Commit(t protocol.Transaction, done func(uint64, error)) {
-	b.run(b.kvSlots, func() func() {
-		rev, err := b.KVClient.Commit(t)
-		b.metrics.transactions.WithLabelValues(result(err)).Inc()
-		return func() { done(rev, err) }
-	}, func(err error) { done(0, err) })
+// OpenLease implements kv.Store.
+func (s *KVStoreCalls) OpenLease(timeToLive time.Duration, done func(uint64, error)) {
+	start(s.pool, func() (uint64, error) { return s.client.OpenLease(timeToLive) }, done)
 }
 
-// NewLease implements coordination.State.
-func (b KVStoreCalls) OpenLease(ttl time.Duration, done func(uint64, error)) {
-	b.run(b.kvSlots, func() func() {
-		lease, err := b.KVClient.OpenLease(ttl)
-		return func() { done(lease, err) }
-	}, func(err error) { done(0, err) })
+// RenewLease implements kv.Store.
+func (s *KVStoreCalls) RenewLease(lease uint64, done func(error)) {
+	startWithout(s.pool, func() error { return s.client.RenewLease(lease) }, done)
 }
 
-// Renew implements coordination.State.
-func (b KVStoreCalls) RenewLease(lease uint64, done func(error)) {
-	b.run(b.kvSlots, func() func() {
-		err := b.KVClient.RenewLease(lease)
-		return func() { done(err) }
-	}, done)
+// RevokeLease implements kv.Store.
+func (s *KVStoreCalls) RevokeLease(lease uint64, done func(error)) {
+	startWithout(s.pool, func() error { return s.client.RevokeLease(lease) }, done)
 }
 
-// EndLease implements coordination.State.
-func (b KVStoreCalls) RevokeLease(lease uint64, done func(error)) {
-	b.run(b.kvSlots, func() func() {
-		err := b.KVClient.RevokeLease(lease)
-		return func() { done(err) }
+// Watch implements kv.Store.
+func (s *KVStoreCalls) Watch(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
+	start(s.pool, func() (protocol.Changes, error) {
+		changes, err := s.client.Watch(prefix, after, wait)
+		s.metrics.changes.Add(float64(len(changes.Events)))
+		return changes, err
 	}, done)
 }
 
-// Follow implements coordination.State.
-func (b KVStoreCalls) Watch(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
-	b.run(b.kvSlots, func() func() {
-		c, err := b.KVClient.Watch(prefix, after, wait)
-		b.metrics.changes.Add(float64(len(c.Events)))
-		return func() { done(c, err) }
-	}, func(err error) { done(protocol.Changes{}, err) })
+// CloudCalls is the cloud as provisioning.Cloud.
+type CloudCalls struct {
+	client *protocol.CloudClient
+	pool   callPool
 }
 
-// CloudCalls is the cloud as the node sees it.
-type CloudCalls struct{ *Backend }
-
-// Catalogue implements coordination.Cloud.
-func (b CloudCalls) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
-	b.run(b.cloudSlots, func() func() {
-		c, err := b.CloudClient.MachineTypes()
-		return func() { done(c, err) }
-	}, func(err error) { done(protocol.MachineTypeCatalogue{}, err) })
+// MachineTypes implements provisioning.Cloud.
+func (c *CloudCalls) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
+	start(c.pool, c.client.MachineTypes, done)
 }
 
-// Rent implements coordination.Cloud.
-func (b CloudCalls) CreateMachines(r protocol.CreateMachinesRequest, done func([]string, error)) {
-	b.run(b.cloudSlots, func() func() {
-		names, err := b.CloudClient.CreateMachines(r)
-		return func() { done(names, err) }
-	}, func(err error) { done(nil, err) })
+// CreateMachines implements provisioning.Cloud.
+func (c *CloudCalls) CreateMachines(request protocol.CreateMachinesRequest, done func([]string, error)) {
+	start(c.pool, func() ([]string, error) { return c.client.CreateMachines(request) }, done)
 }
 
-// Delete implements coordination.Cloud.
-func (b CloudCalls) DeleteMachines(names []string, done func(error)) {
-	b.run(b.cloudSlots, func() func() {
-		err := b.CloudClient.DeleteMachines(names)
-		return func() { done(err) }
-	}, done)
+// DeleteMachines implements provisioning.Cloud.
+func (c *CloudCalls) DeleteMachines(names []string, done func(error)) {
+	startWithout(c.pool, func() error { return c.client.DeleteMachines(names) }, done)
 }
 
-// List implements coordination.Cloud.
-func (b CloudCalls) ListMachines(done func([]protocol.CloudMachine, error)) {
-	b.run(b.cloudSlots, func() func() {
-		list, err := b.CloudClient.ListMachines()
-		return func() { done(list, err) }
-	}, func(err error) { done(nil, err) })
+// ListMachines implements provisioning.Cloud.
+func (c *CloudCalls) ListMachines(done func([]protocol.CloudMachine, error)) {
+	start(c.pool, c.client.ListMachines, done)
 }
 
-// WorkerCalls are the workers as the node sees them.
-type AgentCalls struct{ *Backend }
+// AgentCalls are the agents as reconcile.Agents.
+type AgentCalls struct {
+	client  *protocol.AgentClient
+	pool    callPool
+	metrics *Metrics
+}
 
-// Command implements coordination.Workers.
-func (b AgentCalls) Execute(addr string, o protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
-	b.run(b.agentSlots, func() func() {
-		r, ok, err := b.AgentClient.Execute(addr, o)
-		b.metrics.commands.WithLabelValues(result(err)).Inc()
-		return func() { done(r, ok, err) }
-	}, func(err error) { done(nil, false, err) })
+// Execute implements reconcile.Agents.
+func (a *AgentCalls) Execute(addr string, request protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
+	type outcome struct {
+		heartbeat *protocol.AgentHeartbeat
+		executed  bool
+	}
+	start(a.pool, func() (outcome, error) {
+		heartbeat, executed, err := a.client.Execute(addr, request)
+		a.metrics.commands.WithLabelValues(resultLabel(err)).Inc()
+		return outcome{heartbeat, executed}, err
+	}, func(o outcome, err error) { done(o.heartbeat, o.executed, err) })
 }
--- /dev/null
+++ b/internal/transport/client_test.go
@@ -0,0 +1,77 @@
+package transport
+
+import (
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"rockrun/internal/protocol"
+)
+
+// TestMalformedAnswers: what the key-value store, the cloud and agents answer in another form
+// than agreed counts as no answer, whatever the status says.
+func TestMalformedAnswers(t *testing.T) {
+	const wrongRevision = `{"epoch":"x"}`
+	for _, answer := range []string{"", "nonsense", "{", `[1]`, wrongRevision, `{"epoch":-1,"permit":-1,"hosts":1,"builds":1,"items":1,"stamp":"x","shift":"y"}`} {
+		t.Run(answer, func(t *testing.T) {
+			addr := serveAnswer(t, answer)
+			for name, call := range blockingCalls(addr) {
+				if answer == wrongRevision && (name == "machine types" || name == "list machines") {
+					continue // an empty list, as it may be
+				}
+				if err := call(); err == nil {
+					t.Errorf("%s takes it for an answer", name)
+				}
+			}
+		})
+	}
+}
+
+// serveAnswer answers every request in the same way until the test ends, and returns where.
+func serveAnswer(t *testing.T, answer string) (addr string) {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, answer) }))
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String()
+}
+
+// blockingCalls are one call of each kind to an address, by name.
+func blockingCalls(addr string) map[string]func() error {
+	client := NewClient(ClientConfig{PerHost: 4, Total: 32, Idle: time.Second})
+	store := &protocol.KVClient{HTTP: client, Addr: addr, Timeout: time.Second}
+	cloud := &protocol.CloudClient{HTTP: client, Addr: addr, Timeout: time.Second}
+	agent := &protocol.AgentClient{HTTP: client, Timeout: time.Second}
+	return map[string]func() error{
+		"get":             func() error { _, _, err := store.Get("k"); return err },
+		"list":            func() error { _, err := store.List("r/", ""); return err },
+		"commit":          func() error { _, err := store.Commit(protocol.Transaction{}); return err },
+		"open lease":      func() error { _, err := store.OpenLease(time.Second); return err },
+		"watch":           func() error { _, err := store.Watch("r/", 1, 0); return err },
+		"machine types":   func() error { _, err := cloud.MachineTypes(); return err },
+		"create machines": func() error { _, err := cloud.CreateMachines(protocol.CreateMachinesRequest{}); return err },
+		"list machines":   func() error { _, err := cloud.ListMachines(); return err },
+		"commands":        func() error { _, _, err := agent.Execute(addr, protocol.CommandRequest{}); return err },
+	}
+}
+
+// TestManyServers: a client that speaks to many more machines than it has sockets reaches
+// all and stays within its limit.
+func TestManyServers(t *testing.T) {
+	const limit = 16
+	client := NewClient(ClientConfig{PerHost: 2, Total: limit, Idle: 20 * time.Second})
+	for i := range 3 * limit {
+		addr := serveAnswer(t, "")
+		status, _, err := client.Call(http.MethodPost, addr, "/commands", []byte("{}"), time.Second)
+		if err != nil || status != http.StatusOK {
+			t.Fatalf("server %d: %d, %v", i, status, err)
+		}
+		if open := client.Open(); open > limit {
+			t.Fatalf("%d connections open", open)
+		}
+	}
+	if open := client.Open(); open < limit/2 {
+		t.Errorf("only %d connections were kept", open)
+	}
+}
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -1,6 +1,3 @@
-// Package transport carries bytes: the listeners for users, workers and other
-// controllers, the pooled client for everything outside, the limit on requests
-// in progress, and the goroutine on which a node's decisions are made.
 package transport
 
 import (
@@ -8,18 +5,22 @@
 	"time"
 )
 
-// Loop runs functions one after another on a single goroutine. It is a node's
-// clock as well.
+// loopQueue is how many functions may wait for a Loop.
+const loopQueue = 4096
+
+// Loop is a controller's event loop: it runs functions one after another on the goroutine
+// that calls Run, so that the controller's state needs no locks. It is the controller's
+// clock as well. Its methods may be called from any goroutine.
 type Loop struct {
-	queue chan func()
-	done  chan struct{}
-	start time.Time
-	over  atomic.Bool
+	queue   chan func()
+	done    chan struct{}
+	started time.Time
+	closed  atomic.Bool
 }
 
 // NewLoop makes a loop; Run runs it.
 func NewLoop() *Loop {
-	return &Loop{queue: make(chan func(), 4096), done: make(chan struct{}), start: time.Now()}
+	return &Loop{queue: make(chan func(), loopQueue), done: make(chan struct{}), started: time.Now()}
 }
 
 // Run runs what is posted until Close.
@@ -34,14 +35,15 @@
 	}
 }
 
-// Close ends Run.
+// Close ends Run. What is posted later, or waits, is dropped.
 func (l *Loop) Close() {
-	if l.over.CompareAndSwap(false, true) {
+	if l.closed.CompareAndSwap(false, true) {
 		close(l.done)
 	}
 }
 
-// Post hands f to the loop. It blocks while the queue is full.
+// Post hands f to the loop. It blocks while the queue is full, and must not be called on the
+// loop itself.
 func (l *Loop) Post(f func()) {
 	select {
 	case l.queue <- f:
@@ -49,7 +51,7 @@
 	}
 }
 
-// TryPost hands f to the loop unless the queue is full.
+// TryPost hands f to the loop unless the queue is full, and reports whether it did.
 func (l *Loop) TryPost(f func()) bool {
 	select {
 	case l.queue <- f:
@@ -60,7 +62,7 @@
 }
 
 // Now is the steady time since the loop was made.
-func (l *Loop) Now() time.Duration { return time.Since(l.start) }
+func (l *Loop) Now() time.Duration { return time.Since(l.started) }
 
 // Wall is the time of day.
 func (l *Loop) Wall() time.Time { return time.Now() }
--- a/internal/transport/metrics_test.go
+++ b/internal/transport/metrics_test.go
@@ -2,15 +2,14 @@
 
 import (
 	"testing"
-	"time"
 
 	"rockrun/internal/coordination"
 	"rockrun/internal/protocol"
 )
 
-// value is what a metric with a label of a value, or without labels, stands at; -1
+// metricValue is what a metric with a label of a value, or without labels, stands at; -1
 // where there is none.
-func value(t *testing.T, m *Metrics, name, label string) float64 {
+func metricValue(t *testing.T, m *Metrics, name, label string) float64 {
 	t.Helper()
 	families, err := m.registry.Gather()
 	if err != nil {
@@ -20,14 +19,14 @@
 		if f.GetName() != name {
 			continue
 		}
-		for _, x := range f.GetMetric() {
-			if label != "" && (len(x.GetLabel()) != 1 || x.GetLabel()[0].GetValue() != label) {
+		for _, metric := range f.GetMetric() {
+			if label != "" && (len(metric.GetLabel()) != 1 || metric.GetLabel()[0].GetValue() != label) {
 				continue
 			}
 			if f.GetType().String() == "GAUGE" {
-				return x.GetGauge().GetValue()
+				return metric.GetGauge().GetValue()
 			}
-			return x.GetCounter().GetValue()
+			return metric.GetCounter().GetValue()
 		}
 	}
 	return -1
@@ -35,23 +34,15 @@
 
 // TestCountsByKind: every call to the outside is counted once, by how it ended.
 func TestCountsByKind(t *testing.T) {
-	loop := NewLoop()
-	go loop.Run()
-	defer loop.Close()
 	metrics := NewMetrics(NewLimiter(4, 100))
 	metrics.Limits(0.06, 81)
 	metrics.Controller(func() coordination.Stats {
 		return coordination.Stats{Passes: 7, JobsReleased: 3, JobsCancelledByDependency: 2, JobsAwaitingDependencies: 5, OversizedValues: 1}
 	})
-	client := NewClient(4, 32, time.Second)
-	const nowhere = "127.0.0.1:1"
-	back := NewBackend(loop, SplitSockets(200, 0), metrics,
-		&protocol.KVClient{HTTP: client, Addr: nowhere, Timeout: time.Second},
-		&protocol.CloudClient{HTTP: client, Addr: nowhere, Timeout: time.Second},
-		&protocol.AgentClient{HTTP: client, Timeout: time.Second})
+	backend := unreachableBackend(runLoop(t), metrics)
 	ended := make(chan error, 2)
-	KVStoreCalls{back}.Commit(protocol.Transaction{}, func(_ uint64, err error) { ended <- err })
-	AgentCalls{back}.Execute(nowhere, protocol.CommandRequest{}, func(_ *protocol.AgentHeartbeat, _ bool, err error) { ended <- err })
+	backend.KVStore.Commit(protocol.Transaction{}, func(_ uint64, err error) { ended <- err })
+	backend.Agents.Execute(nowhere, protocol.CommandRequest{}, func(_ *protocol.AgentHeartbeat, _ bool, err error) { ended <- err })
 	for range 2 {
 		if err := <-ended; err == nil {
 			t.Fatal("nobody listens there")
@@ -73,7 +64,7 @@
 		{"rockrun_limit_cores", "", 0.06},
 		{"rockrun_limit_memory_bytes", "", 81 << 20},
 	} {
-		if got := value(t, metrics, c.name, c.label); got != c.want {
+		if got := metricValue(t, metrics, c.name, c.label); got != c.want {
 			t.Errorf("%s %s: %v, not %v", c.name, c.label, got, c.want)
 		}
 	}
