--- a/internal/scenario/cloud_link.go
+++ b/internal/scenario/cloud_link.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// MachineTypes implements coordination.Cloud.
+// MachineTypes implements provisioning.Cloud.
 func (l cloudLink) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
 	l.sent("machine types", nil)
 	l.call(func(cloud *fakeCloud) func() {
@@ -48,7 +48,7 @@
 	}, func(err error) { done(protocol.MachineTypeCatalogue{}, err) })
 }
 
-// CreateMachines implements coordination.Cloud.
+// CreateMachines implements provisioning.Cloud.
 func (l cloudLink) CreateMachines(request protocol.CreateMachinesRequest, done func([]string, error)) {
 	l.sent("rent", request)
 	l.call(func(cloud *fakeCloud) func() {
@@ -57,7 +57,7 @@
 	}, func(err error) { done(nil, err) })
 }
 
-// DeleteMachines implements coordination.Cloud.
+// DeleteMachines implements provisioning.Cloud.
 func (l cloudLink) DeleteMachines(names []string, done func(error)) {
 	l.sent("delete", names)
 	l.call(func(cloud *fakeCloud) func() {
@@ -66,7 +66,7 @@
 	}, done)
 }
 
-// ListMachines implements coordination.Cloud.
+// ListMachines implements provisioning.Cloud.
 func (l cloudLink) ListMachines(done func([]protocol.CloudMachine, error)) {
 	l.sent("list machines", nil)
 	l.call(func(cloud *fakeCloud) func() {
