--- a/internal/scenario/actions_messages.go
+++ b/internal/scenario/actions_messages.go
@@ -7,7 +7,7 @@
 // up.
 func actCommandLatency(sim *simulation, line *statement) func() {
 	share, most := line.number("share", 0.3), line.duration(line.text("most", "10s"))
-	return func() { sim.commands.latencyShare, sim.commands.maxLatency = share, most }
+	return func() { sim.network.commands.latencyShare, sim.network.commands.maxLatency = share, most }
 }
 
 // actDelayedCommands: "delayed-commands share=0.3 least=2s most=16s" lets commands be
@@ -15,14 +15,16 @@
 func actDelayedCommands(sim *simulation, line *statement) func() {
 	share := line.number("share", 0.3)
 	least, most := line.duration(line.text("least", "2s")), line.duration(line.text("most", "16s"))
-	return func() { sim.commands.delayedShare, sim.commands.least, sim.commands.most = share, least, most }
+	return func() {
+		sim.network.commands.delayedShare, sim.network.commands.least, sim.network.commands.most = share, least, most
+	}
 }
 
 // actDuplicateCommands: "duplicate-commands share=0.3" lets a second copy of commands
 // arrive late.
 func actDuplicateCommands(sim *simulation, line *statement) func() {
 	share := line.number("share", 0.3)
-	return func() { sim.commands.duplicateShare = share }
+	return func() { sim.network.commands.duplicateShare = share }
 }
 
 // actDuplicateHeartbeats: "duplicate-heartbeats share=0.3 least=1s most=90s" lets a second
@@ -30,12 +32,14 @@
 func actDuplicateHeartbeats(sim *simulation, line *statement) func() {
 	share := line.number("share", 0.3)
 	least, most := line.duration(line.text("least", "1s")), line.duration(line.text("most", "90s"))
-	return func() { sim.heartbeats.duplicateShare, sim.heartbeats.least, sim.heartbeats.most = share, least, most }
+	return func() {
+		sim.network.heartbeats.duplicateShare, sim.network.heartbeats.least, sim.network.heartbeats.most = share, least, most
+	}
 }
 
 // actReplayHeartbeats: "replay-heartbeats share=0.5" keeps copies of heartbeats, which
 // arrive at every controller when a new leader begins.
 func actReplayHeartbeats(sim *simulation, line *statement) func() {
 	share := line.number("share", 0.5)
-	return func() { sim.heartbeats.replayShare = share }
+	return func() { sim.network.heartbeats.replayShare = share }
 }
--- a/internal/scenario/agent_heartbeat.go
+++ b/internal/scenario/agent_heartbeat.go
@@ -55,12 +55,12 @@
 		return
 	}
 	a.inFlight, a.heartbeatWanted, a.lastHeartbeat = true, false, a.sim.now
-	x := &exchange{agent: a, sentAt: a.sim.now, epoch: a.epoch}
+	call := &exchange{agent: a, sentAt: a.sim.now, epoch: a.epoch}
 	heartbeat := a.heartbeat()
 	receiver := a.sim.hosts[a.controller]
-	a.sim.after(answerTimeout, x.unanswered)
+	a.sim.after(answerTimeout, call.unanswered)
 	if receiver.process == nil {
-		a.sim.after(a.sim.latency(), x.unanswered)
+		a.sim.after(a.sim.latency(), call.unanswered)
 		return
 	}
 	if a.outboundPartition {
@@ -68,7 +68,7 @@
 	}
 	a.sim.copyHeartbeat(heartbeat)
 	process := receiver.process
-	deliver := func() { x.deliver(process, heartbeat) }
+	deliver := func() { call.deliver(process, heartbeat) }
 	if a.partitioned {
 		a.heldBack = append(a.heldBack, deliver)
 		return
@@ -85,16 +85,16 @@
 }
 
 // deliver hands the heartbeat to a controller's process.
-func (x *exchange) deliver(p *process, heartbeat *protocol.AgentHeartbeat) {
+func (x *exchange) deliver(process *process, heartbeat *protocol.AgentHeartbeat) {
 	agent, sim := x.agent, x.agent.sim
-	if p.dead || !sim.reachable(p.host, agent) {
+	if process.dead || !sim.reachable(process.host, agent) {
 		return
 	}
-	p.guard(func() {
-		p.controller.OnAgentHeartbeat(heartbeat, func(answer api.Answer) {
-			sim.trace.answered(p.host.name, kindHeartbeatAnswer, answer)
+	process.guard(func() {
+		process.controller.OnAgentHeartbeat(heartbeat, func(answer api.Answer) {
+			sim.trace.answered(process.host.name, kindHeartbeatAnswer, answer)
 			sim.after(sim.latency(), func() {
-				if !agent.partitioned && !agent.inboundPartition && sim.reachable(p.host, agent) {
+				if !agent.partitioned && !agent.inboundPartition && sim.reachable(process.host, agent) {
 					x.answered(answer)
 				}
 			})
--- a/internal/scenario/agent_link.go
+++ b/internal/scenario/agent_link.go
@@ -31,20 +31,20 @@
 func (l agentLink) Execute(address string, request protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
 	sim := l.process.host.sim
 	sim.trace.sentJSON(l.process.host.name, "command "+address, request)
-	d := &commandDelivery{sim: sim, sender: l.process, request: request, done: done}
+	delivery := &commandDelivery{sim: sim, sender: l.process, request: request, done: done}
 	agent := sim.agentAt(address)
 	switch {
 	case agent == nil || !sim.reachable(l.process.host, agent):
-		d.fail()
+		delivery.fail()
 	case agent.partitioned || agent.isPaused():
 		// Held back, and carried out once that ends.
 		agent.heldBack = append(agent.heldBack, func() { agent.execute(request) })
-		d.fail()
-	case sim.commands.delayedShare > 0 && sim.rand.Float64() < sim.commands.delayedShare:
-		d.deliverLate(agent)
-		d.fail()
+		delivery.fail()
+	case sim.network.commands.delayedShare > 0 && sim.rand.Float64() < sim.network.commands.delayedShare:
+		delivery.deliverLate(agent)
+		delivery.fail()
 	default:
-		d.deliver(agent)
+		delivery.deliver(agent)
 	}
 }
 
@@ -75,7 +75,7 @@
 // deliverLate lets the commands arrive late. They are carried out if token and epoch still
 // match.
 func (d *commandDelivery) deliverLate(agent *fakeAgent) {
-	delay := d.sim.randomBetween(d.sim.commands.least, d.sim.commands.most)
+	delay := d.sim.randomBetween(d.sim.network.commands.least, d.sim.network.commands.most)
 	d.sim.faults.note("delayed-command", delay)
 	d.sim.after(delay, func() {
 		if !agent.dead && !agent.isPaused() {
@@ -89,9 +89,9 @@
 func (d *commandDelivery) deliver(agent *fakeAgent) {
 	sim := d.sim
 	there, back := sim.latency(), time.Duration(0)
-	if sim.commands.latencyShare > 0 && sim.rand.Float64() < sim.commands.latencyShare {
-		sim.faults.note("command-latency", sim.commands.maxLatency)
-		delay := sim.randomBelow(sim.commands.maxLatency)
+	if sim.network.commands.latencyShare > 0 && sim.rand.Float64() < sim.network.commands.latencyShare {
+		sim.faults.note("command-latency", sim.network.commands.maxLatency)
+		delay := sim.randomBelow(sim.network.commands.maxLatency)
 		if sim.rand.IntN(2) == 0 {
 			there += delay
 		} else {
@@ -115,7 +115,7 @@
 	}
 	sim := d.sim
 	heartbeat, executed := agent.execute(d.request)
-	if sim.rand.Float64() < sim.commands.duplicateShare {
+	if sim.rand.Float64() < sim.network.commands.duplicateShare {
 		sim.after(sim.randomBelow(maxDuplicateDelay), func() {
 			if !agent.dead {
 				agent.execute(d.request)
--- a/internal/scenario/clock.go
+++ b/internal/scenario/clock.go
@@ -16,7 +16,7 @@
 // after schedules what to do once a delay has passed, which counts as none if negative.
 func (c *clock) after(delay time.Duration, do func()) {
 	c.scheduled++
-	heap.Push(&c.queue, event{due: c.now + max(delay, 0), number: c.scheduled, do: do})
+	heap.Push(&c.queue, event{due: c.now + max(delay, 0), number: c.scheduled, callback: do})
 }
 
 // run carries out all events until the given time.
@@ -25,16 +25,16 @@
 		next := c.queue[0]
 		heap.Pop(&c.queue)
 		c.now = next.due
-		next.do()
+		next.callback()
 	}
 	c.now = until
 }
 
 // event is something that will happen.
 type event struct {
-	due    time.Duration
-	number int
-	do     func()
+	due      time.Duration
+	number   int
+	callback func()
 }
 
 // eventQueue is a heap of events, the next one first.
--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -40,7 +40,7 @@
 
 // stageChange is the stage of a machine from a time on. Lists show it after a lag.
 type stageChange struct {
-	at    time.Duration
+	since time.Duration
 	stage string // stageDeleted or one of protocol's
 }
 
@@ -57,14 +57,14 @@
 )
 
 func (m *fakeMachine) setStage(now time.Duration, stage string) {
-	m.stages = append(m.stages, stageChange{at: now, stage: stage})
+	m.stages = append(m.stages, stageChange{since: now, stage: stage})
 }
 
 // stageAt is the stage of a machine at a time, or stageDeleted before its creation.
 func (m *fakeMachine) stageAt(when time.Duration) string {
 	stage := stageDeleted
 	for _, change := range m.stages {
-		if change.at <= when {
+		if change.since <= when {
 			stage = change.stage
 		}
 	}
--- a/internal/scenario/heartbeat_faults.go
+++ b/internal/scenario/heartbeat_faults.go
@@ -22,7 +22,7 @@
 // copyHeartbeat lets a copy of a heartbeat arrive late, at any controller, whatever has
 // become of the machine, and keeps another for the next leader.
 func (s *simulation) copyHeartbeat(heartbeat *protocol.AgentHeartbeat) {
-	faults := &s.heartbeats
+	faults := &s.network.heartbeats
 	if faults.replayShare > 0 && len(faults.kept) < maxKeptHeartbeats && s.rand.Float64() < faults.replayShare {
 		faults.kept = append(faults.kept, heartbeat)
 	}
@@ -37,15 +37,15 @@
 // replayHeartbeats lets the kept heartbeats arrive at every controller, as a new leader
 // begins.
 func (s *simulation) replayHeartbeats() {
-	if len(s.heartbeats.kept) > 0 {
+	if len(s.network.heartbeats.kept) > 0 {
 		s.faults.note("replayed-heartbeats", time.Second)
 	}
-	for _, heartbeat := range s.heartbeats.kept {
+	for _, heartbeat := range s.network.heartbeats.kept {
 		for _, receiver := range s.hosts {
 			s.after(s.randomBelow(time.Second), func() { receiver.receiveCopy(heartbeat) })
 		}
 	}
-	s.heartbeats.kept = nil
+	s.network.heartbeats.kept = nil
 }
 
 // receiveCopy hands a copy of a heartbeat to the process that runs, whose answer reaches
--- a/internal/scenario/host.go
+++ b/internal/scenario/host.go
@@ -32,20 +32,20 @@
 func (h *host) start() {
 	sim := h.sim
 	sim.faults.end("down", h.name)
-	p := &process{host: h}
-	p.controller = coordination.New(coordination.Config{
+	started := &process{host: h}
+	started.controller = coordination.New(coordination.Config{
 		Settings: h.settings(),
 		Options:  sim.options,
-		Clock:    p,
-		Store:    storeLink{p},
-		Cloud:    cloudLink{p},
-		Agents:   agentLink{p},
-		Peers:    peerLink{p},
+		Clock:    started,
+		Store:    storeLink{started},
+		Cloud:    cloudLink{started},
+		Agents:   agentLink{started},
+		Peers:    peerLink{started},
 		Rand:     rand.New(rand.NewPCG(sim.rand.Uint64(), sim.rand.Uint64())),
 		Log:      sim.log.With("controller", h.name),
 	})
-	h.process = p
-	sim.after(0, p.guard(p.controller.Start))
+	h.process = started
+	sim.after(0, started.guard(started.controller.Start))
 }
 
 // startIfDown begins a new process where none runs.
--- a/internal/scenario/network.go
+++ b/internal/scenario/network.go
@@ -8,6 +8,13 @@
 	latencyJitter = 3 * time.Millisecond
 )
 
+// networkFaults are the faults of the network that are no host's or machine's own.
+type networkFaults struct {
+	partitionedZone string // cut off from all else; "": none
+	commands        commandFaults
+	heartbeats      heartbeatFaults
+}
+
 // latency draws how long a message is on its way.
 func (s *simulation) latency() time.Duration { return minLatency + s.randomBelow(latencyJitter) }
 
@@ -16,17 +23,17 @@
 	if h.agentsPartitioned {
 		return false
 	}
-	return s.partitionedZone == "" || (h.zone == s.partitionedZone) == (agent.machine.Zone == s.partitionedZone)
+	return s.network.partitionedZone == "" || (h.zone == s.network.partitionedZone) == (agent.machine.Zone == s.network.partitionedZone)
 }
 
 // partitionZone cuts a zone off from everything else: its machines and the controllers
 // in it reach each other and nobody more. What is on its way is lost.
 func (s *simulation) partitionZone(zone string, lasting time.Duration) {
 	s.faults.note("zone-partition", lasting)
-	s.partitionedZone = zone
+	s.network.partitionedZone = zone
 	s.partitionHostsIn(zone, true)
 	s.after(lasting, func() {
-		s.partitionedZone = ""
+		s.network.partitionedZone = ""
 		s.partitionHostsIn(zone, false)
 	})
 }
--- a/internal/scenario/simulation.go
+++ b/internal/scenario/simulation.go
@@ -27,10 +27,7 @@
 	checker *checker
 	trace   *trace // of what controllers send
 	faults  *faultLog
-
-	partitionedZone string // cut off from all else; "": none
-	commands        commandFaults
-	heartbeats      heartbeatFaults
+	network networkFaults
 }
 
 // wallClockStart is the time of day at which scenarios begin.
@@ -40,20 +37,20 @@
 const randomStream = 7
 
 func newSimulation(cluster config.Cluster, options config.Options, seed uint64, log io.Writer) *simulation {
-	s := &simulation{
+	sim := &simulation{
 		rand:    rand.New(rand.NewPCG(seed, randomStream)),
 		cluster: cluster,
 		options: options,
 		agents:  map[string]*fakeAgent{},
 	}
-	s.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: s.virtualTime}))
-	s.faults = &faultLog{clock: &s.clock}
-	s.store = newStore(s)
-	s.cloud = &fakeCloud{sim: s, requests: map[string][]string{}, capacity: map[machinePool]int{}}
-	s.checker = newChecker(s)
-	s.trace = newTrace(s)
-	s.users = &fakeUsers{sim: s, jobs: map[string]*userJob{}}
-	return s
+	sim.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: sim.virtualTime}))
+	sim.faults = &faultLog{clock: &sim.clock}
+	sim.store = newStore(sim)
+	sim.cloud = &fakeCloud{sim: sim, requests: map[string][]string{}, capacity: map[machinePool]int{}}
+	sim.checker = newChecker(sim)
+	sim.trace = newTrace(sim)
+	sim.users = &fakeUsers{sim: sim, jobs: map[string]*userJob{}}
+	return sim
 }
 
 // virtualTime lets log lines carry the time of the scenario.
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -57,21 +57,21 @@
 // when no answer came.
 func (u *fakeUsers) ask(call request, done func(api.Answer)) {
 	sim := u.sim
-	var up []*host
+	var serving []*host
 	for _, h := range sim.hosts {
 		if h.process != nil && (!u.healthyControllersOnly || !sim.store.refuses(h)) {
-			up = append(up, h)
+			serving = append(serving, h)
 		}
 	}
-	if len(up) == 0 {
+	if len(serving) == 0 {
 		sim.after(time.Millisecond, func() { done(api.Answer{}) })
 		return
 	}
-	u.askAt(up[sim.rand.IntN(len(up))].process, call, done)
+	u.askAt(serving[sim.rand.IntN(len(serving))].process, call, done)
 }
 
 // askAt is ask at a certain controller.
-func (u *fakeUsers) askAt(p *process, call request, done func(api.Answer)) {
+func (u *fakeUsers) askAt(process *process, call request, done func(api.Answer)) {
 	sim := u.sim
 	over := false
 	once := func(answer api.Answer) {
@@ -81,9 +81,9 @@
 		}
 	}
 	sim.after(userTimeout, func() { once(api.Answer{}) })
-	sim.after(sim.latency(), p.guard(func() {
-		call(p.controller, func(answer api.Answer) {
-			sim.trace.answered(p.host.name, kindUserAnswer, answer)
+	sim.after(sim.latency(), process.guard(func() {
+		call(process.controller, func(answer api.Answer) {
+			sim.trace.answered(process.host.name, kindUserAnswer, answer)
 			sim.after(sim.latency(), func() { once(answer) })
 		})
 	}))
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -135,19 +135,19 @@
 
 // buildWorld reads the world of a scenario and starts its controllers.
 func buildWorld(declared []string, seed uint64, log io.Writer) (*simulation, error) {
-	w := defaultWorld()
+	planned := defaultWorld()
 	for _, text := range declared {
 		line := parseStatement(text)
 		declare, ok := declarations[line.verb]
 		if !ok {
 			return nil, &LineError{File: fileWorld, Line: text, Err: ErrUnknownVerb}
 		}
-		declare(w, line)
+		declare(planned, line)
 		if line.err != nil {
 			return nil, &LineError{File: fileWorld, Line: text, Err: line.err}
 		}
 	}
-	return w.start(seed, log), nil
+	return planned.start(seed, log), nil
 }
 
 // start makes the world and starts its controllers.
