--- a/internal/coordination/agents.go
+++ b/internal/coordination/agents.go
@@ -8,27 +8,27 @@
 
 // OnAgentHeartbeat answers an agent's heartbeat. The holder of its shard takes it in and
 // answers with commands; other controllers name the holder, or have the agent come back.
-func (n *Controller) OnAgentHeartbeat(r *protocol.AgentHeartbeat, reply func(api.Answer)) {
-	if !n.replica.Ready() {
-		reply(refuseHeartbeat(r, api.ErrStarting))
+func (c *Controller) OnAgentHeartbeat(heartbeat *protocol.AgentHeartbeat, reply func(api.Answer)) {
+	if !c.replica.Ready() {
+		reply(refuseHeartbeat(heartbeat, api.ErrStarting))
 		return
 	}
-	_, machine := n.view.Machines.Find(r.Machine)
+	_, machine := c.replica.View.Machines.Find(heartbeat.Machine)
 	if machine == nil || machine.Group == "" {
-		n.reporter.AddUnrecorded(r)
-		reply(refuseHeartbeat(r, api.ErrMachineUnknown))
+		c.reporter.AddUnrecorded(heartbeat)
+		reply(refuseHeartbeat(heartbeat, api.ErrMachineUnknown))
 		return
 	}
-	if !machine.Exists() || machine.Shard < 0 || machine.Shard >= n.shardCount {
-		reply(refuseHeartbeat(r, api.ErrMachineGone))
+	if !machine.Exists() || machine.Shard < 0 || machine.Shard >= len(c.controllers) {
+		reply(refuseHeartbeat(heartbeat, api.ErrMachineGone))
 		return
 	}
-	n.leases.NoteAgentHeard(machine.Shard)
-	if !n.leases.Holds(machine.Shard) {
-		reply(n.redirectAgent(r, machine))
+	c.leases.NoteAgentHeard(machine.Shard)
+	if !c.leases.Holds(machine.Shard) {
+		reply(c.redirectAgent(heartbeat, machine))
 		return
 	}
-	err := n.reconciler.OnHeartbeat(machine, r, func(answer protocol.AgentHeartbeatAnswer) {
+	err := c.reconciler.OnHeartbeat(machine, heartbeat, func(answer protocol.AgentHeartbeatAnswer) {
 		reply(api.OK(answer))
 	})
 	if err != nil {
@@ -37,16 +37,16 @@
 }
 
 // refuseHeartbeat asks an agent to come back, for a reason.
-func refuseHeartbeat(r *protocol.AgentHeartbeat, reason api.RetryReason) api.Answer {
-	return api.FromError(&api.RetryLaterError{Reason: reason, Machine: r.Machine})
+func refuseHeartbeat(heartbeat *protocol.AgentHeartbeat, reason api.RetryReason) api.Answer {
+	return api.FromError(&api.RetryLaterError{Reason: reason, Machine: heartbeat.Machine})
 }
 
 // redirectAgent names the holder of a machine's shard to its agent.
-func (n *Controller) redirectAgent(r *protocol.AgentHeartbeat, machine *storage.Machine) api.Answer {
-	grant := &n.view.Grants[machine.Shard]
-	if grant.Version == 0 || grant.Controller == n.Settings.Controller {
-		return refuseHeartbeat(r, api.ErrNoHolder)
+func (c *Controller) redirectAgent(heartbeat *protocol.AgentHeartbeat, machine *storage.Machine) api.Answer {
+	grant := &c.replica.View.Grants[machine.Shard]
+	if grant.Version == 0 || grant.Controller == c.Settings.Controller {
+		return refuseHeartbeat(heartbeat, api.ErrNoHolder)
 	}
-	n.Log.Debug("agent redirected", "machine", r.Machine, "holder", grant.Controller)
-	return api.FromError(&api.ElsewhereError{Machine: r.Machine, Controller: grant.Controller})
+	c.Log.Debug("agent redirected", "machine", heartbeat.Machine, "holder", grant.Controller)
+	return api.FromError(&api.ElsewhereError{Machine: heartbeat.Machine, Controller: grant.Controller})
 }
--- a/internal/coordination/budget.go
+++ b/internal/coordination/budget.go
@@ -7,16 +7,16 @@
 
 // updateWriteBudget gives this controller its part of the writes that all controllers
 // share, by what it does now.
-func (n *Controller) updateWriteBudget() {
-	rate := n.role().WriteShare() * n.committer.Limits().WriteRate
-	n.committer.Budget.SetRate(max(1, rate))
+func (c *Controller) updateWriteBudget() {
+	rate := c.role().WriteShare() * c.committer.Limits().WriteRate
+	c.committer.Budget.SetRate(max(1, rate))
 }
 
-func (n *Controller) role() kv.Role {
-	role := kv.Role{Leading: n.leadership != nil, JobShards: n.view.JobShards}
-	for shard := range n.view.JobShards {
+func (c *Controller) role() kv.Role {
+	role := kv.Role{Leading: c.leader != nil, JobShards: c.replica.View.JobShards}
+	for shard := range c.replica.View.JobShards {
 		switch {
-		case !n.leases.Holds(shard):
+		case !c.leases.Holds(shard):
 		case shard == storage.BatchShard:
 			role.HoldsBatchShard = true
 		default:
--- a/internal/coordination/holder_test.go
+++ b/internal/coordination/fixture_test.go
@@ -14,7 +14,8 @@
 	"rockrun/internal/storage"
 )
 
-// bench is a node whose every neighbour is written down here.
+// testController is a controller whose surroundings do what a test says: it is its clock, its
+// store, its agents and its peers.
 type testController struct {
 	t               testing.TB
 	controller      *Controller
@@ -26,8 +27,7 @@
 	revision        uint64
 	watched         bool              // the changes have been read
 	elected         bool              // leases are opened for campaigns
-	store           *storeSwitch      // what the controller takes for the key-value store
-	values          map[string][]byte // what the state service holds
+	values          map[string][]byte // what the store holds
 }
 
 func (b *testController) Now() time.Duration                               { return b.now }
@@ -89,29 +89,25 @@
 }
 func (b *testController) Ask(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {}
 
-// firstPage is the first page of the only home.
+// firstPage is the first page of the only job shard.
 var firstPage = storage.PageID{}
 
 const grantToken = 5<<44 | 1<<24
 
-// storeSwitch is a key-value store that a test can replace by another.
-type storeSwitch struct{ kv.Store }
-
 // newTestController makes a controller that holds one machine under a fresh grant; the record
 // of an earlier holder says that run-1/0 may be on it.
 func newTestController(t testing.TB, intents ...string) *testController {
 	b := &testController{t: t, now: time.Minute, values: map[string][]byte{}}
-	b.store = &storeSwitch{b}
 	b.controller = New(Config{
 		Settings: &config.Settings{Controller: "a", Cluster: config.Cluster{
 			Teams:   []config.Team{{Name: "red", MaxCPUs: 8}},
 			Agents:  config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60},
 			KVStore: config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 100, ValueKiB: 8, TransactionOperations: 8},
 		}},
-		Options: config.DefaultOptions(), Clock: b, Store: b.store, Agents: b, Peers: b,
+		Options: config.DefaultOptions(), Clock: b, Store: b, Agents: b, Peers: b,
 		Rand: rand.New(rand.NewPCG(1, 2)), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	b.controller.begin()
+	b.controller.beginGeneration()
 	b.grantShard(intents...)
 	return b
 }
@@ -154,18 +150,18 @@
 func (b *testController) put(key string, value []byte) {
 	b.t.Helper()
 	b.values[key] = value
-	if err := b.controller.view.Apply(key, value, b.revision); err != nil {
+	if err := b.controller.replica.View.Apply(key, value, b.revision); err != nil {
 		b.t.Fatal(err)
 	}
 }
 
-// carryOut carries out the transactions that were sent, in their order. They are not
-// answered: the cache shows what came of them.
+// applyTransactions applies the transactions that were sent, in their order. They are not
+// answered: the view shows what came of them.
 func (b *testController) applyTransactions() {
 	b.t.Helper()
-	txns := b.transactions
+	sent := b.transactions
 	b.transactions = nil
-	for _, t := range txns {
+	for _, t := range sent {
 		b.withinLimits(t)
 		b.revision++
 		for _, op := range t.Operations {
@@ -174,7 +170,7 @@
 				continue
 			}
 			delete(b.values, op.Delete)
-			b.controller.view.Remove(op.Delete, b.revision)
+			b.controller.replica.View.Remove(op.Delete, b.revision)
 		}
 		b.advance(b.revision)
 	}
@@ -183,82 +179,51 @@
 // withinLimits fails where a transaction is over the limits in force.
 func (b *testController) withinLimits(t protocol.Transaction) {
 	b.t.Helper()
-	l := b.controller.committer.Limits()
-	if largest := kv.LargestValue(t); largest > l.ValueBytes || len(t.Operations) > l.Operations || len(t.Conditions) > l.Conditions {
-		b.t.Errorf("over the limits %+v: largest value %d, %d changes, %d conditions", l, largest, len(t.Operations), len(t.Conditions))
+	limits := b.controller.committer.Limits()
+	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Conditions) > limits.Conditions {
+		b.t.Errorf("over the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
 	}
 }
 
-// fresh renews what the node knows and holds.
+// refreshKnowledge renews what the controller knows, and its leases.
 func (b *testController) refreshKnowledge() {
 	b.controller.replica.Apply(protocol.Changes{}, b.now)
 	b.extendLeases(testLease)
 }
 
-// testLease is for how long the controller may act once its leases are extended.
+// testLease is how long the controller may act once its leases are extended.
 const testLease = time.Minute
 
 // extendLeases lets the controller act for all its shards for so long.
 func (b *testController) extendLeases(d time.Duration) {
-	for shard := range b.controller.view.Grants {
+	for shard := range b.controller.replica.View.Grants {
 		b.controller.leases.Extend(shard, b.now+d-b.controller.shardLease)
 	}
 }
 
-// report hands a report to the node and returns the answer.
-func (b *testController) report(seq, token uint64, tasks ...protocol.TaskStatus) api.Answer {
+// heartbeat hands the machine's heartbeat to the controller and returns the answer.
+func (b *testController) heartbeat(sequence, token uint64, tasks ...protocol.TaskStatus) api.Answer {
 	b.t.Helper()
 	var got api.Answer
-	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: seq, FencingToken: token, Tasks: tasks}
+	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: sequence, FencingToken: token, Tasks: tasks}
 	b.controller.OnAgentHeartbeat(r, func(a api.Answer) { got = a })
 	return got
 }
 
+// inherited is the intent of an attempt that an earlier holder has started.
 var inherited = storage.IntentEntry(0, "m-1", 9)
 
-// TestLastAttemptNumber: a holder that has used up the attempt numbers of its grant starts
-// over instead of beginning anew below those that the records name, where an attempt that
-// is over would be taken for the later one.
-func TestLastAttemptNumber(t *testing.T) {
-	b := newTestController(t)
-	b.controller.maxAttempts = 1
-	b.watched = false
-	b.controller.begin()
-	b.grantShard()
-	before := b.controller.replica.Incarnation
-	b.report(1, grantToken)
-	if b.controller.tick(); b.controller.replica.Incarnation != before {
-		t.Fatal("it started over with an attempt number left")
-	}
-	b.runTimers()
-	if tasks := b.statuses()["m-1"].Tasks; tasks != 1 || !b.controller.reconciler.AttemptsExhausted() {
-		t.Fatalf("%d tasks are planned", tasks)
-	}
-	b.controller.tick()
-	if b.controller.replica.Incarnation <= before || b.controller.replica.Ready() || b.controller.reconciler.AttemptsExhausted() {
-		t.Errorf("incarnation %d after %d, ready %v", b.controller.replica.Incarnation, before, b.controller.replica.Ready())
-	}
-	if b.controller.leases.Holds(0) {
-		t.Error("it still holds what its former incarnation was granted")
-	}
-}
-
-// TestHeartbeatAllocations: a heartbeat without news is what a controller gets most of. It
-// must cost next to nothing to answer.
-func TestHeartbeatAllocations(t *testing.T) {
-	b := newTestController(t, inherited)
-	b.report(1, grantToken, running)
-	b.runTimers() // what the first heartbeat asked for is sent
-	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: 1, FencingToken: grantToken, Tasks: []protocol.TaskStatus{running}}
-	reply := func(a api.Answer) {
-		if a.Status != 200 {
-			t.Fatalf("status %d", a.Status)
-		}
-	}
-	if n := testing.AllocsPerRun(200, func() {
-		r.Sequence++
-		b.controller.OnAgentHeartbeat(r, reply)
-	}); n > 2 {
-		t.Errorf("%v allocations for a heartbeat without news", n)
+// becomeLeader makes the controller the leader.
+func (b *testController) becomeLeader() {
+	b.t.Helper()
+	b.apply(storage.KeyTerm, storage.TermRecord{Term: 5})
+	b.elected = true
+	b.controller.elector.Tick()
+	b.now += time.Second // more than candidates wait
+	b.controller.elector.Tick()
+	b.applyTransactions()
+	b.controller.elector.ObserveRecord()
+	if b.controller.leader == nil {
+		b.t.Fatal("it does not lead")
 	}
 }
--- /dev/null
+++ b/internal/coordination/generation.go
@@ -0,0 +1,162 @@
+package coordination
+
+import (
+	"time"
+
+	"rockrun/internal/config"
+	"rockrun/internal/coordination/election"
+	"rockrun/internal/coordination/jobs"
+	"rockrun/internal/coordination/loop"
+	"rockrun/internal/coordination/membership"
+	"rockrun/internal/coordination/reconcile"
+	"rockrun/internal/coordination/replica"
+	"rockrun/internal/coordination/sharding"
+	"rockrun/internal/protocol"
+	"rockrun/internal/storage"
+)
+
+// beginGeneration starts a new generation with an empty view. It is used at the start and
+// whenever the controller has lost track of the store's changes; what an earlier generation
+// held is granted anew under a higher token, which fences whatever it left behind.
+func (c *Controller) beginGeneration() {
+	former := &replica.Replica{}
+	if c.replica != nil {
+		former = c.replica
+		c.generation.End()
+	}
+	c.generation = loop.NewGeneration(c.Clock, c.Rand)
+	c.committer.BeginGeneration(c.generation)
+	c.beginReplica(former)
+	c.leader = nil
+	c.leases = sharding.NewLeases(sharding.LeasesConfig{
+		Generation:   c.generation,
+		Replica:      c.replica,
+		ShardLease:   c.shardLease,
+		MaxStaleness: c.maxStaleness,
+	})
+	c.beginReconciler()
+	c.beginMembership()
+	c.beginElection()
+	c.beginJobs()
+	for _, done := range former.Abandon() {
+		done(protocol.ErrNotExecuted)
+	}
+	c.replica.Start()
+}
+
+// beginReplica makes the replica of a generation, after that of the former one.
+func (c *Controller) beginReplica(former *replica.Replica) {
+	limits := c.Settings.Cluster.KVStore.Limits()
+	c.replica = replica.New(replica.Config{
+		Generation:    c.generation,
+		Store:         c.Store,
+		View:          storage.NewView(c.teams(), len(c.controllers)),
+		Controller:    c.Settings.Controller,
+		Incarnation:   c.nextIncarnation(former.Incarnation),
+		WatchPause:    watchPause(len(c.controllers), limits),
+		SyncNotBefore: former.NextSyncAt(),
+		Log:           c.Log,
+		OnChange:      c.recordsChanged,
+		OnCompacted:   c.beginGeneration,
+	})
+}
+
+// teams are the teams of the settings.
+func (c *Controller) teams() []storage.Team {
+	teams := make([]storage.Team, 0, len(c.Settings.Cluster.Teams))
+	for _, t := range c.Settings.Cluster.Teams {
+		teams = append(teams, storage.Team{
+			Name:           t.Name,
+			GuaranteedCPUs: t.GuaranteedCPUs,
+			MaxCPUs:        t.MaxCPUs,
+			GuaranteedGPUs: t.GuaranteedGPUs,
+			MaxGPUs:        t.MaxGPUs,
+		})
+	}
+	return teams
+}
+
+// watchPause is the pause between two reads of the changes with which all controllers
+// together use a quarter of the requests that the store allows.
+func watchPause(controllers int, limits config.StoreLimits) time.Duration {
+	const (
+		shareDivisor = 4
+		minPause     = 20 * time.Millisecond
+	)
+	return max(minPause, time.Duration(shareDivisor*float64(controllers)/limits.RequestRate*float64(time.Second)))
+}
+
+// nextIncarnation draws an incarnation above the former one: the time of day in the high
+// bits, chance in the low ones.
+func (c *Controller) nextIncarnation(former uint64) uint64 {
+	const randomBits = 20
+	return max(former+1, uint64(c.Clock.Wall().UnixMilli())<<randomBits|c.Rand.Uint64N(1<<randomBits))
+}
+
+// beginReconciler makes what runs the tasks of the shards held.
+func (c *Controller) beginReconciler() {
+	c.reconciler = reconcile.New(reconcile.Config{
+		Generation:    c.generation,
+		Replica:       c.replica,
+		View:          c.replica.View,
+		Committer:     c.committer,
+		Leases:        c.leases,
+		Agents:        c.Agents,
+		Outcomes:      c.jobs,
+		Log:           c.Log,
+		AgentSettings: c.Settings.Cluster.Agents,
+		Objectives:    c.Settings.Cluster.Objectives,
+		MaxStaleness:  c.maxStaleness,
+		MaxAttempts:   c.maxAttempts,
+		EndOfPass: func() {
+			c.stats.passes.Add(1)
+			c.jobs.WriteCancelledDependents()
+		},
+	})
+}
+
+// beginMembership makes what tells the leader about this controller.
+func (c *Controller) beginMembership() {
+	healthyPeers := 0
+	if c.reporter != nil {
+		healthyPeers = c.reporter.LastHealthyPeers()
+	}
+	c.reporter = membership.NewReporter(membership.ReporterConfig{
+		Generation:   c.generation,
+		Replica:      c.replica,
+		Committer:    c.committer,
+		Peers:        c.Peers,
+		Leases:       c.leases,
+		Holdings:     c.reconciler,
+		ShardLease:   c.shardLease,
+		HealthyPeers: healthyPeers,
+		Log:          c.Log,
+		Registry:     c.registry,
+	})
+}
+
+// beginElection makes what campaigns for this controller.
+func (c *Controller) beginElection() {
+	c.elector = election.New(election.Config{
+		Generation:   c.generation,
+		Store:        c.Store,
+		Committer:    c.committer,
+		Replica:      c.replica,
+		MaxStaleness: c.maxStaleness,
+		Log:          c.Log,
+		OnElected:    c.beginLeadership,
+		OnDeposed:    func() { c.leader = nil },
+	})
+}
+
+// beginJobs tells the service of jobs about the generation.
+func (c *Controller) beginJobs() {
+	c.jobs.BeginGeneration(jobs.GenerationConfig{
+		Generation:    c.generation,
+		Replica:       c.replica,
+		View:          c.replica.View,
+		Leases:        c.leases,
+		Reconciler:    c.reconciler,
+		NeedsOutcomes: func() bool { return c.leader != nil || c.reconciler.HoldsJobShards() },
+	})
+}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -9,11 +9,10 @@
 	"rockrun/internal/protocol"
 )
 
-// leadership is what this controller runs while it is the leader. Every leader builds it
-// anew from heartbeats and the cloud's list.
-type leadership struct {
-	*election.Leadership
-	controller  *Controller
+// leader is what this controller runs while it is the leader. Every leader builds it anew
+// from heartbeats and the cloud's list.
+type leader struct {
+	leadership  *election.Leadership
 	members     *membership.Registry
 	assigner    *sharding.Assigner
 	splitter    *quota.Splitter
@@ -21,57 +20,57 @@
 }
 
 // beginLeadership takes up the leadership that this controller has gained.
-func (n *Controller) beginLeadership(won *election.Leadership) {
-	agents := n.Settings.Cluster.Agents
-	l := &leadership{Leadership: won, controller: n}
-	l.members = membership.NewRegistry(membership.RegistryConfig{
-		Generation:  n.generation,
-		Replica:     n.replica,
+func (c *Controller) beginLeadership(won *election.Leadership) {
+	agents := c.Settings.Cluster.Agents
+	leading := &leader{leadership: won}
+	leading.members = membership.NewRegistry(membership.RegistryConfig{
+		Generation:  c.generation,
+		Replica:     c.replica,
 		Leadership:  won,
-		Controllers: n.controllers,
+		Controllers: c.controllers,
 		Agents:      agents,
-		ShardLease:  n.shardLease,
+		ShardLease:  c.shardLease,
 		OnUnrecordedAgent: func(h *protocol.AgentHeartbeat) {
-			l.provisioner.OnUnrecordedHeartbeat(h)
+			leading.provisioner.OnUnrecordedHeartbeat(h)
 		},
 	})
-	l.assigner = sharding.NewAssigner(sharding.AssignerConfig{
-		Generation:  n.generation,
-		Replica:     n.replica,
-		Committer:   n.committer,
+	leading.assigner = sharding.NewAssigner(sharding.AssignerConfig{
+		Generation:  c.generation,
+		Replica:     c.replica,
+		Committer:   c.committer,
 		Leadership:  won,
-		Members:     l.members,
-		Controllers: n.controllers,
+		Members:     leading.members,
+		Controllers: c.controllers,
 		Agents:      agents,
-		JobShards:   n.Options.JobShards,
-		ShardLease:  n.shardLease,
-		Log:         n.Log,
+		JobShards:   c.Options.JobShards,
+		ShardLease:  c.shardLease,
+		Log:         c.Log,
 	})
-	l.splitter = quota.NewSplitter(quota.SplitterConfig{
-		Generation: n.generation,
-		Replica:    n.replica,
-		Committer:  n.committer,
+	leading.splitter = quota.NewSplitter(quota.SplitterConfig{
+		Generation: c.generation,
+		Replica:    c.replica,
+		Committer:  c.committer,
 		Leadership: won,
-		Members:    l.members,
+		Members:    leading.members,
 	})
-	l.provisioner = provisioning.New(provisioning.Config{
-		Generation: n.generation,
-		Replica:    n.replica,
-		Committer:  n.committer,
+	leading.provisioner = provisioning.New(provisioning.Config{
+		Generation: c.generation,
+		Replica:    c.replica,
+		Committer:  c.committer,
 		Leadership: won,
-		Members:    l.members,
-		Cloud:      n.Cloud,
-		Cluster:    &n.Settings.Cluster,
-		Options:    n.Options,
-		Log:        n.Log,
+		Members:    leading.members,
+		Cloud:      c.Cloud,
+		Cluster:    &c.Settings.Cluster,
+		Options:    c.Options,
+		Log:        c.Log,
 	})
-	n.leadership = l
-	n.reporter.SendHeartbeat()
+	c.leader = leading
+	c.reporter.SendHeartbeat()
 }
 
 // tick does what a leader does at intervals.
-func (l *leadership) tick() {
-	if !l.Tick() {
+func (l *leader) tick() {
+	if !l.leadership.Tick() {
 		return
 	}
 	l.members.ApplyLiveness()
@@ -83,9 +82,9 @@
 
 // registry is the leader's registry of the controllers, or nil where this controller does
 // not lead.
-func (n *Controller) registry() *membership.Registry {
-	if n.leadership == nil {
+func (c *Controller) registry() *membership.Registry {
+	if c.leader == nil {
 		return nil
 	}
-	return n.leadership.members
+	return c.leader.members
 }
--- a/internal/coordination/operator_status.go
+++ b/internal/coordination/operator_status.go
@@ -21,21 +21,21 @@
 
 // Autoscaler describes the autoscaler's state and, on the leader, its last decisions. It
 // must be called on the controller's goroutine.
-func (n *Controller) Autoscaler() (Status, []provisioning.Decision) {
+func (c *Controller) Autoscaler() (Status, []provisioning.Decision) {
 	status := Status{
-		Node:    n.Settings.Controller,
-		Leader:  n.view.Leader.Controller,
-		Term:    n.view.Term,
-		Leading: n.leadership != nil,
-		Ready:   n.replica.Ready(),
-		Target:  n.view.ScalingTarget.Target,
+		Node:    c.Settings.Controller,
+		Leader:  c.replica.View.Leader.Controller,
+		Term:    c.replica.View.Term,
+		Leading: c.leader != nil,
+		Ready:   c.replica.Ready(),
+		Target:  c.replica.View.ScalingTarget.Target,
 	}
-	n.view.Machines.All(func(_ int, m *storage.Machine) {
+	c.replica.View.Machines.All(func(_ int, m *storage.Machine) {
 		if m.Exists() {
 			status.Fleet++
 		}
 	})
-	n.view.Jobs.All(func(_ int, j *storage.Job) {
+	c.replica.View.Jobs.All(func(_ int, j *storage.Job) {
 		switch {
 		case j.Ended():
 		case j.AwaitsDependencies():
@@ -46,8 +46,8 @@
 			status.Blocked += j.OpenTasks()
 		}
 	})
-	if n.leadership == nil {
+	if c.leader == nil {
 		return status, []provisioning.Decision{}
 	}
-	return status, n.leadership.provisioner.History()
+	return status, c.leader.provisioner.History()
 }
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -5,52 +5,55 @@
 	"time"
 )
 
-// gaugesEvery is how often the gauges are counted anew: it takes a walk through all
-// unfinished jobs and, on the leader, through all blocks.
+// gaugeInterval is how often the gauges are counted anew: it takes a walk through all
+// unfinished jobs and, on the leader, through all machine groups.
 const gaugeInterval = 10 * time.Second
 
-// stats are counts of a node that other goroutines may read.
+// stats are counts of a controller that other goroutines may read.
 type stats struct {
 	passes                   atomic.Uint64
 	jobsAwaitingDependencies atomic.Int64
 	oversizedValues          atomic.Int64
-	nextGaugesAt             time.Duration // when to count waiting and oversized again
+	nextGaugesAt             time.Duration // when the gauges are counted again
 }
 
-// Stats are a node's counts.
+// Stats are a controller's counts.
 type Stats struct {
-	Passes                    uint64 // passes over all that it holds
-	JobsReleased              uint64 // jobs of its homes that could start since the last job that they need was done
-	JobsCancelledByDependency uint64 // jobs of its homes that were cancelled with one that they need
-	JobsAwaitingDependencies  int64  // unfinished jobs of its homes that wait for others
-	OversizedValues           int64  // values of its homes and, on the leader, blocks that are over the limit in force
+	Passes                    uint64 // reconcile passes
+	JobsReleased              uint64 // jobs of its shards whose last dependency was done
+	JobsCancelledByDependency uint64 // jobs of its shards that were cancelled with a dependency
+	JobsAwaitingDependencies  int64  // unfinished jobs of its shards that wait for dependencies
+	OversizedValues           int64  // values of its shards and, on the leader, machine groups over the limit in force
 }
 
 // Stats returns the counts; it may be called from any goroutine.
-func (n *Controller) Stats() Stats {
-	jobs := n.jobs.Counters()
+func (c *Controller) Stats() Stats {
+	counters := c.jobs.Counters()
 	return Stats{
-		Passes: n.stats.passes.Load(), JobsReleased: jobs.Released, JobsCancelledByDependency: jobs.CancelledWithAnother,
-		JobsAwaitingDependencies: n.stats.jobsAwaitingDependencies.Load(), OversizedValues: n.stats.oversizedValues.Load(),
+		Passes:                    c.stats.passes.Load(),
+		JobsReleased:              counters.Released,
+		JobsCancelledByDependency: counters.CancelledWithAnother,
+		JobsAwaitingDependencies:  c.stats.jobsAwaitingDependencies.Load(),
+		OversizedValues:           c.stats.oversizedValues.Load(),
 	}
 }
 
 // refreshGauges counts what the gauges show.
-func (n *Controller) refreshGauges() {
-	if n.now() < n.stats.nextGaugesAt {
+func (c *Controller) refreshGauges() {
+	if c.Clock.Now() < c.stats.nextGaugesAt {
 		return
 	}
-	n.stats.nextGaugesAt = n.now() + gaugeInterval
-	n.stats.jobsAwaitingDependencies.Store(n.jobs.CountAwaitingDependencies())
-	n.stats.oversizedValues.Store(n.countOversized())
+	c.stats.nextGaugesAt = c.Clock.Now() + gaugeInterval
+	c.stats.jobsAwaitingDependencies.Store(c.jobs.CountAwaitingDependencies())
+	c.stats.oversizedValues.Store(c.countOversized())
 }
 
-// countOversized counts the values that this node would have to make smaller before it
+// countOversized counts the values that this controller would have to make smaller before it
 // could write them again.
-func (n *Controller) countOversized() int64 {
-	count := n.reconciler.OversizedValues()
-	if n.leadership != nil {
-		count += n.leadership.provisioner.OversizedGroups()
+func (c *Controller) countOversized() int64 {
+	count := c.reconciler.OversizedValues()
+	if c.leader != nil {
+		count += c.leader.provisioner.OversizedGroups()
 	}
 	return int64(count)
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -9,24 +9,24 @@
 const minHealthyPeers = 2
 
 // Submit takes a job, see jobs.Service.
-func (n *Controller) Submit(body []byte, reply func(api.Answer)) { n.jobs.Submit(body, reply) }
+func (c *Controller) Submit(body []byte, reply func(api.Answer)) { c.jobs.Submit(body, reply) }
 
 // Status answers a user's question about a job, see jobs.Service.
-func (n *Controller) Status(id string, reply func(api.Answer)) { n.jobs.Status(id, reply) }
+func (c *Controller) Status(id string, reply func(api.Answer)) { c.jobs.Status(id, reply) }
 
 // Cancel cancels a job, see jobs.Service.
-func (n *Controller) Cancel(id string, reply func(api.Answer)) { n.jobs.Cancel(id, reply) }
+func (c *Controller) Cancel(id string, reply func(api.Answer)) { c.jobs.Cancel(id, reply) }
 
 // Healthy reports whether users had better come here: the controller can take requests,
 // and it is not the one whose processor nearly all of the agents' heartbeats and commands
 // go through while others are well. Who comes all the same is served.
-func (n *Controller) Healthy() bool {
-	return n.replica.Ready() && !n.generation.Stopping() && n.replica.Staleness() < n.maxStaleness && !n.prefersUsersElsewhere()
+func (c *Controller) Healthy() bool {
+	return c.replica.Ready() && !c.generation.Stopping() && c.replica.Staleness() < c.maxStaleness && !c.prefersUsersElsewhere()
 }
 
 // prefersUsersElsewhere reports whether this controller leaves users to others: it holds
 // the batch shard, beside other job shards, and the leader has lately said that at least
 // two others are well. Where the leader is gone or few are left, it doesn't.
-func (n *Controller) prefersUsersElsewhere() bool {
-	return n.view.JobShards > 1 && n.leases.Holds(storage.BatchShard) && n.reporter.KnownHealthyPeers() >= minHealthyPeers
+func (c *Controller) prefersUsersElsewhere() bool {
+	return c.replica.View.JobShards > 1 && c.leases.Holds(storage.BatchShard) && c.reporter.KnownHealthyPeers() >= minHealthyPeers
 }
