--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -72,23 +72,23 @@
 }
 
 // New makes a controller; Start sets it going.
-func New(config Config) *Controller {
-	agents := config.Settings.Cluster.Agents
-	peers := peerNames(config.Settings)
+func New(parts Config) *Controller {
+	agents := parts.Settings.Cluster.Agents
+	peers := peerNames(parts.Settings)
 	c := &Controller{
-		Config:       config,
-		controllers:  append(slices.Clone(peers), config.Settings.Controller),
-		shardLease:   config.Options.ShardLease(agents),
+		Config:       parts,
+		controllers:  append(slices.Clone(peers), parts.Settings.Controller),
+		shardLease:   parts.Options.ShardLease(agents),
 		maxStaleness: agents.MaxStaleness(),
-		committer:    kv.NewCommitter(config.Store, config.Settings.Cluster.KVStore.Limits(), config.Log),
+		committer:    kv.NewCommitter(parts.Store, parts.Settings.Cluster.KVStore.Limits(), parts.Log),
 	}
 	slices.Sort(c.controllers)
 	c.jobs = jobs.New(jobs.Config{
-		Store:     config.Store,
+		Store:     parts.Store,
 		Committer: c.committer,
-		Peers:     config.Peers,
+		Peers:     parts.Peers,
 		PeerNames: peers,
-		Log:       config.Log,
+		Log:       parts.Log,
 	})
 	return c
 }
