--- a/internal/protocol/agent_test.go
+++ b/internal/protocol/agent_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// bad are bodies that are wrong in one way or look so. What is made of them must
-// be what the standard library makes of them: the faster one that reads reports
-// and answers is not to be laxer.
-var bad = []string{
+// oddHeartbeats are bodies that are wrong in one way or look so. What is made of them must be
+// what the standard library makes of them: the faster one that reads heartbeats and answers is
+// not to be laxer.
+var oddHeartbeats = []string{
 	``, ` `, `null`, `[]`, `{}`, `"x"`, `{`, `{"host":"m"`, `{"host":"m"}x`, `{"host":"m"} {}`, `{"host":"m",}`, `{'host':"m"}`,
 	`{"host":1}`, `{"host":null}`, `{"host":"m","host":"n"}`, `{"HOST":"m"}`, `{"host":"m" "tick":1}`, `{"host":"m","tick":-1}`,
 	`{"tick":1.5}`, `{"tick":1e3}`, `{"tick":"1"}`, `{"tick":01}`, `{"tick":+1}`, `{"tick":18446744073709551615}`,
@@ -20,14 +20,15 @@
 	"\ufeff{}", "{\"host\":\"m\"}\x00", `{"x":1}}`, `{"x"}`, `{:1}`, `{"a":1,,"b":2}`, `{"tick":1,"shift":2,"host":"m","more":{"deep":[[[[]]]]}}`,
 }
 
-func TestBadReports(t *testing.T) {
-	for _, body := range bad {
+// TestOddHeartbeats: no body is read otherwise than by the standard library.
+func TestOddHeartbeats(t *testing.T) {
+	for _, body := range oddHeartbeats {
 		var want AgentHeartbeat
 		wantErr := json.Unmarshal([]byte(body), &want)
 		got, err := ParseAgentHeartbeat([]byte(body))
 		switch {
 		case wantErr != nil && err == nil:
-			t.Errorf("%q is taken for %+v; it is not JSON of a report: %v", body, got, wantErr)
+			t.Errorf("%q is taken for %+v; it is not JSON of a heartbeat: %v", body, got, wantErr)
 		case wantErr == nil && want.Machine != "" && want.Epoch != 0 && err != nil:
 			t.Errorf("%q: %v", body, err)
 		case err == nil && !reflect.DeepEqual(*got, want):
@@ -36,9 +37,9 @@
 	}
 }
 
-// FuzzReport looks for bodies that are read otherwise than by the standard library.
-func FuzzReport(f *testing.F) {
-	for _, body := range bad {
+// FuzzHeartbeat looks for bodies that are read otherwise than by the standard library.
+func FuzzHeartbeat(f *testing.F) {
+	for _, body := range oddHeartbeats {
 		f.Add([]byte(body))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -54,19 +55,30 @@
 	})
 }
 
-func TestValidJobID(t *testing.T) {
-	for id, want := range map[string]bool{
-		"run-0": true, "run-000412": true, "run-123456789012345678": true, "run-1234567890123456789": false,
-		"run-": false, "run-1a": false, "run- 1": false, "run--1": false, "Run-1": false, "xrun-1": false, "run-1\n": false, "run-١": false, "": false,
-	} {
-		if ValidJobID(id) != want {
-			t.Errorf("%q: %t", id, !want)
+// TestParseAgentHeartbeat: a heartbeat names a machine and an epoch, and the newer of two is
+// told by epoch and sequence.
+func TestParseAgentHeartbeat(t *testing.T) {
+	if _, err := ParseAgentHeartbeat([]byte(`{"host":"m-1","shift":1,"tick":3,"pieces":null}`)); err != nil {
+		t.Error(err)
+	}
+	for _, body := range []string{"", "{}", `{"host":"m 1","shift":1}`, `{"host":"m-1"}`, `{"host":"m-1","shift":-1}`} {
+		if _, err := ParseAgentHeartbeat([]byte(body)); err == nil {
+			t.Errorf("%q was taken for a heartbeat", body)
+		}
+	}
+	heartbeat := AgentHeartbeat{Epoch: 2, Sequence: 5}
+	for _, c := range []struct {
+		epoch, sequence uint64
+		newer           bool
+	}{{2, 4, true}, {2, 5, false}, {2, 6, false}, {1, 99, true}, {3, 0, false}} {
+		if heartbeat.NewerThan(c.epoch, c.sequence) != c.newer {
+			t.Errorf("newer than %d, %d: %v", c.epoch, c.sequence, !c.newer)
 		}
 	}
 }
 
-// TestReportAllocations bounds what reading a report costs.
-func TestReportAllocations(t *testing.T) {
+// TestHeartbeatAllocations bounds what reading a heartbeat costs.
+func TestHeartbeatAllocations(t *testing.T) {
 	body := []byte(`{"host":"m-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","loaner":true,"shift":1,"tick":88,"baton":41,"warnS":null,` +
 		`"pieces":[{"piece":"run-000412/3","try":2,"stage":"running"},{"piece":"run-000398/0","try":1,"stage":"ended","cause":"done"}]}`)
 	if n := testing.AllocsPerRun(200, func() {
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -43,13 +43,13 @@
 		{"null where none may be", func(m map[string]any) { m["guessS"] = nil }, false},
 		{"empty list of types", func(m map[string]any) { m["builds"] = []string{} }, false},
 		{"nothing wanted", func(m map[string]any) { m["vcpus"], m["gpus"], m["ramGb"] = 0, 0, 0 }, false},
-		{"no needs", func(m map[string]any) { m["waitsOn"] = nil }, true},
-		{"empty list of needs", func(m map[string]any) { m["waitsOn"] = []string{} }, true},
-		{"needs", func(m map[string]any) { m["waitsOn"] = []string{"run-000398", "run-000405"} }, true},
-		{"needs that are no list", func(m map[string]any) { m["waitsOn"] = "run-000398" }, false},
-		{"needs that are numbers", func(m map[string]any) { m["waitsOn"] = []int{398} }, false},
-		{"a need that is null", func(m map[string]any) { m["waitsOn"] = []any{nil} }, false},
-		{"a need of another form", func(m map[string]any) { m["waitsOn"] = []string{"run-000398", "job-7"} }, false},
+		{"null dependencies", func(m map[string]any) { m["waitsOn"] = nil }, true},
+		{"empty list of dependencies", func(m map[string]any) { m["waitsOn"] = []string{} }, true},
+		{"dependencies", func(m map[string]any) { m["waitsOn"] = []string{"run-000398", "run-000405"} }, true},
+		{"dependencies that are no list", func(m map[string]any) { m["waitsOn"] = "run-000398" }, false},
+		{"dependencies that are numbers", func(m map[string]any) { m["waitsOn"] = []int{398} }, false},
+		{"a dependency that is null", func(m map[string]any) { m["waitsOn"] = []any{nil} }, false},
+		{"a dependency of another form", func(m map[string]any) { m["waitsOn"] = []string{"run-000398", "job-7"} }, false},
 		{"very long name", func(m map[string]any) { m["crew"] = strings.Repeat("x", 201) }, false},
 		{"body too large", func(m map[string]any) { m["pad"] = strings.Repeat("x", MaxBody) }, false},
 	}
@@ -80,9 +80,9 @@
 	}
 }
 
-// A job that is named twice counts once, and no needs are none, however they are left
-// out.
-func TestNeedsAreRead(t *testing.T) {
+// TestDependenciesAreRead: a job that is named twice counts once, and no dependencies are none,
+// however they are left out.
+func TestDependenciesAreRead(t *testing.T) {
 	for _, c := range []struct {
 		given any
 		want  []string
@@ -114,9 +114,9 @@
 // FuzzSubmission: whatever comes is either refused as malformed or read as a job that
 // is written and read again unchanged.
 func FuzzSubmission(f *testing.F) {
-	for _, needs := range []any{nil, []string{"run-1"}, []string{"run-1", "run-1", "x"}, 7, []any{nil}} {
+	for _, dependencies := range []any{nil, []string{"run-1"}, []string{"run-1", "run-1", "x"}, 7, []any{nil}} {
 		m := valid()
-		m["waitsOn"] = needs
+		m["waitsOn"] = dependencies
 		body, err := json.Marshal(m)
 		if err != nil {
 			f.Fatal(err)
@@ -133,7 +133,7 @@
 		}
 		for i, id := range s.Dependencies {
 			if !ValidJobID(id) || slices.Contains(s.Dependencies[:i], id) {
-				t.Fatalf("needs %q", s.Dependencies)
+				t.Fatalf("dependencies %q", s.Dependencies)
 			}
 		}
 		record, err := json.Marshal(s)
@@ -146,34 +146,3 @@
 		}
 	})
 }
-
-func TestReports(t *testing.T) {
-	if _, err := ParseAgentHeartbeat([]byte(`{"host":"m-1","shift":1,"tick":3,"pieces":null}`)); err != nil {
-		t.Error(err)
-	}
-	for _, body := range []string{"", "{}", `{"host":"m 1","shift":1}`, `{"host":"m-1"}`, `{"host":"m-1","shift":-1}`} {
-		if _, err := ParseAgentHeartbeat([]byte(body)); err == nil {
-			t.Errorf("%q was taken for a report", body)
-		}
-	}
-	r := AgentHeartbeat{Epoch: 2, Sequence: 5}
-	for _, c := range []struct {
-		session, seq uint64
-		newer        bool
-	}{{2, 4, true}, {2, 5, false}, {2, 6, false}, {1, 99, true}, {3, 0, false}} {
-		if r.NewerThan(c.session, c.seq) != c.newer {
-			t.Errorf("newer than %d, %d: %v", c.session, c.seq, !c.newer)
-		}
-	}
-}
-
-func TestTaskNames(t *testing.T) {
-	if job, task, err := ParseTaskName(TaskName("run-000412", 3)); err != nil || job != "run-000412" || task != 3 {
-		t.Errorf("%s %d %v", job, task, err)
-	}
-	for _, name := range []string{"", "run-1", "run-1/", "run-1/x", "run-1/-1", "x/1", "run-1/100000"} {
-		if _, _, err := ParseTaskName(name); err == nil {
-			t.Errorf("%q was taken for a task", name)
-		}
-	}
-}
