--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -75,22 +75,22 @@
 func New(parts Config) *Controller {
 	agents := parts.Settings.Cluster.Agents
 	peers := peerNames(parts.Settings)
-	c := &Controller{
+	controller := &Controller{
 		Config:       parts,
 		controllers:  append(slices.Clone(peers), parts.Settings.Controller),
 		shardLease:   parts.Options.ShardLease(agents),
 		maxStaleness: agents.MaxStaleness(),
 		committer:    kv.NewCommitter(parts.Store, parts.Settings.Cluster.KVStore.Limits(), parts.Log),
 	}
-	slices.Sort(c.controllers)
-	c.jobs = jobs.New(jobs.Config{
+	slices.Sort(controller.controllers)
+	controller.jobs = jobs.New(jobs.Config{
 		Store:     parts.Store,
-		Committer: c.committer,
+		Committer: controller.committer,
 		Peers:     parts.Peers,
 		PeerNames: peers,
 		Log:       parts.Log,
 	})
-	return c
+	return controller
 }
 
 // peerNames are the other controllers, in the order of the settings.
