--- a/internal/coordination/provisioning/adoption.go
+++ b/internal/coordination/provisioning/adoption.go
@@ -12,56 +12,57 @@
 	"rockrun/internal/storage"
 )
 
-// writtenGroupPause is the pause after a new group was written: it comes with the changes.
-const writtenGroupPause = time.Second
+// writtenGroupRetryDelay is the delay before a new group that was written successfully is
+// written again: normally the view shows the group before that.
+const writtenGroupRetryDelay = time.Second
 
-// unrecordedMachine is a machine that was found and that no record names.
+// unrecordedMachine is a machine that was found and has no record.
 type unrecordedMachine struct {
 	address, machineType, zone string
 	spot                       bool
 	createdAtMS                int64
 }
 
-// sameKind reports whether two machines may be in one group.
-func (m unrecordedMachine) sameKind(o unrecordedMachine) bool {
-	return m.machineType == o.machineType && m.zone == o.zone && m.spot == o.spot
+// samePool reports whether two machines are of the same pool and may share a group.
+func (m unrecordedMachine) samePool(other unrecordedMachine) bool {
+	return m.machineType == other.machineType && m.zone == other.zone && m.spot == other.spot
 }
 
-// pendingGroup is a machine group that is not in the view yet. It keeps its name until it
-// is, so that a write without an answer can't put a machine into two groups.
+// pendingGroup is a machine group that is not in the view yet. Its ID stays the same until
+// then, so that retrying a write without an answer cannot put a machine into two groups.
 type pendingGroup struct {
 	id     string
 	record storage.MachineGroupRecord
 	write  loop.Call
 }
 
-// adoptions puts machines that no record names into groups: those that were created, and
-// those that were found.
+// adoptions records machines without a record in new machine groups: machines that the leader
+// created, and machines that were found.
 type adoptions struct {
 	*Config
-	found    map[string]unrecordedMachine // not in a group yet
+	found    map[string]unrecordedMachine // by name; not in a group yet
 	groups   []*pendingGroup
-	machines map[string]bool // those of the groups
+	machines map[string]bool // names of the machines in groups
 }
 
 func newAdoptions(c *Config) *adoptions {
 	return &adoptions{Config: c, found: map[string]unrecordedMachine{}, machines: map[string]bool{}}
 }
 
-// adopt takes up a machine that was found, unless it is in a group already.
+// adopt queues a machine that was found, unless it is in a group already.
 func (a *adoptions) adopt(name string, m unrecordedMachine) {
 	if !a.adopted(name) {
 		a.found[name] = m
 	}
 }
 
-// How the leader learned of the machines of a new group, as in log lines.
+// Origins of the machines of a new group: log values.
 const (
-	originCreated = "created" // the cloud's answer to a request
-	originFound   = "found"   // a heartbeat, or the cloud's list
+	originCreated = "created" // named in the cloud's answer to a create request
+	originFound   = "found"   // named in an agent's heartbeat or in the cloud's list
 )
 
-// add makes a group to be recorded.
+// add queues a new group to be recorded.
 func (a *adoptions) add(record storage.MachineGroupRecord, origin string) {
 	record.FencingToken = a.Leadership.NextFencingToken()
 	id := groupID(record.FencingToken)
@@ -75,34 +76,34 @@
 		"origin", origin, "revision", a.Replica.Revision(), "term", a.Leadership.Term())
 }
 
-// addCreated makes groups of machines that were created together. The answer that names them
-// may come long after they are up: those that were found meanwhile stay in the group that
-// they were adopted into. In a second group, of another shard, they would leave their holder
-// without its word that nothing runs on them.
+// addCreated makes groups of machines that were created together. The cloud's answer may
+// arrive long after the machines are up: a machine adopted in the meantime stays in the group
+// that it was adopted into. A second group, in another shard, would take the machine from its
+// holder without the holder's confirmation that the machine is empty.
 func (a *adoptions) addCreated(record storage.MachineGroupRecord, names []string) {
 	names = slices.DeleteFunc(slices.Clone(names), a.adopted)
 	if len(names) == 0 {
 		return
 	}
-	for part := range slices.Chunk(names, a.machinesPerGroup(names[0])) {
+	for chunk := range slices.Chunk(names, a.machinesPerGroup(names[0])) {
 		record.Machines = nil
-		for _, name := range part {
+		for _, name := range chunk {
 			record.Machines = append(record.Machines, storage.MachineEntry{Name: name})
 		}
 		a.add(record, originCreated)
 	}
 }
 
-// adopted reports whether a machine is in a group, be it one that is not in the view yet.
+// adopted reports whether a machine is in a group, including groups not in the view yet.
 func (a *adoptions) adopted(name string) bool {
 	return a.machines[name] || a.findRecorded(name) != nil
 }
 
-// write records the groups of machines that were created or found.
+// write records the pending groups of machines that were created or found.
 func (a *adoptions) write() {
 	now := a.now()
-	a.groupFound()
-	a.dropRecorded()
+	a.groupFoundMachines()
+	a.removeRecorded()
 	for _, group := range a.groups {
 		if group.write.Ready(now) && a.Committer.Budget.Take(now, 1) {
 			a.commit(group)
@@ -110,23 +111,23 @@
 	}
 }
 
-// groupFound makes groups of the machines found. Those that nobody asked for go to the
-// batch shard: its work ends.
-func (a *adoptions) groupFound() {
-	var last unrecordedMachine
+// groupFoundMachines makes groups of the machines found. No request is known for these
+// machines, so they go to the batch shard: arrays end, while services don't.
+func (a *adoptions) groupFoundMachines() {
+	var previous unrecordedMachine
 	record := storage.MachineGroupRecord{Shard: storage.BatchShard}
 	for _, name := range slices.Sorted(maps.Keys(a.found)) {
 		machine := a.found[name]
 		if a.adopted(name) {
 			continue
 		}
-		if len(record.Machines) > 0 && (!machine.sameKind(last) || len(record.Machines) >= a.machinesPerGroup(name)) {
+		if len(record.Machines) > 0 && (!machine.samePool(previous) || len(record.Machines) >= a.machinesPerGroup(name)) {
 			a.add(record, originFound)
 			record.Machines = nil
 		}
 		record.Type, record.Zone, record.Spot, record.RentedAtMS = machine.machineType, machine.zone, machine.spot, machine.createdAtMS
 		record.Machines = append(record.Machines, storage.MachineEntry{Name: name, Address: machine.address})
-		last = machine
+		previous = machine
 	}
 	if len(record.Machines) > 0 {
 		a.add(record, originFound)
@@ -134,8 +135,8 @@
 	clear(a.found)
 }
 
-// dropRecorded forgets the groups that are in the view.
-func (a *adoptions) dropRecorded() {
+// removeRecorded removes the pending groups that the view shows.
+func (a *adoptions) removeRecorded() {
 	a.groups = slices.DeleteFunc(a.groups, func(group *pendingGroup) bool {
 		if a.view().MachineGroups[group.id] == nil {
 			return false
@@ -147,7 +148,7 @@
 	})
 }
 
-// commit writes a group.
+// commit writes a pending group.
 func (a *adoptions) commit(group *pendingGroup) {
 	group.write.Begin()
 	key := storage.MachineGroupKey(group.id)
@@ -155,15 +156,15 @@
 		Conditions: []protocol.Condition{a.Leadership.Condition(), {Key: key}},
 		Operations: []protocol.Operation{{Put: key, Value: storage.Encode(group.record)}},
 	}, func(_ uint64, err error) {
-		pause := kv.RetryPause
+		delay := kv.RetryPause
 		if err == nil {
-			pause = writtenGroupPause
+			delay = writtenGroupRetryDelay
 		}
-		group.write.Done(a.now() + pause)
+		group.write.Done(a.now() + delay)
 	})
 }
 
-// supplies are the machines of the groups that are not in the view yet.
+// supplies returns the machines of the groups that are not in the view yet.
 func (a *adoptions) supplies() []*autoscaler.Supply {
 	var supplies []*autoscaler.Supply
 	for _, group := range a.groups {
@@ -174,7 +175,8 @@
 	return supplies
 }
 
-// promisedSupply is a machine that was asked for or created and has no record yet.
+// promisedSupply returns the supply of a machine that was requested or created and has no
+// record yet.
 func (c *Config) promisedSupply(machineType, zone string, spot bool, shard int) *autoscaler.Supply {
 	view := c.view()
 	index := view.MachineTypeID(machineType)
--- a/internal/coordination/provisioning/adoption_test.go
+++ b/internal/coordination/provisioning/adoption_test.go
@@ -8,14 +8,14 @@
 	"rockrun/internal/protocol"
 )
 
-// TestLateAnswerRecordsNothingTwice: machines whose creation is answered late were adopted by
-// their heartbeats meanwhile. The answer must not put them into a second group, whether the
-// first one is in the view already or still to be written; the others that it names are
-// recorded for the shard that asked for them.
+// TestLateAnswerRecordsNothingTwice guards against a machine being recorded in two groups. The
+// cloud answers a create request late, after a heartbeat has led to the adoption of one of the
+// machines. That machine stays in its first group, whether or not the view shows the group
+// yet; the other machines are recorded for the job shard that requested them.
 func TestLateAnswerRecordsNothingTwice(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		recorded bool // the first group is in the view when the answer comes
+		recorded bool // the view shows the first group when the answer arrives
 	}{
 		{"recorded", true},
 		{"not written yet", false},
@@ -47,7 +47,7 @@
 				t.Errorf("groups by machine: %v", groupsOf)
 			}
 			if found, created := l.machine("m-000001"), l.machine("m-000002"); found.Shard != 0 || created.Shard != 1 {
-				t.Errorf("the one found is in shard %d, the other in shard %d", found.Shard, created.Shard)
+				t.Errorf("adopted machine in shard %d, created machine in shard %d", found.Shard, created.Shard)
 			}
 		})
 	}
--- a/internal/coordination/provisioning/claims.go
+++ b/internal/coordination/provisioning/claims.go
@@ -9,13 +9,14 @@
 	"rockrun/internal/storage"
 )
 
-// claims are machines of one job shard that drain for the work of another, for which no
-// machine is to be had: services of a higher rank. Within a job shard such work preempts
-// other work; among job shards the other work is let end, and nothing new begins there.
+// claims tracks machines of one job shard that drain for services of a higher rank in another
+// job shard, for which no pool has machines. Within a job shard, services of a higher rank
+// preempt other tasks. Across job shards the claimed machine drains: its tasks may finish, and
+// no new task starts on it.
 type claims struct {
 	*Config
 	writer    *groupWriter
-	byMachine map[string]int // the job shard for which a machine drains
+	byMachine map[string]int // claiming job shard by machine name
 }
 
 func newClaims(c *Config, w *groupWriter) *claims {
@@ -28,30 +29,31 @@
 	return ok
 }
 
-// update claims machines for the unmet demand of services, of those it suits without
-// services the least booked first.
+// update claims machines for the unmet demand of services that scaling out cannot meet. Of the
+// suitable machines without services, the least booked are claimed first.
 func (c *claims) update(supplies []*autoscaler.Supply, unmet autoscaler.Unmet, unavailable func(autoscaler.Pool) bool) {
 	round := c.newRound(supplies)
 	for i := range unmet {
 		if d := &unmet[i]; d.Job.IsService() && !round.planner.ScaleOutPossible(d, unavailable) {
-			round.serve(d.Clone())
+			round.claimFor(d.Clone())
 		}
 	}
-	round.write()
+	round.writeDrains()
 }
 
-// claimRound is one look at the work for which machines of other job shards are claimed.
+// claimRound is one pass over the demand for which machines of other job shards are claimed.
 type claimRound struct {
 	*claims
 	planner  *autoscaler.Planner
 	supplies []*autoscaler.Supply
-	sorted   bool                      // the supplies, by what is booked
-	offered  []*autoscaler.Supply      // what claimed machines will offer, filled as the demands are gone through
-	toDrain  []*storage.Machine        // drains to be written
-	urgent   map[*storage.Machine]bool // replicas wait for these now; others are for those to come
+	sorted   bool                      // whether supplies are sorted by booked share
+	offers   []*autoscaler.Supply      // claimed machines; demands use up their capacity in order
+	toDrain  []*storage.Machine        // machines whose drains must be written
+	urgent   map[*storage.Machine]bool // machines that pending replicas need now; the others are for expected replicas
 }
 
-// newRound begins with the machines that are claimed already.
+// newRound starts a round with the machines that are already claimed. It removes the claims
+// of machines that have moved, are being deleted or no longer exist.
 func (c *claims) newRound(supplies []*autoscaler.Supply) *claimRound {
 	round := &claimRound{
 		claims: c, planner: &autoscaler.Planner{Catalogue: autoscaler.CatalogueOf(c.view())},
@@ -64,37 +66,37 @@
 			delete(c.byMachine, name)
 			continue
 		}
-		round.offer(m, shard)
+		round.addOffer(m, shard)
 		if m.Phase == storage.PhaseActive && !c.writer.pending(m) {
-			round.toDrain = append(round.toDrain, m) // not written yet
+			round.toDrain = append(round.toDrain, m) // its drain is not written yet
 		}
 	}
 	return round
 }
 
-// offer takes in what a claimed machine will offer to a job shard.
-func (r *claimRound) offer(m *storage.Machine, shard int) *autoscaler.Supply {
+// addOffer adds the full capacity of a claimed machine as supply of the claiming job shard.
+func (r *claimRound) addOffer(m *storage.Machine, shard int) *autoscaler.Supply {
 	pool := autoscaler.Pool{MachineType: m.TypeIndex, Zone: m.ZoneIndex, Spot: m.Spot}
-	x := autoscaler.NewSupply(&r.view().MachineTypes[m.TypeIndex], pool, shard)
-	x.Machine = m
-	r.offered = append(r.offered, x)
-	return x
+	supply := autoscaler.NewSupply(&r.view().MachineTypes[m.TypeIndex], pool, shard)
+	supply.Machine = m
+	r.offers = append(r.offers, supply)
+	return supply
 }
 
-// fill gives room to a demand. What replicas wait for is taken now, what is kept for those
-// to come may end.
-func (r *claimRound) fill(x *autoscaler.Supply, d *autoscaler.Demand) {
-	before := d.Count
-	r.planner.Fill(x, d)
-	if d.Count < before && (!d.Spare || d.InPartitionedZone > 0) {
-		r.urgent[x.Machine] = true
+// fill assigns a demand to a claimed machine. A machine that pending replicas need becomes
+// urgent; on a machine that is kept for expected replicas, running tasks may finish.
+func (r *claimRound) fill(supply *autoscaler.Supply, demand *autoscaler.Demand) {
+	before := demand.Count
+	r.planner.Fill(supply, demand)
+	if demand.Count < before && (!demand.Spare || demand.InPartitionedZone > 0) {
+		r.urgent[supply.Machine] = true
 	}
 }
 
-// serve claims machines for a demand, beyond those that are claimed already.
-func (r *claimRound) serve(demand autoscaler.Demand) {
-	for _, x := range r.offered {
-		r.fill(x, &demand)
+// claimFor claims machines for the part of a demand that claimed machines don't cover yet.
+func (r *claimRound) claimFor(demand autoscaler.Demand) {
+	for _, supply := range r.offers {
+		r.fill(supply, &demand)
 	}
 	if demand.Count > 0 {
 		r.sortSupplies()
@@ -109,11 +111,11 @@
 		r.byMachine[supply.Machine.Name] = demand.Shard
 		r.Log.Info("machine claimed", "machine", supply.Machine.Name, "from", supply.Shard, "to", demand.Shard, "term", r.Leadership.Term())
 		r.toDrain = append(r.toDrain, supply.Machine)
-		r.fill(r.offer(supply.Machine, demand.Shard), &demand)
+		r.fill(r.addOffer(supply.Machine, demand.Shard), &demand)
 	}
 }
 
-// sortSupplies puts the least booked machines first.
+// sortSupplies sorts the supplies by booked share, the least booked first.
 func (r *claimRound) sortSupplies() {
 	if r.sorted {
 		return
@@ -126,17 +128,18 @@
 }
 
 // claimable reports whether a machine may be claimed for a demand of another job shard.
-func (r *claimRound) claimable(x *autoscaler.Supply, d *autoscaler.Demand) bool {
-	if r.claimed(x.Machine) || x.Shard == d.Shard || x.HostsService || !x.Ready || !x.Schedulable || d.AllowedIn(x.Zone) < 1 {
+func (r *claimRound) claimable(supply *autoscaler.Supply, demand *autoscaler.Demand) bool {
+	if r.claimed(supply.Machine) || supply.Shard == demand.Shard || supply.HostsService || !supply.Ready || !supply.Schedulable || demand.AllowedIn(supply.Zone) < 1 {
 		return false
 	}
-	return r.view().Eligible(d.Job, x.Machine) && !r.writer.pending(x.Machine) && !hostsEqualOrHigherRank(x.Machine, d.Job, r.view())
+	return r.view().Eligible(demand.Job, supply.Machine) && !r.writer.pending(supply.Machine) && !hostsEqualOrHigherRank(supply.Machine, demand.Job, r.view())
 }
 
-// write drains what was claimed, and hurries what replicas have begun to wait for.
-func (r *claimRound) write() {
-	for _, x := range r.offered {
-		m := x.Machine
+// writeDrains starts the drains of newly claimed machines, and evicts the tasks of draining
+// machines that pending replicas need by now.
+func (r *claimRound) writeDrains() {
+	for _, supply := range r.offers {
+		m := supply.Machine
 		switch {
 		case slices.Contains(r.toDrain, m):
 			r.writer.add(machineChange{
--- a/internal/coordination/provisioning/claims_test.go
+++ b/internal/coordination/provisioning/claims_test.go
@@ -10,8 +10,8 @@
 	"rockrun/internal/storage"
 )
 
-// claimFixture is a leader of two job shards: a service of the second waits, and the batch
-// shard has a machine that suits it, on which one task of an array runs.
+// claimFixture is a leader with two job shards: the second has a service with a pending
+// replica, and the batch shard has a suitable machine that runs one task of an array.
 type claimFixture struct {
 	*testLeader
 	machine *storage.Machine
@@ -39,7 +39,7 @@
 	}})
 }
 
-// update makes one round of claims for the service, while no machine is to be had.
+// update runs one round of claims for the service while all pools are unavailable.
 func (f *claimFixture) update() {
 	_, service := f.replica.View.Jobs.Find("svc-1")
 	f.unmet = autoscaler.Unmet{{Job: service, Shard: service.Shard, Count: 1}}
@@ -47,28 +47,28 @@
 	p.claims.update(p.fleet().Supplies(), f.unmet, func(autoscaler.Pool) bool { return true })
 }
 
-// TestClaims: which machines of another job shard drain for a service that waits.
+// TestClaims checks which machines of another job shard are claimed for a pending service.
 func TestClaims(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		change  func(*claimFixture)
 		claimed bool
 	}{
-		{"one with work of a lower rank", func(*claimFixture) {}, true},
-		{"not one with work of the same rank", func(f *claimFixture) { f.putJob("run-1", protocol.KindArray, "critical") }, false},
-		{"not one with a replica", func(f *claimFixture) { f.putJob("run-1", protocol.KindService, "normal") }, false},
-		{"not one that is silent", func(f *claimFixture) {
+		{"task of a lower rank", func(*claimFixture) {}, true},
+		{"task of the same rank", func(f *claimFixture) { f.putJob("run-1", protocol.KindArray, "critical") }, false},
+		{"hosts a replica", func(f *claimFixture) { f.putJob("run-1", protocol.KindService, "normal") }, false},
+		{"silent", func(f *claimFixture) {
 			f.statuses = func(*storage.Machine) (protocol.MachineStatus, bool) {
 				return protocol.MachineStatus{Seen: true, Silent: time.Minute}, true
 			}
 		}, false},
-		{"not one that is not up", func(f *claimFixture) {
+		{"not up yet", func(f *claimFixture) {
 			f.statuses = func(*storage.Machine) (protocol.MachineStatus, bool) { return protocol.MachineStatus{}, true }
 		}, false},
-		{"not one that is too small", func(f *claimFixture) {
+		{"too small", func(f *claimFixture) {
 			f.put(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 2, MemoryGB: 32, Zones: []string{"z"}}}})
 		}, false},
-		{"not one whose record is being changed", func(f *claimFixture) {
+		{"record change pending", func(f *claimFixture) {
 			f.provisioner.writer.add(machineChange{machine: f.machine, address: "x"})
 		}, false},
 	} {
@@ -76,30 +76,31 @@
 		c.change(f)
 		f.update()
 		if got := f.provisioner.claims.claimed(f.machine); got != c.claimed {
-			t.Errorf("%s: claimed %t", c.name, got)
+			t.Errorf("%s: claimed %t, want %t", c.name, got, c.claimed)
 		}
 		i := slices.IndexFunc(f.provisioner.writer.changes["b"], func(change machineChange) bool {
 			return change.phase == storage.PhaseDraining && change.evict
 		})
 		if drains := i >= 0; drains != c.claimed {
-			t.Errorf("%s: drains %t", c.name, drains)
+			t.Errorf("%s: drain with eviction added %t, want %t", c.name, drains, c.claimed)
 		}
 	}
 }
 
-// TestNoClaimWhileMachinesAreToBeHad: a new machine is better than another shard's.
+// TestNoClaimWhileMachinesAreToBeHad checks that no machine is claimed while the cloud can
+// provide new ones.
 func TestNoClaimWhileMachinesAreToBeHad(t *testing.T) {
 	f := newClaimFixture(t)
 	f.update()
 	delete(f.provisioner.claims.byMachine, "m-1")
 	f.provisioner.claims.update(f.provisioner.fleet().Supplies(), f.unmet, func(autoscaler.Pool) bool { return false })
 	if f.provisioner.claims.claimed(f.machine) {
-		t.Error("a machine is claimed")
+		t.Error("machine claimed although pools are available")
 	}
 }
 
-// TestClaimsLast: a claimed machine counts for the next round, and is claimed until it has
-// moved.
+// TestClaimsLast checks that a claimed machine counts as supply in the next round, and that the
+// claim lasts until the machine has moved.
 func TestClaimsLast(t *testing.T) {
 	f := newClaimFixture(t)
 	f.putGroup("c", storage.MachineEntry{Name: "m-2", Address: "w"})
@@ -107,24 +108,24 @@
 	f.update()
 	claims := f.provisioner.claims.byMachine
 	if len(claims) != 1 {
-		t.Fatalf("claimed for one replica: %v", claims)
+		t.Fatalf("claims for one replica: %v, want one", claims)
 	}
 	shard := f.unmet[0].Shard
 	for name := range claims {
 		m := f.testLeader.machine(name)
 		if got := f.provisioner.takeShardFor(m); got != shard {
-			t.Errorf("%s goes to shard %d, not %d", name, got, shard)
+			t.Errorf("machine %s moves to shard %d, want %d", name, got, shard)
 		}
 		f.put(storage.MachineGroupKey(m.Group), storage.MachineGroupRecord{Type: "small", Zone: "z", Shard: shard, Machines: []storage.MachineEntry{{Name: name}}})
 	}
 	f.unmet = nil
 	f.provisioner.claims.update(f.provisioner.fleet().Supplies(), nil, func(autoscaler.Pool) bool { return true })
 	if len(claims) != 0 {
-		t.Errorf("claimed once it has moved: %v", claims)
+		t.Errorf("claims after the move: %v, want none", claims)
 	}
 }
 
-// TestUrgency: which changes are written first.
+// TestUrgency checks the order in which changes of machines are written.
 func TestUrgency(t *testing.T) {
 	f := newClaimFixture(t)
 	_, array := f.replica.View.Jobs.Find("run-1")
@@ -138,9 +139,9 @@
 	last := -1
 	for _, c := range []struct {
 		name    string
-		changes []machineChange // of the same urgency, above that of those before
+		changes []machineChange // of equal urgency, higher than that of the previous case
 	}{
-		{"only money", []machineChange{{machine: empty, phase: storage.PhaseDraining}, {machine: empty, phase: storage.PhaseDecommissioning}, {machine: empty, forget: true}}},
+		{"cost only", []machineChange{{machine: empty, phase: storage.PhaseDraining}, {machine: empty, phase: storage.PhaseDecommissioning}, {machine: empty, forget: true}}},
 		{"tasks", []machineChange{{machine: withTask(array), phase: storage.PhaseDecommissioning}, {machine: empty, phase: storage.PhaseActive}}},
 		{"claims", []machineChange{{machine: claimed, phase: storage.PhaseDraining}}},
 		{"replicas", []machineChange{{machine: withTask(service), phase: storage.PhaseDeleted}, {machine: empty, phase: storage.PhaseDraining, evict: true}}},
@@ -148,15 +149,16 @@
 		urgency := f.provisioner.urgency(c.changes[0])
 		for i, change := range c.changes {
 			if got := f.provisioner.urgency(change); got != urgency || got <= last {
-				t.Errorf("%s, change %d: urgency %d after %d", c.name, i, got, last)
+				t.Errorf("%s, change %d: urgency %d, want %d and more than %d", c.name, i, got, urgency, last)
 			}
 		}
 		last = urgency
 	}
 }
 
-// TestClaimedDrainsAreHurried: what is on a claimed machine is stopped once replicas wait for
-// it, under the drain's stamp of before, and that is written once.
+// TestClaimedDrainsAreHurried checks that the tasks of a draining claimed machine are evicted
+// once pending replicas need the machine. The change keeps the drain's stamp and is written
+// once.
 func TestClaimedDrainsAreHurried(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -164,9 +166,9 @@
 		spare bool
 		want  bool
 	}{
-		{"replicas wait", storage.MachineEntry{}, false, true},
-		{"the room is for those to come", storage.MachineEntry{}, true, false},
-		{"it was written", storage.MachineEntry{Evict: true}, false, false},
+		{"pending replicas", storage.MachineEntry{}, false, true},
+		{"expected replicas only", storage.MachineEntry{}, true, false},
+		{"eviction already recorded", storage.MachineEntry{Evict: true}, false, false},
 	} {
 		f := newClaimFixture(t)
 		c.entry.Name, c.entry.Phase, c.entry.DrainStamp = "m-1", storage.PhaseDraining, 7
@@ -178,7 +180,7 @@
 		claims.update(f.provisioner.fleet().Supplies(), unmet, func(autoscaler.Pool) bool { return true })
 		changes := f.provisioner.writer.changes["b"]
 		if hurried := len(changes) == 1 && changes[0].evict && changes[0].drainStamp == 7; hurried != c.want || len(changes) > 1 {
-			t.Errorf("%s: changes %+v", c.name, changes)
+			t.Errorf("%s: eviction added %t, want %t; changes %+v", c.name, hurried, c.want, changes)
 		}
 	}
 }
--- a/internal/coordination/provisioning/cloud_list.go
+++ b/internal/coordination/provisioning/cloud_list.go
@@ -11,46 +11,49 @@
 )
 
 const (
-	// minListInterval is the pause between two lists where a list takes few calls.
+	// minListInterval is the minimum delay between two list requests.
 	minListInterval = 3 * time.Second
-	// listCallShare is the part of the calls that the cloud allows which lists take at most.
+	// listCallShare is the maximum share of the cloud's request rate that lists may use.
 	listCallShare = 0.5
-	// listRetryPause is the least pause after a list that failed.
-	listRetryPause = time.Second
-	// unlistedAfterLags is after how many of the list's lags a machine should be named.
-	unlistedAfterLags = 4
-	// A record of a deleted machine is kept for so many of the list's lags, and for so long
-	// at least: no list can name it then.
-	forgettableAfterLags = 20
+	// listRetryDelay is the minimum delay after a failed list request.
+	listRetryDelay = time.Second
+	// unlistedGraceLags is the age, in multiples of the list's lag, from which the list
+	// should contain a machine.
+	unlistedGraceLags = 4
+	// The record of a deleted machine is retained for deletedRetentionLags multiples of the
+	// list's lag, and for at least minDeletedRetention. After that no list can contain the
+	// machine.
+	deletedRetentionLags = 20
 	minDeletedRetention  = 10 * time.Minute
 )
 
-// listPause is the pause after a list of so many machines: a list of thousands takes many
-// calls, and creations and deletions need theirs.
+// listPause returns the delay after a list of the given number of machines. A list of
+// thousands of machines takes many calls, and the cloud's request rate must also serve
+// creations and deletions.
 func listPause(machines int, callsPerSecond float64) time.Duration {
 	calls := float64(machines/protocol.MachinesPerCall + 1)
 	return max(minListInterval, config.Seconds(calls/(listCallShare*callsPerSecond)))
 }
 
-// cloudList compares the cloud's list of machines with the records: unexpected machines are
-// adopted, failed ones are found. That a machine is absent from a list proves nothing by
-// itself.
+// cloudList compares the cloud's list of machines with the records: it adopts machines without
+// a record and detects failed ones. Absence from a list alone does not prove that a machine
+// is gone.
 type cloudList struct {
 	*Config
 	adoptions *adoptions
 	call      loop.Call
 
-	failed      map[string]bool   // machines that the last list calls failed
-	unlisted    map[string]bool   // machines that it should have named and did not
-	addresses   map[string]string // addresses that the records don't have yet
-	forgettable map[string]bool   // deleted machines that no list can name any more
+	failed      map[string]bool   // machines marked as failed in the last list
+	unlisted    map[string]bool   // machines missing from the last list that it should contain
+	addresses   map[string]string // addresses missing from the records
+	forgettable map[string]bool   // deleted machines that no list can contain any more
 }
 
 func newCloudList(c *Config, a *adoptions) *cloudList {
 	return &cloudList{Config: c, adoptions: a, unlisted: map[string]bool{}, addresses: map[string]string{}, forgettable: map[string]bool{}}
 }
 
-// refresh lists the machines where that is due.
+// refresh requests the list of machines when it is due.
 func (l *cloudList) refresh(now time.Duration) {
 	if l.call.TryBegin(now) {
 		l.Cloud.ListMachines(l.onListed)
@@ -63,16 +66,17 @@
 		return
 	}
 	if err != nil {
-		l.Log.Debug("machines not listed", "err", err)
-		l.call.RetryAt(l.now() + l.Generation.Jitter(listRetryPause))
+		l.Log.Debug("machine list request failed", "err", err)
+		l.call.RetryAt(l.now() + l.Generation.Jitter(listRetryDelay))
 		return
 	}
 	listed := l.compare(list)
 	l.findUnlisted(list, listed)
-	l.findForgettable(listed)
+	l.findExpiredRecords(listed)
 }
 
-// compare adopts unrecorded machines and finds failed ones, and returns the names listed.
+// compare adopts listed machines without a record, notes failed ones and addresses that the
+// records lack, and returns the listed names.
 func (l *cloudList) compare(list []protocol.CloudMachine) (listed map[string]bool) {
 	listed = make(map[string]bool, len(list))
 	l.failed = map[string]bool{}
@@ -95,28 +99,28 @@
 	return listed
 }
 
-// findUnlisted notes machines that the list should name and doesn't. Machines are listed in
-// the order in which they were created, and stay listed until they are gone: a list that
-// has a later one knows them.
+// findUnlisted notes recorded machines that are missing from a list that should contain them.
+// The cloud lists machines in the order of their creation and until they are gone, so a list
+// that contains a newer machine must also contain all older ones that still exist.
 func (l *cloudList) findUnlisted(list []protocol.CloudMachine, listed map[string]bool) {
 	clear(l.unlisted)
 	if len(list) == 0 {
 		return
 	}
-	last := list[len(list)-1].Name
+	newest := list[len(list)-1].Name
 	now := l.Generation.Wall()
-	oldEnough := config.Seconds(unlistedAfterLags * l.Cluster.Cloud.ListLagSeconds)
+	oldEnough := config.Seconds(unlistedGraceLags * l.Cluster.Cloud.ListLagSeconds)
 	l.view().Machines.All(func(_ int, m *storage.Machine) {
-		createdBefore := m.Name < last && len(m.Name) == len(last)
+		createdBefore := m.Name < newest && len(m.Name) == len(newest)
 		if m.Exists() && createdBefore && !listed[m.Name] && autoscaler.MachineAge(m, now) > oldEnough {
 			l.unlisted[m.Name] = true
 		}
 	})
 }
 
-// findForgettable notes deleted machines whose records can go.
-func (l *cloudList) findForgettable(listed map[string]bool) {
-	retention := max(minDeletedRetention, config.Seconds(forgettableAfterLags*l.Cluster.Cloud.ListLagSeconds))
+// findExpiredRecords notes deleted machines whose records can be removed.
+func (l *cloudList) findExpiredRecords(listed map[string]bool) {
+	retention := max(minDeletedRetention, config.Seconds(deletedRetentionLags*l.Cluster.Cloud.ListLagSeconds))
 	nowMS := l.wallMS()
 	l.view().Machines.All(func(_ int, m *storage.Machine) {
 		if m.Deleted() && !listed[m.Name] && time.Duration(nowMS-m.DeletedAtMS)*time.Millisecond > retention {
--- a/internal/coordination/provisioning/config.go
+++ b/internal/coordination/provisioning/config.go
@@ -12,44 +12,45 @@
 	"rockrun/internal/storage"
 )
 
-// Cloud rents out machines. Every call returns at once; done is called later on the
-// controller's goroutine. Errors wrap those of package protocol.
+// Cloud creates, lists and deletes machines. Every call returns at once; done is called later
+// on the controller's goroutine. Errors wrap those of package protocol.
 type Cloud interface {
-	// MachineTypes reads what can be rented.
+	// MachineTypes reads the catalogue of machine types that the cloud offers.
 	MachineTypes(done func(protocol.MachineTypeCatalogue, error))
-	// CreateMachines rents machines and returns their names, fewer than asked for where
-	// there are no more. Repeating a request with its name creates nothing anew.
+	// CreateMachines creates machines and returns their names, fewer than requested if the
+	// cloud has no more. It is idempotent: repeating a request under the same name creates
+	// no further machines.
 	CreateMachines(r protocol.CreateMachinesRequest, done func([]string, error))
-	// DeleteMachines gives machines back. Repeating it is harmless.
+	// DeleteMachines deletes machines. It is idempotent.
 	DeleteMachines(names []string, done func(error))
-	// ListMachines lists all machines in the order of their creation. The list lags: that
-	// a machine is absent proves nothing.
+	// ListMachines lists all machines in the order of their creation. The list lags, so
+	// absence of a machine does not prove that it is gone.
 	ListMachines(done func([]protocol.CloudMachine, error))
 }
 
-// Leadership is what a Provisioner needs of the leader whose it is.
+// Leadership is the leadership under which a Provisioner acts.
 type Leadership interface {
-	// Term is the number of the leadership.
+	// Term returns the leader's term.
 	Term() uint64
-	// Condition makes a transaction depend on the leadership.
+	// Condition returns the precondition that this leadership is still in force.
 	Condition() protocol.Condition
-	// NextFencingToken returns a fencing token above every earlier one.
+	// NextFencingToken returns a fencing token higher than all earlier ones.
 	NextFencingToken() uint64
-	// Current reports whether the leadership is still in office.
+	// Current reports whether this controller still leads under this term.
 	Current() bool
 }
 
-// Members is what a Provisioner needs to know of the machines' holders.
+// Members provides the state of machines as their holders see it.
 type Members interface {
-	// MachineStatus returns what the holder of a machine last said of it.
+	// MachineStatus returns the latest status of a machine from its holder.
 	MachineStatus(m *storage.Machine) (status protocol.MachineStatus, known bool)
-	// HeartbeatTolerance is how long an agent that is well is silent at most.
+	// HeartbeatTolerance returns the longest silence expected of a healthy agent.
 	HeartbeatTolerance() time.Duration
-	// ForgetMachine forgets what holders have said of a machine.
+	// ForgetMachine discards the statuses that holders have sent for a machine.
 	ForgetMachine(name string)
 }
 
-// Config is all that a Provisioner is made of.
+// Config holds the dependencies and settings of a Provisioner.
 type Config struct {
 	Generation *loop.Generation
 	Replica    *replica.Replica
@@ -64,12 +65,12 @@
 
 func (c *Config) now() time.Duration { return c.Generation.Now() }
 
-// wallMS is the time of day in milliseconds.
+// wallMS returns the wall-clock time in Unix milliseconds.
 func (c *Config) wallMS() int64 { return c.Generation.Wall().UnixMilli() }
 
 func (c *Config) view() *storage.View { return c.Replica.View }
 
-// findRecorded returns a machine that a record names, or nil.
+// findRecorded returns the machine with the given name if a group contains it, else nil.
 func (c *Config) findRecorded(name string) *storage.Machine {
 	if _, m := c.view().Machines.Find(name); m != nil && m.Group != "" {
 		return m
--- a/internal/coordination/provisioning/cycle.go
+++ b/internal/coordination/provisioning/cycle.go
@@ -10,15 +10,15 @@
 	"rockrun/internal/storage"
 )
 
-// cycle is when the size of the fleet is decided on, and what one decision leaves for the
-// next.
+// cycle holds the schedule of the autoscaling cycles, and the state that one cycle leaves for
+// the next.
 type cycle struct {
 	interval       time.Duration
-	scaleOutWindow time.Duration // how long work is blocked before machines are created
+	scaleOutWindow time.Duration // how long tasks are blocked before machines are created
 	nextAt         time.Duration
-	blocked        loop.Window // work waits for machines
+	blocked        loop.Window // tasks are blocked for lack of machines
 	scaleIn        *autoscaler.ScaleIn
-	unmet          autoscaler.Unmet // what the last cycle found no room for
+	unmet          autoscaler.Unmet // demand that the last cycle could not place
 }
 
 func newCycle(o *config.Options) *cycle {
@@ -33,10 +33,10 @@
 	}
 }
 
-// runSoon lets the next decision come with the next tick.
+// runSoon makes the next tick run a cycle.
 func (c *cycle) runSoon() { c.nextAt = 0 }
 
-// runCycleWhenDue decides on the size of the fleet at intervals.
+// runCycleWhenDue runs a cycle if the interval since the last one has passed.
 func (p *Provisioner) runCycleWhenDue(now time.Duration) {
 	if now >= p.cycle.nextAt {
 		p.cycle.nextAt = now + p.cycle.interval
@@ -44,7 +44,8 @@
 	}
 }
 
-// runCycle scales out for what there is no room for, and scales in what is not needed.
+// runCycle scales out for demand without capacity, scales in machines that are not needed, and
+// records the scaling target.
 func (p *Provisioner) runCycle(now time.Duration) {
 	fleet := p.fleet()
 	demands := fleet.Demands()
@@ -66,7 +67,7 @@
 	p.target.update(now, supplies)
 }
 
-// countTasks sums the tasks of demands.
+// countTasks returns the total number of tasks in demands.
 func countTasks(demands []autoscaler.Demand) int {
 	count := 0
 	for i := range demands {
@@ -75,7 +76,8 @@
 	return count
 }
 
-// newPlanner makes a planner with the machines there are and what may be asked for.
+// newPlanner returns a planner with the given supplies and the limits on new requests to the
+// cloud.
 func (p *Provisioner) newPlanner(fleet *autoscaler.Fleet, supplies []*autoscaler.Supply) *autoscaler.Planner {
 	return &autoscaler.Planner{
 		Catalogue:         autoscaler.CatalogueOf(p.view()),
@@ -90,13 +92,13 @@
 	}
 }
 
-// poolUnavailable reports whether a pool is not to be asked for machines: it had none a
-// moment ago, or is in a zone from which nothing is heard.
+// poolUnavailable reports whether no machines should be requested from a pool: it recently had
+// none, or its zone is partitioned.
 func (p *Provisioner) poolUnavailable(pool autoscaler.Pool) bool {
 	return p.partitionedZones[pool.Zone] || p.scaleOuts.refused(pool, p.now())
 }
 
-// scaleOut asks for the machines planned and records each decision.
+// scaleOut requests the planned machines and adds each decision to the history.
 func (p *Provisioner) scaleOut(now time.Duration, plan []autoscaler.ScaleOut, decision Decision) {
 	for _, scaleOut := range plan {
 		call := p.scaleOuts.add(scaleOut)
@@ -107,10 +109,10 @@
 	p.scaleOuts.send(now)
 }
 
-// scaleIn claims machines for services of other job shards, ends drains that are not wanted
-// any more, and begins others.
+// scaleIn claims machines for services of other job shards, ends drains of machines that are
+// needed again, and starts new drains.
 func (p *Provisioner) scaleIn(now time.Duration, fleet *autoscaler.Fleet, planner *autoscaler.Planner, spares []autoscaler.Demand, booked float64) {
-	supplies := fleet.Supplies() // as they are, without what the planner has given to demands
+	supplies := fleet.Supplies() // computed again: the planner has assigned demand to the earlier ones
 	p.claims.update(supplies, p.cycle.unmet, p.poolUnavailable)
 	plan := p.cycle.scaleIn.Decide(&autoscaler.ScaleInInput{
 		Now:          now,
--- a/internal/coordination/provisioning/deletion.go
+++ b/internal/coordination/provisioning/deletion.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// deletedRecordDelay is how long the record that a machine is deleted waits for company
-	// where nobody waits for it.
+	// deletedRecordDelay is how long the record of a deletion is delayed if no attempts may be
+	// on the machine, so that several deletions share a write.
 	deletedRecordDelay = 4 * time.Second
-	// maxDeletions is how many machines are deleted with one call.
-	maxDeletions = 100
-	// deleteRetryPause is the least pause after a call that failed.
-	deleteRetryPause = 500 * time.Millisecond
+	// maxDeletionsPerCall is the maximum number of machines deleted with one call.
+	maxDeletionsPerCall = 100
+	// deleteRetryDelay is the minimum delay after a failed call.
+	deleteRetryDelay = 500 * time.Millisecond
 )
 
-// deletions gives machines back to the cloud whose decommissioning is recorded.
+// deletions deletes machines at the cloud once their decommissioning is recorded.
 type deletions struct {
 	*Config
 	writer    *groupWriter
 	call      loop.Call
-	deletedAt map[string]time.Duration // by the cloud, not yet in the records, and since when
+	deletedAt map[string]time.Duration // when the cloud confirmed a deletion that the records don't show yet
 }
 
 func newDeletions(c *Config, w *groupWriter) *deletions {
 	return &deletions{Config: c, writer: w, deletedAt: map[string]time.Duration{}}
 }
 
-// advance deletes machines and records those that the cloud has deleted.
+// advance deletes decommissioned machines at the cloud, and records the deletions that the
+// cloud has confirmed.
 func (d *deletions) advance(now time.Duration) {
 	d.recordDeleted(now)
 	machines := d.due()
@@ -44,7 +45,8 @@
 	d.Cloud.DeleteMachines(names, func(err error) { d.onAnswer(names, err) })
 }
 
-// recordDeleted records what the cloud has deleted, however often that takes.
+// recordDeleted records the deletions that the cloud has confirmed, and retries until the view
+// shows them.
 func (d *deletions) recordDeleted(now time.Duration) {
 	for name, deletedAt := range d.deletedAt {
 		_, m := d.view().Machines.Find(name)
@@ -57,12 +59,13 @@
 	}
 }
 
-// due lists machines that the cloud has yet to delete.
+// due returns decommissioned machines that the cloud has not yet deleted, up to the limit of
+// one call.
 func (d *deletions) due() []*storage.Machine {
 	var machines []*storage.Machine
 	d.view().Machines.All(func(_ int, m *storage.Machine) {
 		decommissioned := m.Group != "" && m.Phase == storage.PhaseDecommissioning
-		if decommissioned && d.deletedAt[m.Name] == 0 && len(machines) < maxDeletions {
+		if decommissioned && d.deletedAt[m.Name] == 0 && len(machines) < maxDeletionsPerCall {
 			machines = append(machines, m)
 		}
 	})
@@ -75,8 +78,8 @@
 		return
 	}
 	if err != nil {
-		d.Log.Debug("machines not deleted", "err", err)
-		d.call.RetryAt(d.now() + d.Generation.Jitter(deleteRetryPause))
+		d.Log.Debug("machine deletion failed", "err", err)
+		d.call.RetryAt(d.now() + d.Generation.Jitter(deleteRetryDelay))
 		return
 	}
 	for _, name := range names {
--- a/internal/coordination/provisioning/doc.go
+++ b/internal/coordination/provisioning/doc.go
@@ -1,8 +1,8 @@
-// Package provisioning runs the life cycle of machines, on the leader: it creates them at
-// the cloud, records them in machine groups, drains them, decommissions those that are
-// empty or lost, and moves drained ones to the job shard that waits for their like. What
-// package autoscaler decides is carried out here; nothing else talks to the cloud.
+// Package provisioning manages the life cycle of machines on the leader: it creates machines
+// at the cloud, records them in machine groups, drains them, decommissions empty and lost
+// ones, and moves drained machines to job shards with blocked work that fits them. It carries
+// out the decisions of package autoscaler. No other package calls the cloud.
 //
-// Every leader begins with the records, the holders' heartbeats and the cloud's list, and
-// keeps no other state that must outlive it.
+// Each leader starts from the records, the heartbeats of peers and the cloud's list of
+// machines, and has no other state that must survive it.
 package provisioning
--- a/internal/coordination/provisioning/health.go
+++ b/internal/coordination/provisioning/health.go
@@ -4,16 +4,17 @@
 	"rockrun/internal/storage"
 )
 
-// minPartitionedMachines is how many machines of a zone must be known before it can count
-// as partitioned.
+// minPartitionedMachines is the minimum number of known machines in a zone that can count as
+// partitioned.
 const minPartitionedMachines = 4
 
-// machineCounts are counts of machines that single ones are judged by.
+// machineCounts counts machines by shard and by zone, to tell faults of single machines from
+// those of a holder or a zone.
 type machineCounts struct {
-	held         map[int]int // by shard
-	unresponsive map[int]int // of those, by shard
-	known        map[int]int // heard under their grant or silent, by zone
-	silent       map[int]int // of those, by zone
+	held         map[int]int // existing machines, by shard
+	unresponsive map[int]int // unresponsive among them, by shard
+	known        map[int]int // heard under the current grant, or silent; by zone
+	silent       map[int]int // silent among the known ones, by zone
 }
 
 // countMachines counts machines by shard and by zone.
@@ -28,8 +29,8 @@
 		if known && status.Unresponsive {
 			counts.unresponsive[machine.Shard]++
 		}
-		// What its holder has only just taken over and not heard yet tells nothing either
-		// way.
+		// A machine that its holder has just acquired and not heard yet counts neither as
+		// heard nor as silent.
 		switch {
 		case !known || !status.Seen && status.Tasks == 0:
 		case status.Silent > c.Members.HeartbeatTolerance():
@@ -42,7 +43,7 @@
 	return counts
 }
 
-// partitionedZones are the zones most of whose machines are silent.
+// partitionedZones returns the zones in which most known machines are silent.
 func (c *machineCounts) partitionedZones() map[int]bool {
 	zones := map[int]bool{}
 	for zone, count := range c.known {
@@ -53,14 +54,14 @@
 	return zones
 }
 
-// holderUnheard reports whether so many machines of a shard are unresponsive that it must be
-// their holder that can't be heard.
-func (c *machineCounts) holderUnheard(shard int) bool {
-	const alwaysMachines = 2 // may be unresponsive of however few
-	return c.unresponsive[shard] > max(alwaysMachines, c.held[shard]/2)
+// holderUnreachable reports whether so many machines of a shard are unresponsive that the cause
+// must be the holder, whose messages don't reach the agents.
+func (c *machineCounts) holderUnreachable(shard int) bool {
+	const toleratedUnresponsive = 2 // in a shard of any size
+	return c.unresponsive[shard] > max(toleratedUnresponsive, c.held[shard]/2)
 }
 
-// hostsReplicas reports whether replicas may be on a machine.
+// hostsReplicas reports whether replicas of services that have not ended may be on a machine.
 func hostsReplicas(m *storage.Machine, view *storage.View) bool {
 	for ref := range m.Intents {
 		if j := view.Jobs.Get(ref.Job); j.IsService() && !j.Ended() {
@@ -70,8 +71,8 @@
 	return false
 }
 
-// hostsEqualOrHigherRank reports whether anything on a machine is of the job's rank or
-// above.
+// hostsEqualOrHigherRank reports whether tasks of the job's rank or a higher one may be on a
+// machine.
 func hostsEqualOrHigherRank(m *storage.Machine, j *storage.Job, view *storage.View) bool {
 	for ref := range m.Intents {
 		if other := view.Jobs.Get(ref.Job); !other.Ended() && other.Rank() <= j.Rank() {
--- a/internal/coordination/provisioning/lifecycle.go
+++ b/internal/coordination/provisioning/lifecycle.go
@@ -7,15 +7,17 @@
 	"rockrun/internal/storage"
 )
 
-// transitions is the life cycle of a machine: from each phase, those that may follow.
+// transitions is the life cycle of a machine: the phases that may follow each phase.
 //
-//   - An active machine takes tasks. It drains when it is idle, faulty or claimed by another
-//     job shard, and is decommissioned at once when it is lost.
-//   - A draining machine becomes active again when it is needed after all, goes on draining
-//     with its tasks evicted when replicas wait for it, and is decommissioned once empty or
-//     lost. An empty one may also move to another job shard, where it is active anew.
-//   - A decommissioning machine is being deleted at the cloud; that is never undone.
-//   - A deleted machine stays so. Its record goes once no list of the cloud can name it.
+//   - An active machine accepts new tasks. It drains when it is idle, faulty, claimed by
+//     another job shard, or when its services fit on other machines. It is decommissioned at
+//     once when it is lost.
+//   - A draining machine becomes active again when it is needed after all, keeps draining with
+//     its tasks evicted when pending replicas need it, and is decommissioned once it is empty
+//     or lost. An empty machine may instead move to another job shard, where it is active.
+//   - A decommissioning machine is being deleted at the cloud. This is irreversible.
+//   - A deleted machine stays deleted. Its record is removed once no list of the cloud can
+//     contain the machine.
 var transitions = map[storage.MachinePhase][]storage.MachinePhase{
 	storage.PhaseActive:          {storage.PhaseDraining, storage.PhaseDecommissioning},
 	storage.PhaseDraining:        {storage.PhaseActive, storage.PhaseDraining, storage.PhaseDecommissioning},
@@ -23,7 +25,7 @@
 	storage.PhaseDeleted:         {},
 }
 
-// TransitionError is a change of a machine's phase that its life cycle does not know.
+// TransitionError reports a change of a machine's phase that its life cycle does not allow.
 type TransitionError struct {
 	Machine  string
 	From, To storage.MachinePhase
@@ -31,10 +33,11 @@
 
 // Error implements error.
 func (e *TransitionError) Error() string {
-	return fmt.Sprintf("machine %s: no transition from phase %s to %s", e.Machine, e.From, e.To)
+	return fmt.Sprintf("machine %s: transition from phase %s to %s is not allowed", e.Machine, e.From, e.To)
 }
 
-// checkTransition returns a *TransitionError unless a machine's phase may change so.
+// checkTransition returns a *TransitionError unless a machine may enter a phase from its
+// current one.
 func checkTransition(m *storage.Machine, to storage.MachinePhase) error {
 	if slices.Contains(transitions[m.Phase], to) {
 		return nil
--- a/internal/coordination/provisioning/lifecycle_test.go
+++ b/internal/coordination/provisioning/lifecycle_test.go
@@ -9,7 +9,7 @@
 	"rockrun/internal/storage"
 )
 
-// TestTransitions: which phases may follow on which.
+// TestTransitions checks which phase changes the life cycle allows.
 func TestTransitions(t *testing.T) {
 	const (
 		active          = storage.PhaseActive
@@ -24,22 +24,22 @@
 		legal bool
 	}{
 		{"drain", active, draining, true},
-		{"lose", active, decommissioning, true},
-		{"delete one in use", active, deleted, false},
+		{"lost while active", active, decommissioning, true},
+		{"delete an active machine", active, deleted, false},
 		{"activate twice", active, active, false},
-		{"need after all", draining, active, true},
+		{"reactivate", draining, active, true},
 		{"evict", draining, draining, true},
-		{"empty or lost", draining, decommissioning, true},
-		{"delete before that is recorded", draining, deleted, false},
-		{"take back a decommission", decommissioning, active, false},
-		{"drain what is being deleted", decommissioning, draining, false},
+		{"empty or lost while draining", draining, decommissioning, true},
+		{"delete before decommissioning", draining, deleted, false},
+		{"reactivate while decommissioning", decommissioning, active, false},
+		{"drain while decommissioning", decommissioning, draining, false},
 		{"decommission twice", decommissioning, decommissioning, false},
 		{"deleted by the cloud", decommissioning, deleted, true},
-		{"use a deleted one", deleted, active, false},
-		{"drain a deleted one", deleted, draining, false},
-		{"decommission a deleted one", deleted, decommissioning, false},
+		{"reactivate a deleted machine", deleted, active, false},
+		{"drain a deleted machine", deleted, draining, false},
+		{"decommission a deleted machine", deleted, decommissioning, false},
 		{"delete twice", deleted, deleted, false},
-		{"a phase that there is not", active, "asleep", false},
+		{"unknown phase", active, "asleep", false},
 	} {
 		err := checkTransition(&storage.Machine{MachineEntry: storage.MachineEntry{Name: "m-1", Phase: c.from}}, c.to)
 		if (err == nil) != c.legal {
@@ -47,13 +47,13 @@
 		}
 		var illegal *TransitionError
 		if !c.legal && (!errors.As(err, &illegal) || illegal.Machine != "m-1" || illegal.From != c.from || illegal.To != c.to) {
-			t.Errorf("%s: the error says %v", c.name, err)
+			t.Errorf("%s: error %v, want a TransitionError with the machine and both phases", c.name, err)
 		}
 	}
 }
 
-// TestIllegalTransitionsAreNotWritten: a change that the life cycle does not know is
-// dropped.
+// TestIllegalTransitionsAreNotWritten checks that phase changes which the life cycle does not
+// allow are discarded.
 func TestIllegalTransitionsAreNotWritten(t *testing.T) {
 	l := newTestLeader(t)
 	l.putGroup("b", storage.MachineEntry{Name: "m-1", Phase: storage.PhaseDecommissioning})
@@ -62,11 +62,11 @@
 	writer.setPhase(l.machine("m-1"), storage.PhaseActive, "needed after all")
 	writer.flush(l.now)
 	if len(l.transactions) > 0 {
-		t.Errorf("written: %+v", l.transactions)
+		t.Errorf("transactions %+v, want none", l.transactions)
 	}
 }
 
-// TestEntryFollowsPhase: what a change of phase leaves of a machine's entry.
+// TestEntryFollowsPhase checks a machine's entry after a change of its phase or address.
 func TestEntryFollowsPhase(t *testing.T) {
 	l := newTestLeader(t)
 	before := storage.MachineEntry{Name: "m-1", Address: "w", Phase: storage.PhaseDraining, DrainStamp: 7, Evict: true}
@@ -76,26 +76,27 @@
 		change machineChange
 		want   storage.MachineEntry
 	}{
-		{"nothing", machineChange{}, before},
-		{"an address alone", machineChange{address: "x"},
+		{"no change", machineChange{}, before},
+		{"address only", machineChange{address: "x"},
 			storage.MachineEntry{Name: "m-1", Address: "x", Phase: storage.PhaseDraining, DrainStamp: 7, Evict: true}},
-		{"active again", machineChange{phase: storage.PhaseActive}, storage.MachineEntry{Name: "m-1", Address: "w"}},
-		{"a drain that begins", machineChange{phase: storage.PhaseDraining},
+		{"reactivated", machineChange{phase: storage.PhaseActive}, storage.MachineEntry{Name: "m-1", Address: "w"}},
+		{"drain started", machineChange{phase: storage.PhaseDraining},
 			storage.MachineEntry{Name: "m-1", Address: "w", Phase: storage.PhaseDraining, DrainStamp: nextToken}},
-		{"a drain that goes on", machineChange{phase: storage.PhaseDraining, drainStamp: 7, evict: true}, before},
+		{"drain continued", machineChange{phase: storage.PhaseDraining, drainStamp: 7, evict: true}, before},
 		{"decommissioning", machineChange{phase: storage.PhaseDecommissioning},
 			storage.MachineEntry{Name: "m-1", Address: "w", Phase: storage.PhaseDecommissioning}},
 		{"deleted", machineChange{phase: storage.PhaseDeleted},
 			storage.MachineEntry{Name: "m-1", Phase: storage.PhaseDeleted, DeletedAtMS: l.Wall().UnixMilli()}},
 	} {
 		if got := l.provisioner.writer.changedEntry(before, &c.change); got != c.want {
-			t.Errorf("%s: %+v, not %+v", c.name, got, c.want)
+			t.Errorf("%s: entry %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestDrainedMachineIsDeleted: a machine that its holder calls empty is decommissioned,
-// deleted at the cloud, recorded as deleted, and forgotten in the end.
+// TestDrainedMachineIsDeleted checks the end of a machine's life cycle: a draining machine that
+// its holder confirms empty is decommissioned, deleted at the cloud and recorded as deleted.
+// Its record is removed later.
 func TestDrainedMachineIsDeleted(t *testing.T) {
 	l := newTestLeader(t)
 	l.cloud.types = protocol.MachineTypeCatalogue{Types: l.replica.View.MachineTypes}
@@ -111,27 +112,27 @@
 	}
 	tick()
 	if m.Phase != storage.PhaseDecommissioning {
-		t.Fatalf("phase %s once it is empty", m.Phase)
+		t.Fatalf("phase %s once the machine is empty, want decommissioning", m.Phase)
 	}
 	tick()
 	if len(l.cloud.deleted) != 1 || l.cloud.deleted[0][0] != "m-1" {
-		t.Fatalf("deleted at the cloud: %v", l.cloud.deleted)
+		t.Fatalf("machines deleted at the cloud: %v, want m-1", l.cloud.deleted)
 	}
 	l.cloud.onDeleted[0](nil)
 	for range deletedRecordDelay/time.Second + 1 {
 		tick()
 	}
 	if m.Phase != storage.PhaseDeleted {
-		t.Fatalf("phase %s after the cloud has deleted it", m.Phase)
+		t.Fatalf("phase %s after the deletion at the cloud, want deleted", m.Phase)
 	}
 	if len(l.cloud.deleted) != 1 {
-		t.Errorf("deleted again: %v", l.cloud.deleted)
+		t.Errorf("machine deleted more than once: %v", l.cloud.deleted)
 	}
 	l.now += time.Hour
 	for range 3 {
 		tick()
 	}
 	if m.Group != "" {
-		t.Errorf("group %s still names it after an hour", m.Group)
+		t.Errorf("group %s still contains the machine after an hour", m.Group)
 	}
 }
--- a/internal/coordination/provisioning/loss_test.go
+++ b/internal/coordination/provisioning/loss_test.go
@@ -9,8 +9,9 @@
 	"rockrun/internal/storage"
 )
 
-// TestGoneMachinesAreRemembered: the record of a deleted machine outlives late lists and
-// copies of its agent's heartbeats, so that it is not adopted anew.
+// TestGoneMachinesAreRemembered checks that the record of a deleted machine is retained while
+// delayed lists and duplicated heartbeats may still arrive: without it they would lead to a
+// new adoption of the machine.
 func TestGoneMachinesAreRemembered(t *testing.T) {
 	l := newTestLeader(t)
 	list := l.provisioner.list
@@ -21,24 +22,24 @@
 		return list.forgettable
 	}
 	if names := forgettable(5 * time.Minute); len(names) != 0 {
-		t.Errorf("forgotten after five minutes: %v", names)
+		t.Errorf("records expired after five minutes: %v, want none", names)
 	}
 	if names := forgettable(time.Hour); !names["m-1"] {
-		t.Error("remembered for ever")
+		t.Error("record not expired after an hour")
 	}
 }
 
-// TestUnlisted: a machine is missed only by a list that knows a later one.
+// TestUnlisted checks that a machine counts as unlisted only if the list contains a newer one.
 func TestUnlisted(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		listed []string
 		want   bool
 	}{
-		{"an empty list", nil, false},
-		{"only earlier ones", []string{"m-1"}, false},
-		{"a later one", []string{"m-1", "m-3"}, true},
-		{"a later one, and itself", []string{"m-1", "m-2", "m-3"}, false},
+		{"empty list", nil, false},
+		{"only an older machine", []string{"m-1"}, false},
+		{"a newer machine", []string{"m-1", "m-3"}, true},
+		{"a newer machine and the machine itself", []string{"m-1", "m-2", "m-3"}, false},
 	} {
 		l := newTestLeader(t)
 		l.putGroup("b", storage.MachineEntry{Name: "m-1"}, storage.MachineEntry{Name: "m-2"}, storage.MachineEntry{Name: "m-3"})
@@ -47,12 +48,12 @@
 		}
 		l.provisioner.list.refresh(l.now)
 		if got := l.provisioner.list.unlisted["m-2"]; got != c.want {
-			t.Errorf("%s: %t", c.name, got)
+			t.Errorf("%s: unlisted %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// TestLossReasons: which machines are lost, and why.
+// TestLossReasons checks which machines are lost, and for which reason.
 func TestLossReasons(t *testing.T) {
 	const minute = time.Minute
 	for _, c := range []struct {
@@ -62,38 +63,38 @@
 		change func(*testLeader, *lossDetector)
 		want   string
 	}{
-		{"well", protocol.MachineStatus{Seen: true}, true, func(*testLeader, *lossDetector) {}, ""},
+		{"healthy", protocol.MachineStatus{Seen: true}, true, func(*testLeader, *lossDetector) {}, ""},
 		{"silent", protocol.MachineStatus{Seen: true, Silent: minute}, true, func(*testLeader, *lossDetector) {}, "silent"},
-		{"silent for a short while", protocol.MachineStatus{Seen: true, Silent: 20 * time.Second}, true, func(*testLeader, *lossDetector) {}, ""},
-		{"silent to a new holder", protocol.MachineStatus{Tasks: 1, Silent: minute}, true, func(*testLeader, *lossDetector) {}, "silent since its holder changed"},
-		{"nobody has spoken of it", protocol.MachineStatus{}, false, func(*testLeader, *lossDetector) {}, ""},
+		{"silent for less than the timeout", protocol.MachineStatus{Seen: true, Silent: 20 * time.Second}, true, func(*testLeader, *lossDetector) {}, ""},
+		{"never heard by a new holder", protocol.MachineStatus{Tasks: 1, Silent: minute}, true, func(*testLeader, *lossDetector) {}, "silent since its holder changed"},
+		{"no status from its holder", protocol.MachineStatus{}, false, func(*testLeader, *lossDetector) {}, ""},
 		{"failed at the cloud", protocol.MachineStatus{}, false, func(_ *testLeader, d *lossDetector) {
 			d.list.failed = map[string]bool{"m-1": true}
 		}, "failed"},
-		{"not listed and silent", protocol.MachineStatus{Seen: true, Silent: 4 * time.Second}, true, func(_ *testLeader, d *lossDetector) {
+		{"unlisted and silent", protocol.MachineStatus{Seen: true, Silent: 4 * time.Second}, true, func(_ *testLeader, d *lossDetector) {
 			d.list.unlisted["m-1"] = true
 		}, "no longer listed"},
-		{"not listed and heard", protocol.MachineStatus{Seen: true}, true, func(_ *testLeader, d *lossDetector) {
+		{"unlisted and heard", protocol.MachineStatus{Seen: true}, true, func(_ *testLeader, d *lossDetector) {
 			d.list.unlisted["m-1"] = true
 		}, ""},
 		{"unresponsive", protocol.MachineStatus{Seen: true, Unresponsive: true}, true, func(*testLeader, *lossDetector) {}, "hears nothing"},
-		{"as most of its shard are", protocol.MachineStatus{Seen: true, Unresponsive: true}, true, func(_ *testLeader, d *lossDetector) {
+		{"unresponsive with most of its shard", protocol.MachineStatus{Seen: true, Unresponsive: true}, true, func(_ *testLeader, d *lossDetector) {
 			d.counts.held[0], d.counts.unresponsive[0] = 10, 6
 		}, ""},
-		{"silent with its zone", protocol.MachineStatus{Seen: true, Silent: minute}, true, func(l *testLeader, d *lossDetector) {
+		{"silent in a partitioned zone", protocol.MachineStatus{Seen: true, Silent: minute}, true, func(l *testLeader, d *lossDetector) {
 			d.fleet.PartitionedZones = map[int]bool{l.machine("m-1").ZoneIndex: true}
 		}, ""},
-		{"silent with its zone for too long", protocol.MachineStatus{Seen: true, Silent: 3 * minute}, true, func(l *testLeader, d *lossDetector) {
+		{"silent in a partitioned zone for too long", protocol.MachineStatus{Seen: true, Silent: 3 * minute}, true, func(l *testLeader, d *lossDetector) {
 			d.fleet.PartitionedZones = map[int]bool{l.machine("m-1").ZoneIndex: true}
 		}, "silent"},
-		{"overdue", protocol.MachineStatus{Silent: 29 * time.Second}, true, func(l *testLeader, d *lossDetector) {
+		{"boot overdue", protocol.MachineStatus{Silent: 29 * time.Second}, true, func(l *testLeader, d *lossDetector) {
 			d.fleet.Now = l.Wall().Add(5 * minute)
 		}, ""},
-		{"overdue while work waits", protocol.MachineStatus{Silent: 29 * time.Second}, true, func(l *testLeader, d *lossDetector) {
+		{"boot overdue while tasks are blocked", protocol.MachineStatus{Silent: 29 * time.Second}, true, func(l *testLeader, d *lossDetector) {
 			d.fleet.Now = l.Wall().Add(5 * minute)
 			d.workBlocked = true
 		}, "never came up"},
-		{"overdue for long", protocol.MachineStatus{Silent: 31 * time.Second}, true, func(l *testLeader, d *lossDetector) {
+		{"boot timed out", protocol.MachineStatus{Silent: 31 * time.Second}, true, func(l *testLeader, d *lossDetector) {
 			d.fleet.Now = l.Wall().Add(bootTimeout)
 		}, "never came up"},
 	} {
@@ -103,12 +104,12 @@
 		detector := &lossDetector{Config: &p.Config, list: p.list, fleet: p.fleet(), counts: p.countMachines()}
 		c.change(l, detector)
 		if got := detector.reason(l.machine("m-1"), c.status, c.known); got != c.want {
-			t.Errorf("%s: %q, not %q", c.name, got, c.want)
+			t.Errorf("%s: reason %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// TestPartitionedZones: when a zone counts as partitioned.
+// TestPartitionedZones checks when a zone counts as partitioned.
 func TestPartitionedZones(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -121,26 +122,26 @@
 	} {
 		counts := machineCounts{known: map[int]int{1: c.known}, silent: map[int]int{1: c.silent}}
 		if got := counts.partitionedZones()[1]; got != c.want {
-			t.Errorf("%s: %t", c.name, got)
+			t.Errorf("%s: partitioned %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// TestScaleOutAnswers: what becomes of a request by the cloud's answer to it.
+// TestScaleOutAnswers checks the effect of each answer of the cloud to a create request.
 func TestScaleOutAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		names   []string
 		err     error
-		pending bool // the request is repeated
-		refused bool // the pool is not asked for a while
+		pending bool // the request is retried
+		refused bool // no requests to the pool for a while
 		groups  int
 	}{
-		{"all of them", []string{"m-1", "m-2"}, nil, false, false, 1},
-		{"fewer", []string{"m-1"}, nil, false, true, 1},
+		{"all machines created", []string{"m-1", "m-2"}, nil, false, false, 1},
+		{"fewer machines created", []string{"m-1"}, nil, false, true, 1},
 		{"no capacity", nil, protocol.ErrNoCapacity, false, true, 0},
-		{"no answer", nil, protocol.ErrOutcomeUnknown, true, false, 0},
-		{"refused", nil, errors.New("refused"), false, false, 0},
+		{"outcome unknown", nil, protocol.ErrOutcomeUnknown, true, false, 0},
+		{"rejected", nil, errors.New("refused"), false, false, 0},
 	} {
 		l := newTestLeader(t)
 		p := l.provisioner
@@ -156,23 +157,23 @@
 		pool := p.scaleOuts.poolOf(p.scaleOuts.calls[0])
 		l.cloud.created[0](c.names, c.err)
 		if got := len(p.scaleOuts.calls) > 0; got != c.pending {
-			t.Errorf("%s: pending %t", c.name, got)
+			t.Errorf("%s: request pending %t, want %t", c.name, got, c.pending)
 		}
 		if got := p.poolUnavailable(pool); got != c.refused {
-			t.Errorf("%s: pool unavailable %t", c.name, got)
+			t.Errorf("%s: pool unavailable %t, want %t", c.name, got, c.refused)
 		}
 		if got := len(p.adoptions.groups); got != c.groups {
-			t.Errorf("%s: %d groups to record", c.name, got)
+			t.Errorf("%s: %d groups to record, want %d", c.name, got, c.groups)
 		}
 		l.now += 2 * time.Second
 		p.scaleOuts.send(l.now)
 		if got := len(l.cloud.requests) > 1; got != c.pending || got && l.cloud.requests[1] != l.cloud.requests[0] {
-			t.Errorf("%s: requests %+v", c.name, l.cloud.requests)
+			t.Errorf("%s: requests %+v after the retry delay", c.name, l.cloud.requests)
 		}
 	}
 }
 
-// TestRefusalsGrow: a pool that goes on having no machines is asked less and less often.
+// TestRefusalsGrow checks the backoff of requests to a pool that repeatedly has no machines.
 func TestRefusalsGrow(t *testing.T) {
 	l := newTestLeader(t)
 	scaleOuts := l.provisioner.scaleOuts
@@ -180,7 +181,7 @@
 	for _, want := range []time.Duration{minRefusalPause, 2 * minRefusalPause, maxRefusalPause, maxRefusalPause} {
 		scaleOuts.refuse(pool)
 		if !scaleOuts.refused(pool, l.now+want-1) || scaleOuts.refused(pool, l.now+want) {
-			t.Errorf("not refused for %s", want)
+			t.Errorf("pool not unavailable for exactly %s", want)
 		}
 	}
 }
