--- a/internal/coordination/provisioning/adoption.go
+++ b/internal/coordination/provisioning/adoption.go
@@ -169,15 +169,15 @@
 	var supplies []*autoscaler.Supply
 	for _, group := range a.groups {
 		for range group.record.Machines {
-			supplies = append(supplies, a.promisedSupply(group.record.Type, group.record.Zone, group.record.Spot, group.record.Shard))
+			supplies = append(supplies, a.pendingSupply(group.record.Type, group.record.Zone, group.record.Spot, group.record.Shard))
 		}
 	}
 	return supplies
 }
 
-// promisedSupply returns the supply of a machine that was requested or created and has no
+// pendingSupply returns the supply of a machine that was requested or created and has no
 // record yet.
-func (c *Config) promisedSupply(machineType, zone string, spot bool, shard int) *autoscaler.Supply {
+func (c *Config) pendingSupply(machineType, zone string, spot bool, shard int) *autoscaler.Supply {
 	view := c.view()
 	index := view.MachineTypeID(machineType)
 	return autoscaler.NewSupply(&view.MachineTypes[index], autoscaler.Pool{MachineType: index, Zone: view.ZoneNames.ID(zone), Spot: spot}, shard)
--- a/internal/coordination/provisioning/adoption_test.go
+++ b/internal/coordination/provisioning/adoption_test.go
@@ -8,11 +8,11 @@
 	"rockrun/internal/protocol"
 )
 
-// TestLateAnswerRecordsNothingTwice guards against a machine being recorded in two groups. The
+// TestLateCreateAnswerDoesNotDuplicateMachines guards against a machine being recorded in two groups. The
 // cloud answers a create request late, after a heartbeat has led to the adoption of one of the
 // machines. That machine stays in its first group, whether or not the view shows the group
 // yet; the other machines are recorded for the job shard that requested them.
-func TestLateAnswerRecordsNothingTwice(t *testing.T) {
+func TestLateCreateAnswerDoesNotDuplicateMachines(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		recorded bool // the view shows the first group when the answer arrives
--- a/internal/coordination/provisioning/claims_test.go
+++ b/internal/coordination/provisioning/claims_test.go
@@ -47,8 +47,8 @@
 	p.claims.update(p.fleet().Supplies(), f.unmet, func(autoscaler.Pool) bool { return true })
 }
 
-// TestClaims checks which machines of another job shard are claimed for a pending service.
-func TestClaims(t *testing.T) {
+// TestClaimableMachines checks which machines of another job shard are claimed for a pending service.
+func TestClaimableMachines(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		change  func(*claimFixture)
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestNoClaimWhileMachinesAreToBeHad checks that no machine is claimed while the cloud can
+// TestNoClaimWhenScaleOutPossible checks that no machine is claimed while the cloud can
 // provide new ones.
-func TestNoClaimWhileMachinesAreToBeHad(t *testing.T) {
+func TestNoClaimWhenScaleOutPossible(t *testing.T) {
 	f := newClaimFixture(t)
 	f.update()
 	delete(f.provisioner.claims.byMachine, "m-1")
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestClaimsLast checks that a claimed machine counts as supply in the next round, and that the
+// TestClaimPersistsUntilMove checks that a claimed machine counts as supply in the next round, and that the
 // claim lasts until the machine has moved.
-func TestClaimsLast(t *testing.T) {
+func TestClaimPersistsUntilMove(t *testing.T) {
 	f := newClaimFixture(t)
 	f.putGroup("c", storage.MachineEntry{Name: "m-2", Address: "w"})
 	f.update()
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestUrgency checks the order in which changes of machines are written.
-func TestUrgency(t *testing.T) {
+// TestChangeUrgency checks the order in which changes of machines are written.
+func TestChangeUrgency(t *testing.T) {
 	f := newClaimFixture(t)
 	_, array := f.replica.View.Jobs.Find("run-1")
 	_, service := f.replica.View.Jobs.Find("svc-1")
@@ -156,10 +156,10 @@
 	}
 }
 
-// TestClaimedDrainsAreHurried checks that the tasks of a draining claimed machine are evicted
+// TestClaimedDrainEvictsForWaitingReplicas checks that the tasks of a draining claimed machine are evicted
 // once pending replicas need the machine. The change keeps the drain's stamp and is written
 // once.
-func TestClaimedDrainsAreHurried(t *testing.T) {
+func TestClaimedDrainEvictsForWaitingReplicas(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		entry storage.MachineEntry
--- a/internal/coordination/provisioning/cloud_list.go
+++ b/internal/coordination/provisioning/cloud_list.go
@@ -27,10 +27,10 @@
 	minDeletedRetention  = 10 * time.Minute
 )
 
-// listPause returns the delay after a list of the given number of machines. A list of
+// listInterval returns the delay after a list of the given number of machines. A list of
 // thousands of machines takes many calls, and the cloud's request rate must also serve
 // creations and deletions.
-func listPause(machines int, callsPerSecond float64) time.Duration {
+func listInterval(machines int, callsPerSecond float64) time.Duration {
 	calls := float64(machines/protocol.MachinesPerCall + 1)
 	return max(minListInterval, config.Seconds(calls/(listCallShare*callsPerSecond)))
 }
@@ -43,14 +43,14 @@
 	adoptions *adoptions
 	call      loop.Call
 
-	failed      map[string]bool   // machines marked as failed in the last list
-	unlisted    map[string]bool   // machines missing from the last list that it should contain
-	addresses   map[string]string // addresses missing from the records
-	forgettable map[string]bool   // deleted machines that no list can contain any more
+	failed         map[string]bool   // machines marked as failed in the last list
+	unlisted       map[string]bool   // machines missing from the last list that it should contain
+	addresses      map[string]string // addresses missing from the records
+	expiredRecords map[string]bool   // deleted machines that no list can contain any more
 }
 
 func newCloudList(c *Config, a *adoptions) *cloudList {
-	return &cloudList{Config: c, adoptions: a, unlisted: map[string]bool{}, addresses: map[string]string{}, forgettable: map[string]bool{}}
+	return &cloudList{Config: c, adoptions: a, unlisted: map[string]bool{}, addresses: map[string]string{}, expiredRecords: map[string]bool{}}
 }
 
 // refresh requests the list of machines when it is due.
@@ -61,7 +61,7 @@
 }
 
 func (l *cloudList) onListed(list []protocol.CloudMachine, err error) {
-	l.call.Done(l.now() + listPause(len(list), l.Cluster.Cloud.RequestsPerSecond))
+	l.call.Done(l.now() + listInterval(len(list), l.Cluster.Cloud.RequestsPerSecond))
 	if !l.Leadership.Current() {
 		return
 	}
@@ -124,7 +124,7 @@
 	nowMS := l.wallMS()
 	l.view().Machines.All(func(_ int, m *storage.Machine) {
 		if m.Deleted() && !listed[m.Name] && time.Duration(nowMS-m.DeletedAtMS)*time.Millisecond > retention {
-			l.forgettable[m.Name] = true
+			l.expiredRecords[m.Name] = true
 		}
 	})
 }
--- a/internal/coordination/provisioning/cycle.go
+++ b/internal/coordination/provisioning/cycle.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// runSoon makes the next tick run a cycle.
-func (c *cycle) runSoon() { c.nextAt = 0 }
+// runOnNextTick makes the next tick run a cycle.
+func (c *cycle) runOnNextTick() { c.nextAt = 0 }
 
 // runCycleWhenDue runs a cycle if the interval since the last one has passed.
 func (p *Provisioner) runCycleWhenDue(now time.Duration) {
--- a/internal/coordination/provisioning/fleet_size_test.go
+++ b/internal/coordination/provisioning/fleet_size_test.go
@@ -60,7 +60,7 @@
 		{"nine calls of four a second", largeFleet, 4, 4500 * time.Millisecond},
 		{"nine calls of one a second", largeFleet, 1, 18 * time.Second},
 	} {
-		if got := listPause(c.machines, c.callsPerSecond); got != c.want {
+		if got := listInterval(c.machines, c.callsPerSecond); got != c.want {
 			t.Errorf("%s: %d machines, %g calls a second: %s, not %s", c.name, c.machines, c.callsPerSecond, got, c.want)
 		}
 	}
--- a/internal/coordination/provisioning/lifecycle_test.go
+++ b/internal/coordination/provisioning/lifecycle_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestEntryFollowsPhase checks a machine's entry after a change of its phase or address.
-func TestEntryFollowsPhase(t *testing.T) {
+// TestPhaseChangeUpdatesEntry checks a machine's entry after a change of its phase or address.
+func TestPhaseChangeUpdatesEntry(t *testing.T) {
 	l := newTestLeader(t)
 	before := storage.MachineEntry{Name: "m-1", Address: "w", Phase: storage.PhaseDraining, DrainStamp: 7, Evict: true}
 	nextToken := l.NextFencingToken() + 1<<24
--- a/internal/coordination/provisioning/loss.go
+++ b/internal/coordination/provisioning/loss.go
@@ -34,7 +34,7 @@
 		return "no longer listed"
 	case l.list.failed[machine.Name]:
 		return "failed"
-	case known && l.awaitsZone(machine, status):
+	case known && l.retainedDuringPartition(machine, status):
 		return ""
 	case silent && status.Seen:
 		// It is gone or hangs. The answer to its deletion confirms that its attempts are
@@ -65,12 +65,12 @@
 	return neverSeen && l.workBlocked && l.fleet.BootOverdue(m) && status.Silent > 3*l.Cluster.Agents.HeartbeatInterval()
 }
 
-// awaitsZone reports whether a silent machine is retained because its zone is partitioned.
+// retainedDuringPartition reports whether a silent machine is retained because its zone is partitioned.
 // Once the partition heals, its machines are usable sooner than new ones would be. Replicas
 // in the zone keep running until their agents' leases have nearly expired, and capacity
 // elsewhere is provided in the meantime. Retention of machines with replicas ends shortly
 // before the lease expires, so that the replicas can start elsewhere at once.
-func (l *lossDetector) awaitsZone(m *storage.Machine, status protocol.MachineStatus) bool {
+func (l *lossDetector) retainedDuringPartition(m *storage.Machine, status protocol.MachineStatus) bool {
 	const maxLeases = 4
 	lease := l.Cluster.Agents.Lease()
 	wasUp := status.Seen || status.Tasks > 0
--- a/internal/coordination/provisioning/loss_test.go
+++ b/internal/coordination/provisioning/loss_test.go
@@ -9,17 +9,17 @@
 	"rockrun/internal/storage"
 )
 
-// TestGoneMachinesAreRemembered checks that the record of a deleted machine is retained while
+// TestDeletedMachineRecordsAreRetained checks that the record of a deleted machine is retained while
 // delayed lists and duplicated heartbeats may still arrive: without it they would lead to a
 // new adoption of the machine.
-func TestGoneMachinesAreRemembered(t *testing.T) {
+func TestDeletedMachineRecordsAreRetained(t *testing.T) {
 	l := newTestLeader(t)
 	list := l.provisioner.list
 	forgettable := func(ago time.Duration) map[string]bool {
 		l.putGroup("b", storage.MachineEntry{Name: "m-1", Phase: storage.PhaseDeleted, DeletedAtMS: l.Wall().Add(-ago).UnixMilli()})
 		list.call.RetryAt(0)
 		list.refresh(l.now)
-		return list.forgettable
+		return list.expiredRecords
 	}
 	if names := forgettable(5 * time.Minute); len(names) != 0 {
 		t.Errorf("records expired after five minutes: %v, want none", names)
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestUnlisted checks that a machine counts as unlisted only if the list contains a newer one.
-func TestUnlisted(t *testing.T) {
+// TestUnlistedMachines checks that a machine counts as unlisted only if the list contains a newer one.
+func TestUnlistedMachines(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		listed []string
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestRefusalsGrow checks the backoff of requests to a pool that repeatedly has no machines.
-func TestRefusalsGrow(t *testing.T) {
+// TestRefusalBackoffGrows checks the backoff of requests to a pool that repeatedly has no machines.
+func TestRefusalBackoffGrows(t *testing.T) {
 	l := newTestLeader(t)
 	scaleOuts := l.provisioner.scaleOuts
 	pool := l.provisioner.scaleOuts.poolOf(&scaleOutCall{CreateMachinesRequest: protocol.CreateMachinesRequest{Type: "small", Zone: "z"}})
