--- a/internal/coordination/provisioning/fixture_test.go
+++ b/internal/coordination/provisioning/fixture_test.go
@@ -19,17 +19,18 @@
 
 const (
 	testTerm       = 6
-	testGrantToken = 5<<44 | 1<<24 // of the term before
+	testGrantToken = 5<<44 | 1<<24 // of the previous term
 )
 
-// testLeader is a leader whose clock, store, cloud and holders do what a test says.
+// testLeader is a leader whose clock, key-value store, cloud and shard holders are controlled
+// by the test.
 type testLeader struct {
 	t            testing.TB
 	now          time.Duration
 	tokens       uint64
 	revision     uint64
-	transactions []protocol.Transaction // sent and not carried out yet
-	answers      []func(uint64, error)
+	transactions []protocol.Transaction // committed but not applied yet
+	callbacks    []func(uint64, error)
 	replica      *replica.Replica
 	committer    *kv.Committer
 	statuses     func(*storage.Machine) (protocol.MachineStatus, bool)
@@ -38,7 +39,7 @@
 	provisioner  *Provisioner
 }
 
-// testCloud is a cloud that lists what a test says and keeps what it is asked for.
+// testCloud is a cloud that lists the machines set by the test and records its requests.
 type testCloud struct {
 	listed    []protocol.CloudMachine
 	types     protocol.MachineTypeCatalogue
@@ -90,10 +91,10 @@
 }
 func (l *testLeader) Commit(t protocol.Transaction, done func(uint64, error)) {
 	l.transactions = append(l.transactions, t)
-	l.answers = append(l.answers, done)
+	l.callbacks = append(l.callbacks, done)
 }
 
-// newTestLeader is a leader that knows one machine type and has no machines.
+// newTestLeader returns a leader with one machine type and no machines.
 func newTestLeader(t testing.TB) *testLeader {
 	t.Helper()
 	l := &testLeader{t: t, now: time.Minute}
@@ -124,7 +125,7 @@
 	return l
 }
 
-// put lets a record come with the changes.
+// put applies a record to the view, as a change from the key-value store.
 func (l *testLeader) put(key string, record any) {
 	l.revision++
 	l.replica.Apply(protocol.Changes{Revision: l.revision, Events: []protocol.Event{
@@ -132,14 +133,14 @@
 	}}, l.now)
 }
 
-// putGroup lets a group of machines come with the changes.
+// putGroup applies the record of a machine group to the view.
 func (l *testLeader) putGroup(id string, entries ...storage.MachineEntry) {
 	l.put(storage.MachineGroupKey(id), storage.MachineGroupRecord{
 		Type: "small", Zone: "z", FencingToken: testGrantToken, RentedAtMS: l.Wall().Add(-time.Minute).UnixMilli(), Machines: entries,
 	})
 }
 
-// machine returns a machine of the records.
+// machine returns a machine from the view, and fails the test if the view lacks it.
 func (l *testLeader) machine(name string) *storage.Machine {
 	l.t.Helper()
 	_, m := l.replica.View.Machines.Find(name)
@@ -149,35 +150,35 @@
 	return m
 }
 
-// applyTransactions carries out the transactions that were sent, in their order, and answers
-// them once the view shows what came of them.
+// applyTransactions applies the committed transactions to the view in order, and calls the
+// callback of each once the view shows it.
 func (l *testLeader) applyTransactions() {
 	l.t.Helper()
-	transactions, answers := l.transactions, l.answers
-	l.transactions, l.answers = nil, nil
+	transactions, callbacks := l.transactions, l.callbacks
+	l.transactions, l.callbacks = nil, nil
 	for i, t := range transactions {
-		l.withinLimits(t)
+		l.checkLimits(t)
 		l.revision++
 		var events []protocol.Event
 		for _, op := range t.Operations {
 			events = append(events, protocol.Event{Put: op.Put, Value: op.Value, Remove: op.Delete, Version: l.revision})
 		}
 		l.replica.Apply(protocol.Changes{Revision: l.revision, Events: events}, l.now)
-		answers[i](l.revision, nil)
+		callbacks[i](l.revision, nil)
 	}
 }
 
-// withinLimits fails where a transaction is over the limits in force.
-func (l *testLeader) withinLimits(t protocol.Transaction) {
+// checkLimits fails the test if a transaction exceeds the current limits.
+func (l *testLeader) checkLimits(t protocol.Transaction) {
 	l.t.Helper()
 	limits := l.committer.Limits()
 	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Conditions) > limits.Conditions {
-		l.t.Errorf("over the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
+		l.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
 	}
 }
 
-// limitStore lets the store's limits be lower from now on.
-func (l *testLeader) limitStore(valueBytes, operations, conditions int) {
+// lowerStoreLimits lowers the limits of the key-value store.
+func (l *testLeader) lowerStoreLimits(valueBytes, operations, conditions int) {
 	limits := l.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
 	limits.Operations = min(limits.Operations, operations)
@@ -185,7 +186,7 @@
 	l.committer.SetLimits(limits)
 }
 
-// The sizes of fleets: every fixed limit must allow the large one.
+// Fleet sizes. Every fixed limit must allow the large fleet.
 const (
 	mediumFleet      = 1200
 	largeFleet       = 4000
@@ -195,7 +196,7 @@
 
 func machineName(i int) string { return fmt.Sprintf("m-%06d", i) }
 
-// newFleetLeader is a leader of a fleet on which every machine is up and runs one task.
+// newFleetLeader returns a leader with a fleet in which every machine is up and runs one task.
 func newFleetLeader(t testing.TB, machines int) *testLeader {
 	t.Helper()
 	l := newTestLeader(t)
@@ -225,14 +226,14 @@
 	return l
 }
 
-// putWaitingJob adds a job for whose tasks there is no room.
-func (l *testLeader) putWaitingJob() {
+// putBlockedJob adds a job whose tasks do not fit on the fleet.
+func (l *testLeader) putBlockedJob() {
 	l.put(storage.JobKey("run-999999"), storage.JobRecord{Spec: protocol.JobSpec{
 		ID: "run-999999", Class: "report", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 500, CPUs: 4, MemoryGB: 29, Spot: true, EstimateSeconds: 15,
 	}})
 }
 
-// largeGroup is a group that was recorded under higher limits.
+// largeGroup returns the record of a group that was written under higher limits.
 func largeGroup(machines int) storage.MachineGroupRecord {
 	record := storage.MachineGroupRecord{Type: "small", Zone: "z", FencingToken: testGrantToken}
 	for i := range machines {
@@ -241,13 +242,13 @@
 	return record
 }
 
-// TestFixtureTerms: the fixture's tokens are of the terms that it says.
+// TestFixtureTerms checks that the fixture's tokens belong to the terms stated for them.
 func TestFixtureTerms(t *testing.T) {
 	l := newTestLeader(t)
 	if term := election.TermOfToken(l.NextFencingToken()); term != testTerm {
-		t.Errorf("tokens of term %d", term)
+		t.Errorf("issued token is of term %d, want %d", term, testTerm)
 	}
 	if term := election.TermOfToken(testGrantToken); term >= testTerm {
-		t.Errorf("a grant of term %d", term)
+		t.Errorf("grant token is of term %d, want one before %d", term, testTerm)
 	}
 }
--- a/internal/coordination/provisioning/group_values.go
+++ b/internal/coordination/provisioning/group_values.go
@@ -10,30 +10,34 @@
 	"rockrun/internal/storage"
 )
 
-// An entry of a group with an address and the longest phase takes up to groupEntryBytes
-// beside the name; groupHeaderBytes are for all that stands there once.
+// groupEntryBytes is the most that a machine's entry adds to an encoded group besides its
+// name: an address and the longest phase. groupHeaderBytes covers the fields that occur once
+// per group.
 const (
 	groupEntryBytes  = 70
 	groupHeaderBytes = 250
 )
 
-// maxGroupOperations bounds a transaction of the leader's: small ones get through where all
-// controllers together write much.
+// maxGroupOperations bounds the operations of a transaction that writes machine groups. Small
+// transactions still get through when all controllers together write a lot.
 const maxGroupOperations = 8
 
-// machinesPerGroup is how many machines with such names a new group takes.
+// machinesPerGroup returns the maximum number of machines in a new group, for machine names
+// as long as the given one.
 func (c *Config) machinesPerGroup(name string) int {
 	return machinesPerValue(c.Committer.Limits().ValueBytes, name)
 }
 
-// machinesPerValue is how many machines with names like one a group holds, so that its
-// value stays within bounds whatever becomes of them.
+// machinesPerValue returns how many machines fit into a group for machine names as long as
+// the given one. The encoded group stays within valueBytes through all later phases of its
+// machines.
 func machinesPerValue(valueBytes int, name string) int {
 	return max(1, (valueBytes-groupHeaderBytes)/(groupEntryBytes+len(name)))
 }
 
-// splitGroup divides machines among groups that fit into a value. There are no more of them
-// than maxParts, unless that is too few even for the sizes they have now.
+// splitGroup divides the machines of a record among groups that each fit into a value. It
+// makes at most maxParts groups. If that is too few to leave every entry room to grow, the
+// groups hold more machines; the caller checks whether they still fit.
 func splitGroup(record storage.MachineGroupRecord, valueBytes, maxParts int) []storage.MachineGroupRecord {
 	if len(storage.Encode(record)) <= valueBytes || len(record.Machines) < 2 {
 		return []storage.MachineGroupRecord{record}
@@ -50,24 +54,26 @@
 	return parts
 }
 
-// groupID names a new group after a fencing token, which is given out once.
+// groupID derives the ID of a new group from a fencing token. It is unique, as no token is
+// issued twice.
 func groupID(token uint64) string { return strconv.FormatUint(election.TokenSerial(token), 36) }
 
-// groupWrite is the part of a transaction that writes a group.
+// groupWrite holds the conditions and operations that write one group within a transaction.
 type groupWrite struct {
 	conditions []protocol.Condition
 	operations []protocol.Operation
 }
 
-// prepare writes a group as it is to be, and parts of it as new groups where the whole no
-// longer fits a value. The parts come first, so that no machine is without a group on the
-// way. They keep the fencing token, so that the holder has nothing to show anew.
-func (w *groupWriter) prepare(id string, record storage.MachineGroupRecord) (write groupWrite, ok bool) {
+// prepareWrite returns the write of a group's new record. A record that no longer fits into a
+// value is split, and the other parts are written as new groups. Their operations precede
+// that of the group itself, so that no machine is without a group in between. The parts
+// retain the group's fencing token, so the holder does not have to fence the agents again.
+func (w *groupWriter) prepareWrite(id string, record storage.MachineGroupRecord) (write groupWrite, ok bool) {
 	limits := w.Committer.Limits()
 	parts := splitGroup(record, limits.ValueBytes, limits.Operations)
 	for _, part := range parts {
 		if !w.Committer.Fits(part) {
-			w.Log.Error("machine group over the limit cannot be split", "group", id, "machines", len(record.Machines), "parts", len(parts))
+			w.Log.Error("oversized machine group split failed", "group", id, "machines", len(record.Machines), "parts", len(parts))
 			return write, false
 		}
 	}
@@ -77,22 +83,23 @@
 		write.operations = append(write.operations, protocol.Operation{Put: key, Value: storage.Encode(part)})
 	}
 	write.conditions = append(write.conditions, protocol.Condition{Key: storage.MachineGroupKey(id), Version: w.view().MachineGroups[id].Version})
-	write.operations = append(write.operations, w.operation(id, parts[0]))
+	write.operations = append(write.operations, w.writeOperation(id, parts[0]))
 	return write, true
 }
 
-// operation writes a group, or removes it once it is empty. The transaction that made it
-// may have been sent twice, and a late copy of it demands only that the key does not exist
-// and that its leader still leads: a group that was removed under the same term could come
-// back with machines that are elsewhere by now. So an empty one is kept until a later term.
-func (w *groupWriter) operation(id string, record storage.MachineGroupRecord) protocol.Operation {
+// writeOperation returns the operation that writes a group, or deletes an empty group of an
+// earlier term. An empty group of the current term is retained: the transaction that created
+// it may have been sent twice, and the conditions of a delayed duplicate are only that the
+// key does not exist and that the same leader is in office. If the group had been deleted,
+// the duplicate would recreate it with machines that have since moved to other groups.
+func (w *groupWriter) writeOperation(id string, record storage.MachineGroupRecord) protocol.Operation {
 	if w.removable(&record) {
 		return protocol.Operation{Delete: storage.MachineGroupKey(id)}
 	}
 	return protocol.Operation{Put: storage.MachineGroupKey(id), Value: storage.Encode(record)}
 }
 
-// removable reports whether a group is empty and of an earlier term.
+// removable reports whether a group is empty and its fencing token is of an earlier term.
 func (w *groupWriter) removable(record *storage.MachineGroupRecord) bool {
 	return len(record.Machines) == 0 && election.TermOfToken(record.FencingToken) < w.Leadership.Term()
 }
@@ -102,14 +109,14 @@
 	writer      *groupWriter
 	transaction protocol.Transaction
 	groups      []string
-	grants      map[int]bool // shards on whose grants it depends
+	grants      map[int]bool // shards whose grants the transaction depends on
 }
 
 func newGroupBatch(w *groupWriter) *groupBatch {
 	return &groupBatch{writer: w, transaction: protocol.Transaction{Conditions: []protocol.Condition{w.Leadership.Condition()}}, grants: map[int]bool{}}
 }
 
-// hasRoomFor reports whether the transaction still has room for a write. A first one always
+// hasRoomFor reports whether a write still fits into the transaction. The first write always
 // fits.
 func (b *groupBatch) hasRoomFor(write groupWrite) bool {
 	const grantCondition = 1
@@ -121,21 +128,22 @@
 		len(b.transaction.Conditions)+len(write.conditions)+grantCondition <= limits.Conditions
 }
 
-// add puts the write of a group into the transaction.
+// add appends the write of a group to the transaction. If a change relies on the holder's
+// confirmation that a machine is empty, the transaction also depends on the holder's grant.
 func (b *groupBatch) add(id string, write groupWrite) {
 	b.groups = append(b.groups, id)
 	b.transaction.Conditions = append(b.transaction.Conditions, write.conditions...)
 	b.transaction.Operations = append(b.transaction.Operations, write.operations...)
 	group, changes := b.writer.view().MachineGroups[id], b.writer.changes[id]
 	b.writer.logChanges(group, changes)
-	dependsOnHolder := slices.ContainsFunc(changes, func(c machineChange) bool { return c.holderSaysEmpty })
+	dependsOnHolder := slices.ContainsFunc(changes, func(c machineChange) bool { return c.holderConfirmedEmpty })
 	if dependsOnHolder && !b.grants[group.Shard] {
 		b.grants[group.Shard] = true
 		b.transaction.Conditions = append(b.transaction.Conditions, b.writer.view().GrantCondition(group.Shard))
 	}
 }
 
-// send carries the transaction out, if there is anything in it.
+// send commits the transaction unless it is empty.
 func (b *groupBatch) send() {
 	if len(b.groups) > 0 {
 		b.writer.commit(b.groups, b.transaction)
--- a/internal/coordination/provisioning/group_writer.go
+++ b/internal/coordination/provisioning/group_writer.go
@@ -11,21 +11,22 @@
 	"rockrun/internal/storage"
 )
 
-// machineChange is what a machine's entry is to become.
+// machineChange is a change of a machine's entry in its group.
 type machineChange struct {
 	machine    *storage.Machine
-	phase      storage.MachinePhase // "": the phase stays
+	phase      storage.MachinePhase // "": unchanged
 	reason     string
-	drainStamp uint64 // of a drain that goes on; one that begins gets its own when it is written
-	evict      bool   // of a drain: its tasks are stopped
+	drainStamp uint64 // of a drain that continues; 0: a new drain, whose stamp is issued with the write
+	evict      bool   // of a drain: the machine's tasks are stopped
 	address    string
-	forget     bool // the entry goes
-	// holderSaysEmpty: the change rests on the holder's word that nothing is on the machine.
-	holderSaysEmpty bool
+	forget     bool // the entry is removed
+	// holderConfirmedEmpty: the change relies on the holder's confirmation that the machine
+	// has no tasks.
+	holderConfirmedEmpty bool
 }
 
-// groupWriter writes the changes of machine groups. They are worked out anew with every
-// tick; what can't be written now is worked out again in the next.
+// groupWriter writes the changes of machine groups. The changes are computed in every tick;
+// those that cannot be written in one tick are computed again in the next.
 type groupWriter struct {
 	*Config
 	changes map[string][]machineChange // by group
@@ -37,15 +38,16 @@
 	return &groupWriter{Config: c, changes: map[string][]machineChange{}, writes: map[string]*loop.Write{}, urgency: urgency}
 }
 
-// begin forgets the changes of the tick before.
+// begin discards the changes of the previous tick.
 func (w *groupWriter) begin() { clear(w.changes) }
 
-// setPhase moves a machine on to another phase.
+// setPhase adds a change of a machine's phase.
 func (w *groupWriter) setPhase(m *storage.Machine, phase storage.MachinePhase, reason string) {
 	w.add(machineChange{machine: m, phase: phase, reason: reason})
 }
 
-// add takes up a change, unless the machine is in no group or is being changed already.
+// add adds a change to this tick's changes. It ignores machines without a group and machines
+// that already have a change in this tick, and rejects illegal phase transitions.
 func (w *groupWriter) add(change machineChange) {
 	machine := change.machine
 	if machine.Group == "" || w.hasChange(machine) {
@@ -53,35 +55,38 @@
 	}
 	if change.phase != "" {
 		if err := checkTransition(machine, change.phase); err != nil {
-			w.Log.Error("machine not changed", "machine", machine.Name, "reason", change.reason, "err", err)
+			w.Log.Error("machine phase change rejected", "machine", machine.Name, "reason", change.reason, "err", err)
 			return
 		}
 	}
 	w.changes[machine.Group] = append(w.changes[machine.Group], change)
 }
 
-// touch has a group written even where none of its machines changes: an empty one can go.
-func (w *groupWriter) touch(group string) { w.changes[group] = nil }
+// requestWrite schedules the write of a group without any machine change, by which an empty
+// group is removed.
+func (w *groupWriter) requestWrite(group string) { w.changes[group] = nil }
 
-// hasChange reports whether a change of a machine's entry was worked out in this tick.
+// hasChange reports whether this tick's changes include one of the machine's entry.
 func (w *groupWriter) hasChange(m *storage.Machine) bool {
 	return slices.ContainsFunc(w.changes[m.Group], func(c machineChange) bool { return c.machine == m })
 }
 
-// pending reports whether a machine's entry is being changed already.
+// pending reports whether a machine has a change in this tick, or its group's last write is
+// not in the view yet.
 func (w *groupWriter) pending(m *storage.Machine) bool { return !w.ready(m.Group) || w.hasChange(m) }
 
-// ready reports whether a group may be written: its last write must be in the view.
+// ready reports whether a group may be written. Its last write must be in the view.
 func (w *groupWriter) ready(group string) bool {
 	write := w.writes[group]
 	return write == nil || write.Ready(w.now(), w.Replica.Revision())
 }
 
-// flush writes the changes of this tick, several groups to a transaction.
+// flush writes the changes of this tick, with several groups in a transaction, as far as the
+// write budget allows.
 func (w *groupWriter) flush(now time.Duration) {
 	batch := newGroupBatch(w)
 	for _, id := range w.writableGroups() {
-		write, ok := w.prepare(id, w.apply(w.view().MachineGroups[id], w.changes[id]))
+		write, ok := w.prepareWrite(id, w.apply(w.view().MachineGroups[id], w.changes[id]))
 		if !ok {
 			continue
 		}
@@ -97,9 +102,9 @@
 	batch.send()
 }
 
-// writableGroups lists the groups with changes that may be written, the most urgent first.
-// Where many machines are lost at once there are far more changes than writes, and what
-// replicas wait for must not queue behind the tidying up.
+// writableGroups lists the groups with changes that may be written now, the most urgent
+// first. When many machines are lost at once, the changes far exceed the write budget, and
+// changes that replicas wait for must not queue behind mere cleanup.
 func (w *groupWriter) writableGroups() []string {
 	var ids []string
 	urgency := map[string]int{}
@@ -116,7 +121,7 @@
 	return ids
 }
 
-// commit carries out a transaction that writes groups.
+// commit commits a transaction that writes the given groups, and tracks the write of each.
 func (w *groupWriter) commit(groups []string, t protocol.Transaction) {
 	for _, id := range groups {
 		if w.writes[id] == nil {
@@ -133,17 +138,17 @@
 			}
 		}
 		if err != nil {
-			w.Log.Debug("machine groups not written", "err", err)
+			w.Log.Debug("machine group write failed", "err", err)
 		}
 	})
 }
 
-// apply is a group with changes carried out.
+// apply returns a group's record with changes applied.
 func (w *groupWriter) apply(group *storage.MachineGroup, changes []machineChange) storage.MachineGroupRecord {
 	record := group.MachineGroupRecord
 	record.Machines = nil
 	for _, entry := range group.Machines {
-		change := changeOf(changes, entry.Name)
+		change := findChange(changes, entry.Name)
 		switch {
 		case change == nil:
 			record.Machines = append(record.Machines, entry)
@@ -154,8 +159,8 @@
 	return record
 }
 
-// changeOf returns the change of a machine, or nil.
-func changeOf(changes []machineChange, name string) *machineChange {
+// findChange returns the change of the named machine, or nil.
+func findChange(changes []machineChange, name string) *machineChange {
 	i := slices.IndexFunc(changes, func(c machineChange) bool { return c.machine.Name == name })
 	if i < 0 {
 		return nil
@@ -163,7 +168,7 @@
 	return &changes[i]
 }
 
-// changedEntry is a machine's entry with a change carried out.
+// changedEntry returns a machine's entry with a change applied.
 func (w *groupWriter) changedEntry(entry storage.MachineEntry, change *machineChange) storage.MachineEntry {
 	if change.address != "" {
 		entry.Address = change.address
@@ -186,10 +191,10 @@
 	return entry
 }
 
-// logChanges says what becomes of the machines of a group.
+// logChanges logs the phase changes of a group's machines.
 func (w *groupWriter) logChanges(group *storage.MachineGroup, changes []machineChange) {
 	for _, entry := range group.Machines {
-		if change := changeOf(changes, entry.Name); change != nil && change.phase != "" {
+		if change := findChange(changes, entry.Name); change != nil && change.phase != "" {
 			w.Log.Info("machine phase changed", "machine", entry.Name, "type", group.Type, "zone", group.Zone, "spot", group.Spot,
 				"phase", change.phase, "reason", change.reason, "term", w.Leadership.Term())
 		}
--- a/internal/coordination/provisioning/groups_test.go
+++ b/internal/coordination/provisioning/groups_test.go
@@ -8,18 +8,18 @@
 	"rockrun/internal/storage"
 )
 
-// TestOversizedGroupIsSplit: a machine of a group that is too large by now drains. The very
-// write that records it splits the group; every machine stays in just one, under the
-// fencing token of before, so that its holder has nothing to show anew.
+// TestOversizedGroupIsSplit drains a machine of a group that exceeds lowered limits. The write
+// that records the drain must split the group. Every machine must be in exactly one group, with
+// an unchanged fencing token, so that the holder does not have to fence the agents again.
 func TestOversizedGroupIsSplit(t *testing.T) {
 	for _, machines := range []int{60, 69, 90} {
 		l := newTestLeader(t)
 		writer := l.provisioner.writer
 		l.put(storage.MachineGroupKey("large"), largeGroup(machines))
-		l.limitStore(2048, 3, 12)
-		leaving := l.machine(machineName(5020))
+		l.lowerStoreLimits(2048, 3, 12)
+		draining := l.machine(machineName(5020))
 		writer.begin()
-		writer.setPhase(leaving, storage.PhaseDraining, "idle")
+		writer.setPhase(draining, storage.PhaseDraining, "idle")
 		writer.flush(l.now)
 		if len(l.transactions) != 1 {
 			t.Fatalf("%d transactions", len(l.transactions))
@@ -29,11 +29,11 @@
 		for i, entry := range largeGroup(machines).Machines {
 			m := l.machine(machineName(5000 + i))
 			groups[m.Group]++
-			if (m.Phase == storage.PhaseDraining) != (m == leaving) {
-				t.Errorf("%s is in phase %s", m.Name, m.Phase)
+			if (m.Phase == storage.PhaseDraining) != (m == draining) {
+				t.Errorf("machine %s is in phase %s", m.Name, m.Phase)
 			}
 			if m.FencingToken != testGrantToken || m.Shard != 0 || m.Address != entry.Address {
-				t.Errorf("%s must be held anew: token %x, shard %d, address %s", m.Name, m.FencingToken, m.Shard, m.Address)
+				t.Errorf("machine %s changed in the split: token %x, shard %d, address %s", m.Name, m.FencingToken, m.Shard, m.Address)
 			}
 		}
 		if len(groups) < 3 || groups[""] > 0 {
@@ -42,24 +42,24 @@
 	}
 }
 
-// TestOversizedGroupMoves: machines leave a group that is too large for another job shard;
-// where that is more than a transaction takes, the group is split first.
+// TestOversizedGroupMoves moves machines of an oversized group to another job shard. If the
+// split and the move exceed the operations of a transaction, the group must be split first.
 func TestOversizedGroupMoves(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		machines int
-		parts    int // of the group, once it is first written
+		parts    int // groups left in the shard after the first write
 	}{
-		{"what is left fits", 60, 1},
-		{"it is split before anything moves", 90, 3},
+		{"remainder fits", 60, 1},
+		{"split before the move", 90, 3},
 	} {
 		l := newTestLeader(t)
 		l.put(storage.MachineGroupKey("large"), largeGroup(c.machines))
-		l.limitStore(2048, 3, 12)
+		l.lowerStoreLimits(2048, 3, 12)
 		for round := range 10 {
 			l.moveMachines(30, 1)
 			if left := groupsInShard(l, 0); round == 0 && left != c.parts {
-				t.Errorf("%s: %d groups after the first write", c.name, left)
+				t.Errorf("%s: %d groups after the first write, want %d", c.name, left, c.parts)
 			}
 		}
 		moved := 0
@@ -69,19 +69,19 @@
 			}
 		}
 		if moved != 30 {
-			t.Errorf("%s: %d machines have moved", c.name, moved)
+			t.Errorf("%s: %d machines moved, want 30", c.name, moved)
 		}
 	}
 }
 
-// moveMachines moves the first machines of a large group that are in the batch shard to
-// another, as far as one tick does.
+// moveMachines runs the moves of one tick for those of the first count machines of a large
+// group that are still in the batch shard.
 func (l *testLeader) moveMachines(count, toShard int) {
 	l.t.Helper()
 	l.now += time.Second
 	p := l.provisioner
 	p.writer.begin()
-	p.moves.begin()
+	p.moves.reset()
 	for i := range count {
 		if m := l.machine(machineName(5000 + i)); m.Shard == storage.BatchShard {
 			p.moves.add(m, toShard)
@@ -91,7 +91,7 @@
 	l.applyTransactions()
 }
 
-// groupsInShard counts the groups of a shard that have machines.
+// groupsInShard counts the nonempty groups of a shard.
 func groupsInShard(l *testLeader, shard int) int {
 	count := 0
 	for _, group := range l.replica.View.MachineGroups {
@@ -102,38 +102,40 @@
 	return count
 }
 
-// TestOversizedGroupsAreCounted: a group counts while its record is over the limit.
+// TestOversizedGroupsAreCounted checks that a group counts as oversized only while its record
+// exceeds the limit.
 func TestOversizedGroupsAreCounted(t *testing.T) {
 	l := newTestLeader(t)
-	l.limitStore(2048, 8, 100)
+	l.lowerStoreLimits(2048, 8, 100)
 	l.put(storage.MachineGroupKey("large"), largeGroup(60))
 	l.put(storage.MachineGroupKey("small"), largeGroup(2))
 	if got := l.provisioner.OversizedGroups(); got != 1 {
-		t.Errorf("%d are over the limit", got)
+		t.Errorf("%d oversized groups, want 1", got)
 	}
 	l.put(storage.MachineGroupKey("large"), largeGroup(3))
 	if got := l.provisioner.OversizedGroups(); got != 0 {
-		t.Errorf("%d are over the limit after it was written smaller", got)
+		t.Errorf("%d oversized groups after the large group was rewritten with fewer machines, want 0", got)
 	}
 }
 
-// TestEmptyGroupsStayForTheirTerm: a late copy of the transaction that made a group must
-// find its key there for as long as its leader leads, or machines that have moved on would
-// come back.
+// TestEmptyGroupsStayForTheirTerm checks that an empty group is retained for the rest of its
+// term. A delayed duplicate of the transaction that created the group must find the key in
+// existence while the same leader is in office. Otherwise it would recreate the group with
+// machines that have since moved to other groups.
 func TestEmptyGroupsStayForTheirTerm(t *testing.T) {
 	l := newTestLeader(t)
 	empty := storage.MachineGroupRecord{FencingToken: l.NextFencingToken()}
-	if op := l.provisioner.writer.operation("x", empty); op.Delete != "" {
-		t.Error("an empty group of this term is removed")
+	if op := l.provisioner.writer.writeOperation("x", empty); op.Delete != "" {
+		t.Error("empty group of the current term is deleted")
 	}
-	empty.FencingToken = testGrantToken // of the term before
-	if op := l.provisioner.writer.operation("x", empty); op.Delete == "" {
-		t.Error("an empty group of an earlier term stays")
+	empty.FencingToken = testGrantToken // of the previous term
+	if op := l.provisioner.writer.writeOperation("x", empty); op.Delete == "" {
+		t.Error("empty group of an earlier term is retained")
 	}
 }
 
-// TestGroupsAreNotWrittenTwice: the next write of a group waits until the view shows the
-// last.
+// TestGroupsAreNotWrittenTwice checks that the next write of a group waits until the view shows
+// the last one.
 func TestGroupsAreNotWrittenTwice(t *testing.T) {
 	l := newTestLeader(t)
 	writer := l.provisioner.writer
@@ -145,27 +147,27 @@
 	}
 	drain("m-1")
 	if !writer.pending(l.machine("m-2")) {
-		t.Error("another machine of the group may be changed while the write is under way")
+		t.Error("another machine of the group is not pending while the write is in flight")
 	}
 	drain("m-2")
 	if len(l.transactions) != 1 {
-		t.Fatalf("%d transactions while one is under way", len(l.transactions))
+		t.Fatalf("%d transactions while one is in flight", len(l.transactions))
 	}
-	l.answers[0](l.revision+1, nil) // before the changes show it
+	l.callbacks[0](l.revision+1, nil) // answered before the view shows the write
 	drain("m-2")
 	if len(l.transactions) != 1 {
-		t.Fatalf("%d transactions before the view shows the first", len(l.transactions))
+		t.Fatalf("%d transactions before the view shows the first write", len(l.transactions))
 	}
-	l.answers[0] = func(uint64, error) {}
+	l.callbacks[0] = func(uint64, error) {}
 	l.applyTransactions()
 	drain("m-2")
 	if len(l.transactions) != 1 {
-		t.Fatalf("%d transactions once it does", len(l.transactions))
+		t.Fatalf("%d new transactions after the view shows the first write, want 1", len(l.transactions))
 	}
 }
 
-// TestFoundMachinesAreGrouped: machines that no record names come into groups by their
-// kind, once each.
+// TestFoundMachinesAreGrouped checks that machines without a record are grouped by type, zone
+// and market, and that each is recorded once.
 func TestFoundMachinesAreGrouped(t *testing.T) {
 	l := newTestLeader(t)
 	adoptions := l.provisioner.adoptions
@@ -177,14 +179,14 @@
 		adoptions.adopt("m-0", unrecordedMachine{machineType: "small", zone: "z"})
 	}
 	if len(l.transactions) != 3 {
-		t.Fatalf("%d transactions for three runs of one kind", len(l.transactions))
+		t.Fatalf("%d transactions, want one for each of three runs of the same pool", len(l.transactions))
 	}
 	l.applyTransactions()
 	adoptions.write()
 	if m := l.machine("m-0"); m.Group == "" || m.Group != l.machine("m-1").Group || m.Group == l.machine("m-2").Group {
-		t.Errorf("groups %s, %s and %s", m.Group, l.machine("m-1").Group, l.machine("m-2").Group)
+		t.Errorf("machines m-0, m-1 and m-2 are in groups %s, %s and %s", m.Group, l.machine("m-1").Group, l.machine("m-2").Group)
 	}
 	if len(adoptions.groups)+len(adoptions.machines) > 0 {
-		t.Errorf("%d groups of %d machines are still to be recorded", len(adoptions.groups), len(adoptions.machines))
+		t.Errorf("%d groups of %d machines are still unrecorded", len(adoptions.groups), len(adoptions.machines))
 	}
 }
--- a/internal/coordination/provisioning/machine_types.go
+++ b/internal/coordination/provisioning/machine_types.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// typesInterval is the time between two reads of the machine types.
+	// typesInterval is the delay between a successful read of the machine types and the next.
 	typesInterval = 30 * time.Second
-	// typesRetryPause is the least pause after a read that failed.
-	typesRetryPause = time.Second
+	// typesRetryBackoff is the minimum delay before a failed read is retried.
+	typesRetryBackoff = time.Second
 )
 
-// machineTypes reads what the cloud rents out, and records it for the other controllers.
+// machineTypes reads the cloud's machine types and records them for the other controllers.
 type machineTypes struct {
 	*Config
-	catalogue protocol.MachineTypeCatalogue // none before the first read
+	catalogue protocol.MachineTypeCatalogue // empty before the first read
 	read      loop.Call
 	write     loop.Call
 }
@@ -30,7 +30,8 @@
 	return len(t.catalogue.Types) > 0 && t.view().MachineTypesVersion != 0
 }
 
-// refresh reads and records the machine types where that is due.
+// refresh reads the machine types when a read is due, and records them when they differ from
+// the record.
 func (t *machineTypes) refresh(now time.Duration) {
 	if t.read.TryBegin(now) {
 		t.Cloud.MachineTypes(t.onRead)
@@ -41,10 +42,10 @@
 }
 
 func (t *machineTypes) onRead(catalogue protocol.MachineTypeCatalogue, err error) {
-	retryAt := t.now() + t.Generation.Jitter(typesRetryPause)
+	retryAt := t.now() + t.Generation.Jitter(typesRetryBackoff)
 	if err != nil || len(catalogue.Types) == 0 {
 		t.read.Done(retryAt)
-		t.Log.Debug("machine types not read", "err", err)
+		t.Log.Debug("machine types read failed", "err", err)
 		return
 	}
 	t.read.Done(t.now() + typesInterval)
@@ -61,8 +62,8 @@
 	})
 }
 
-// recorded reports whether the recorded machine types are those read, but for small moves
-// of spot prices.
+// recorded reports whether the recorded machine types match those last read, apart from
+// small changes of spot prices.
 func (t *machineTypes) recorded() bool {
 	view := t.view()
 	if view.MachineTypesVersion == 0 {
@@ -78,12 +79,12 @@
 	return true
 }
 
-// nearlyEqual reports whether a machine type is recorded as it was read; its spot price may
-// have moved by a tenth, and its other price does not count.
+// nearlyEqual reports whether a recorded machine type matches the one read. Spot prices may
+// differ by a tenth of the recorded price, and on-demand prices are not compared.
 func nearlyEqual(recorded, read *protocol.MachineType) bool {
 	const priceTolerance = 0.1
-	moved := recorded.HourlySpotPrice - read.HourlySpotPrice
-	if moved > priceTolerance*recorded.HourlySpotPrice || moved < -priceTolerance*recorded.HourlySpotPrice {
+	priceChange := recorded.HourlySpotPrice - read.HourlySpotPrice
+	if priceChange > priceTolerance*recorded.HourlySpotPrice || priceChange < -priceTolerance*recorded.HourlySpotPrice {
 		return false
 	}
 	return slices.Equal(recorded.Zones, read.Zones) && recorded.CPUs == read.CPUs && recorded.GPUs == read.GPUs &&
--- a/internal/coordination/provisioning/machine_types_test.go
+++ b/internal/coordination/provisioning/machine_types_test.go
@@ -9,46 +9,47 @@
 	"rockrun/internal/storage"
 )
 
-// TestMachineTypesAreRecorded: what is read is recorded where it differs from the record by
-// more than a small move of the spot price.
+// TestMachineTypesAreRecorded checks that machine types are recorded when they differ from the
+// record by more than a small change of the spot price.
 func TestMachineTypesAreRecorded(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*protocol.MachineType)
 		want   int // transactions
 	}{
-		{"the same", func(*protocol.MachineType) {}, 0},
-		{"a spot price that has moved a little", func(m *protocol.MachineType) { m.HourlySpotPrice *= 1.05 }, 0},
-		{"a spot price that has moved", func(m *protocol.MachineType) { m.HourlySpotPrice *= 1.2 }, 1},
-		{"a spot price that has fallen", func(m *protocol.MachineType) { m.HourlySpotPrice *= 0.8 }, 1},
-		{"another zone", func(m *protocol.MachineType) { m.Zones = []string{"z", "y"} }, 1},
-		{"another size", func(m *protocol.MachineType) { m.MemoryGB++ }, 1},
-		{"another boot time", func(m *protocol.MachineType) { m.BootSeconds++ }, 1},
-		{"another type", func(m *protocol.MachineType) { m.Name = "large" }, 1},
+		{"unchanged", func(*protocol.MachineType) {}, 0},
+		{"small change of the spot price", func(m *protocol.MachineType) { m.HourlySpotPrice *= 1.05 }, 0},
+		{"higher spot price", func(m *protocol.MachineType) { m.HourlySpotPrice *= 1.2 }, 1},
+		{"lower spot price", func(m *protocol.MachineType) { m.HourlySpotPrice *= 0.8 }, 1},
+		{"additional zone", func(m *protocol.MachineType) { m.Zones = []string{"z", "y"} }, 1},
+		{"other memory size", func(m *protocol.MachineType) { m.MemoryGB++ }, 1},
+		{"other boot time", func(m *protocol.MachineType) { m.BootSeconds++ }, 1},
+		{"new machine type", func(m *protocol.MachineType) { m.Name = "large" }, 1},
 	} {
 		l := newTestLeader(t)
 		machineType := l.replica.View.MachineTypes[0]
 		c.change(&machineType)
 		l.cloud.types.Types = []protocol.MachineType{machineType}
-		for range 3 { // one write at a time
+		for range 3 { // only one write may be in flight
 			l.provisioner.types.refresh(l.now)
 		}
 		if len(l.transactions) != c.want {
-			t.Errorf("%s: %d transactions", c.name, len(l.transactions))
+			t.Errorf("%s: %d transactions, want %d", c.name, len(l.transactions), c.want)
 		}
 	}
 }
 
-// TestNothingBeforeMachineTypesAreKnown: without them nothing can be decided.
+// TestNothingBeforeMachineTypesAreKnown checks that no machines are requested before the machine
+// types are known, as no decision is possible without them.
 func TestNothingBeforeMachineTypesAreKnown(t *testing.T) {
 	l := newTestLeader(t)
-	l.putWaitingJob()
+	l.putBlockedJob()
 	for range 10 {
 		l.now += time.Second
 		l.provisioner.Tick()
 	}
 	if len(l.cloud.requests) > 0 {
-		t.Errorf("asked for before the machine types were read: %+v", l.cloud.requests)
+		t.Errorf("machines requested before the machine types were read: %+v", l.cloud.requests)
 	}
 	l.cloud.types.Types = l.replica.View.MachineTypes
 	for range 10 {
@@ -57,11 +58,12 @@
 		l.applyTransactions()
 	}
 	if len(l.cloud.requests) == 0 {
-		t.Error("nothing is asked for once they are")
+		t.Error("no machines requested after the machine types were recorded")
 	}
 }
 
-// TestScalingTarget: machines that are to stay are counted, those that drain are named.
+// TestScalingTarget checks that the target counts the machines to retain and names the draining
+// ones up to the limit.
 func TestScalingTarget(t *testing.T) {
 	supply := func(name string, phase storage.MachinePhase) *autoscaler.Supply {
 		return &autoscaler.Supply{Machine: &storage.Machine{MachineEntry: storage.MachineEntry{Name: name, Phase: phase}}}
@@ -69,18 +71,18 @@
 	supplies := []*autoscaler.Supply{supply("m-1", storage.PhaseActive), {}, supply("m-2", storage.PhaseDraining)}
 	record := scalingTarget(testTerm, supplies)
 	if record.Term != testTerm || record.Target != 2 || len(record.Draining) != 1 || record.Draining[0] != "m-2" {
-		t.Errorf("%+v", record)
+		t.Errorf("scaling target %+v", record)
 	}
 	for range 2 * maxDrainingNamed {
 		supplies = append(supplies, supply("m", storage.PhaseDraining))
 	}
 	if record := scalingTarget(testTerm, supplies); record.Target != 2 || len(record.Draining) != maxDrainingNamed {
-		t.Errorf("%d stay, %d are named", record.Target, len(record.Draining))
+		t.Errorf("target is %d with %d draining machines named", record.Target, len(record.Draining))
 	}
 }
 
-// TestScalingTargetIsWrittenOnce: it is written when it changes, and not while a write is
-// under way.
+// TestScalingTargetIsWrittenOnce checks that the scaling target is written only when it changes,
+// and not while a write is in flight.
 func TestScalingTargetIsWrittenOnce(t *testing.T) {
 	l := newTestLeader(t)
 	for range 3 {
@@ -88,16 +90,16 @@
 	}
 	l.applyTransactions()
 	if got := l.replica.View.ScalingTarget.Target; got != 1 {
-		t.Errorf("the target is %d", got)
+		t.Errorf("target is %d, want 1", got)
 	}
 	l.now += targetInterval
 	l.provisioner.target.update(l.now, []*autoscaler.Supply{{}})
 	if len(l.transactions) > 0 {
-		t.Error("written again without a change")
+		t.Error("target written again without a change")
 	}
 }
 
-// TestHistoryIsBounded: the last decisions are kept, the latest first.
+// TestHistoryIsBounded checks that the history retains only the latest decisions, latest first.
 func TestHistoryIsBounded(t *testing.T) {
 	l := newTestLeader(t)
 	for i := range maxHistory + 10 {
--- a/internal/coordination/provisioning/moves.go
+++ b/internal/coordination/provisioning/moves.go
@@ -9,7 +9,7 @@
 	"rockrun/internal/storage"
 )
 
-// groupMove names machines of a group that go to the same job shard.
+// groupMove identifies a move of machines from a group to a job shard.
 type groupMove struct {
 	group   string
 	toShard int
@@ -19,7 +19,7 @@
 	return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.toShard, b.toShard))
 }
 
-// moves gives empty drained machines to other job shards. They are worked out anew with
+// moves transfers empty drained machines to other job shards. The moves are computed in
 // every tick.
 type moves struct {
 	*Config
@@ -31,18 +31,18 @@
 	return &moves{Config: c, writer: w, machines: map[groupMove][]*storage.Machine{}}
 }
 
-// begin forgets the moves of the tick before.
-func (v *moves) begin() { clear(v.machines) }
+// reset discards the moves of the previous tick.
+func (v *moves) reset() { clear(v.machines) }
 
-// add takes up a machine that goes to another shard.
+// add adds a machine to those that move to the given shard.
 func (v *moves) add(m *storage.Machine, toShard int) {
 	move := groupMove{m.Group, toShard}
 	v.machines[move] = append(v.machines[move], m)
 }
 
-// write moves the machines: they leave their group for a new one under a fencing token
-// above any that they have seen. All of a group that go to one shard go in one transaction,
-// with what else is to change in the group.
+// write moves the machines from their groups to new groups, whose fencing tokens are above any
+// that the machines have seen. One transaction moves the machines of a group that go to the
+// same shard, as many as fit into a new group, and includes the group's other changes.
 func (v *moves) write() {
 	const operations = 2
 	for _, move := range slices.SortedFunc(maps.Keys(v.machines), compareMoves) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// writeMove carries out one move.
+// writeMove commits one move.
 func (v *moves) writeMove(move groupMove, group *storage.MachineGroup) {
 	target := storage.MachineGroupRecord{
 		Type: group.Type, Zone: group.Zone, Spot: group.Spot, Shard: move.toShard,
@@ -62,17 +62,17 @@
 	}
 	machines := v.machines[move]
 	changes := v.writer.changes[move.group]
-	for _, m := range machines[:min(len(machines), v.machinesPerGroup(machines[0].Name))] { // the others with the next tick
+	for _, m := range machines[:min(len(machines), v.machinesPerGroup(machines[0].Name))] { // the others move in a later tick
 		target.Machines = append(target.Machines, storage.MachineEntry{Name: m.Name, Address: m.Address})
 		changes = append(changes, machineChange{machine: m, forget: true})
 	}
-	from, ok := v.writer.prepare(move.group, v.writer.apply(group, changes))
+	sourceWrite, ok := v.writer.prepareWrite(move.group, v.writer.apply(group, changes))
 	delete(v.writer.changes, move.group)
 	if !ok {
 		return
 	}
-	if len(from.operations) >= v.Committer.Limits().Operations {
-		v.splitFirst(move.group, group)
+	if len(sourceWrite.operations) >= v.Committer.Limits().Operations {
+		v.splitBeforeMove(move.group, group)
 		return
 	}
 	v.writer.logChanges(group, changes)
@@ -81,15 +81,15 @@
 	conditions := []protocol.Condition{v.Leadership.Condition(), {Key: key}, v.view().GrantCondition(group.Shard)}
 	operations := []protocol.Operation{{Put: key, Value: storage.Encode(target)}}
 	v.writer.commit([]string{move.group}, protocol.Transaction{
-		Conditions: append(conditions, from.conditions...),
-		Operations: append(operations, from.operations...),
+		Conditions: append(conditions, sourceWrite.conditions...),
+		Operations: append(operations, sourceWrite.operations...),
 	})
 }
 
-// splitFirst writes a group that is so large that it must be split before anything leaves
-// it.
-func (v *moves) splitFirst(id string, group *storage.MachineGroup) {
-	write, ok := v.writer.prepare(id, group.MachineGroupRecord)
+// splitBeforeMove splits a group that is too large to be split and moved from in the same
+// transaction. The machines move in a later tick.
+func (v *moves) splitBeforeMove(id string, group *storage.MachineGroup) {
+	write, ok := v.writer.prepareWrite(id, group.MachineGroupRecord)
 	if !ok {
 		return
 	}
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -8,7 +8,7 @@
 	"rockrun/internal/storage"
 )
 
-// Provisioner runs the life cycle of all machines, for the leader. It must be used on the
+// Provisioner manages the life cycle of all machines on the leader. It must be used on the
 // controller's goroutine.
 type Provisioner struct {
 	Config
@@ -24,10 +24,10 @@
 	history   history
 	cycle     *cycle
 
-	partitionedZones map[int]bool // zones most of whose machines are silent
+	partitionedZones map[int]bool // by zone index: most of the zone's machines are silent
 }
 
-// New makes a provisioner for a leader that has just been elected.
+// New returns a Provisioner for a newly elected leader.
 func New(c Config) *Provisioner {
 	provisioner := &Provisioner{Config: c, cycle: newCycle(&c.Options), partitionedZones: map[int]bool{}}
 	shared := &provisioner.Config
@@ -44,7 +44,8 @@
 	return provisioner
 }
 
-// Tick does what is due. Nothing is before the machine types are known.
+// Tick performs all work that is due. Until the machine types are known, it only reads and
+// records those.
 func (p *Provisioner) Tick() {
 	now := p.now()
 	p.types.refresh(now)
@@ -54,7 +55,7 @@
 	p.writer.begin()
 	p.list.refresh(now)
 	p.adoptions.write()
-	p.moves.begin()
+	p.moves.reset()
 	p.advanceMachines()
 	p.moves.write()
 	p.scaleOuts.send(now)
@@ -63,17 +64,17 @@
 	p.writer.flush(now)
 }
 
-// OnUnrecordedHeartbeat takes up a machine whose agent has sent a heartbeat and that no
-// record names.
+// OnUnrecordedHeartbeat adopts a machine whose agent sent a heartbeat although no record
+// names the machine.
 func (p *Provisioner) OnUnrecordedHeartbeat(h *protocol.AgentHeartbeat) {
 	p.adoptions.adopt(h.Machine, unrecordedMachine{h.Address, h.MachineType, h.Zone, h.Spot, p.wallMS()})
 }
 
-// History returns the last decisions on the size of the fleet, the latest first.
+// History returns the most recent decisions on the fleet size, latest first.
 func (p *Provisioner) History() []Decision { return p.history.latestFirst() }
 
-// OversizedGroups counts the machine groups whose records are over the limit in force: they
-// are made smaller before they are written again.
+// OversizedGroups counts the machine groups whose records exceed the current value limit.
+// Their next write splits them.
 func (p *Provisioner) OversizedGroups() int {
 	count := 0
 	for _, group := range p.view().MachineGroups {
@@ -84,7 +85,7 @@
 	return count
 }
 
-// fleet is what is known of jobs and machines now.
+// fleet returns the autoscaler's input: the current jobs, machines and options.
 func (p *Provisioner) fleet() *autoscaler.Fleet {
 	return &autoscaler.Fleet{
 		View:               p.view(),
@@ -99,12 +100,13 @@
 	}
 }
 
-// advanceMachines moves machines along: drained ones that are empty are decommissioned or
-// go to a job shard that waits, lost ones are decommissioned, faulty ones drain.
+// advanceMachines advances all machines in their life cycle. Empty drained machines are
+// decommissioned or move to a job shard with unmet demand, lost machines are decommissioned,
+// and faulty machines drain.
 func (p *Provisioner) advanceMachines() {
 	counts := p.countMachines()
 	p.partitionedZones = counts.partitionedZones()
-	p.touchRemovableGroups()
+	p.removeEmptyGroups()
 	losses := &lossDetector{Config: &p.Config, list: p.list, fleet: p.fleet(), counts: counts, workBlocked: p.cycle.blocked.Holds()}
 	addresses := addressRecorder{writer: p.writer, list: p.list}
 	p.view().Machines.All(func(_ int, m *storage.Machine) {
@@ -112,16 +114,16 @@
 	})
 }
 
-// touchRemovableGroups has groups written that can go.
-func (p *Provisioner) touchRemovableGroups() {
+// removeEmptyGroups schedules the removal of empty groups of earlier terms.
+func (p *Provisioner) removeEmptyGroups() {
 	for id, group := range p.view().MachineGroups {
 		if p.writer.removable(&group.MachineGroupRecord) {
-			p.writer.touch(id)
+			p.writer.requestWrite(id)
 		}
 	}
 }
 
-// advance moves one machine along.
+// advance advances one machine in its life cycle.
 func (p *Provisioner) advance(machine *storage.Machine, losses *lossDetector, addresses *addressRecorder) {
 	switch machine.Phase {
 	case storage.PhaseDeleted:
@@ -154,8 +156,9 @@
 	addresses.record(machine, status)
 }
 
-// advanceDrained lets a drained machine that its holder calls empty go to a job shard that
-// waits for its like, or back to the cloud.
+// advanceDrained handles a drained machine that its holder has confirmed to be empty: the
+// machine moves to a job shard with unmet demand that it suits, or is decommissioned. A faulty
+// machine or one that the cloud will terminate is always decommissioned.
 func (p *Provisioner) advanceDrained(m *storage.Machine, status protocol.MachineStatus) bool {
 	if m.Phase != storage.PhaseDraining || status.Empty == 0 || status.Empty != m.DrainStamp {
 		return false
@@ -164,12 +167,13 @@
 		p.moves.add(m, shard)
 		return true
 	}
-	p.writer.add(machineChange{machine: m, phase: storage.PhaseDecommissioning, reason: "empty", holderSaysEmpty: true})
+	p.writer.add(machineChange{machine: m, phase: storage.PhaseDecommissioning, reason: "empty", holderConfirmedEmpty: true})
 	return true
 }
 
-// takeShardFor is the job shard whose waiting work a machine of another suits, or -1. What
-// it would serve is taken off that work.
+// takeShardFor returns the job shard to which a machine of another shard is to move, or -1: the
+// shard that has claimed the machine, or else one with unmet demand that the machine suits. In
+// the latter case the tasks that fit on the machine are subtracted from the unmet demand.
 func (p *Provisioner) takeShardFor(m *storage.Machine) int {
 	if shard, claimed := p.claims.byMachine[m.Name]; claimed {
 		return shard
@@ -177,41 +181,45 @@
 	return p.cycle.unmet.TakeShardFor(m, p.view())
 }
 
-// urgency is how much depends on a change being written soon: replicas that can't start
-// elsewhere or wait for the machine, then other tasks, then only money.
+// urgency ranks a change by what its write blocks. The most urgent changes block replicas
+// that cannot start elsewhere or that wait for the machine, followed by changes of claimed
+// machines, changes that block other tasks, and changes that only affect cost.
 func (p *Provisioner) urgency(change machineChange) int {
 	const (
-		moneyOnly = iota
-		tasksWait
-		claimWaits
-		replicasWait
+		urgencyCostOnly = iota
+		urgencyTasks
+		urgencyClaim
+		urgencyReplicas
 	)
 	m := change.machine
 	lost := change.phase == storage.PhaseDecommissioning || change.phase == storage.PhaseDeleted
 	switch {
 	case lost && hostsReplicas(m, p.view()), change.evict:
-		return replicasWait
+		return urgencyReplicas
 	case p.claims.claimed(m):
-		return claimWaits
+		return urgencyClaim
 	case lost && len(m.Intents) > 0, change.phase == storage.PhaseActive:
-		return tasksWait
+		return urgencyTasks
 	}
-	return moneyOnly
+	return urgencyCostOnly
 }
 
-// addressRecorder records addresses for whoever holds a machine next. Nothing waits for
-// that, so it is one group a tick, and the others of the group come with it.
+// addressRecorder records the addresses of machines for their next holders. Nothing waits for
+// these records, so at most one group per tick is written for an address alone, and that ends
+// the recording in this tick. Until then, addresses in groups that already have changes are
+// recorded along with those changes.
 type addressRecorder struct {
 	writer  *groupWriter
 	list    *cloudList
-	written bool
+	written bool // in this tick, a group is written for an address alone
 }
 
-// record takes up a machine's address, where writes are plenty.
+// record adds a change with the machine's address if the record lacks it and the write budget
+// is nearly unused.
 func (r *addressRecorder) record(machine *storage.Machine, status protocol.MachineStatus) {
-	const idleBudget = 0.9 // of the writes of a second are there
+	const minBudgetShare = 0.9 // of one second's writes must be available
 	budget := &r.writer.Committer.Budget
-	if machine.Address != "" || r.written || budget.Level() <= budget.Rate()*idleBudget {
+	if machine.Address != "" || r.written || budget.Level() <= budget.Rate()*minBudgetShare {
 		return
 	}
 	address := cmp.Or(status.Addr, r.list.addresses[machine.Name])
--- a/internal/coordination/provisioning/scale_outs.go
+++ b/internal/coordination/provisioning/scale_outs.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// scaleOutRetryPause is the least pause before a request without an answer is repeated.
-	scaleOutRetryPause = 500 * time.Millisecond
-	// A pool that had no machines is not asked for a while, longer each time.
+	// scaleOutRetryBackoff is the minimum delay before an unanswered request is retried.
+	scaleOutRetryBackoff = 500 * time.Millisecond
+	// A pool without capacity gets no requests for a while. This backoff doubles with every
+	// refusal, between these bounds.
 	minRefusalPause = 5 * time.Second
 	maxRefusalPause = 20 * time.Second
 )
 
-// scaleOutCall is a request for machines whose answer is not known. It keeps its name until
-// it has been answered, and no name is ever used for another.
+// scaleOutCall is a request for machines whose outcome is unknown. Retries use the same request
+// name until it is answered, and no other request ever uses that name.
 type scaleOutCall struct {
 	protocol.CreateMachinesRequest
 	loop.Call
 	shard int
 }
 
-// refusal is that a pool had no machines.
+// refusal records that a pool had no capacity.
 type refusal struct {
-	until time.Duration
-	pause time.Duration
+	until   time.Duration
+	backoff time.Duration
 }
 
-// scaleOuts asks the cloud for machines.
+// scaleOuts requests machines from the cloud.
 type scaleOuts struct {
 	*Config
 	adoptions *adoptions
-	// onRefused is called when the cloud has no machines of a pool.
+	// onRefused is called when a pool has no capacity.
 	onRefused func()
 
 	calls    []*scaleOutCall
-	counter  int // of the calls of this leadership
+	counter  int // number of requests made in this term
 	refusals map[autoscaler.Pool]refusal
 }
 
@@ -50,7 +51,7 @@
 	return &scaleOuts{Config: c, adoptions: a, onRefused: onRefused, refusals: map[autoscaler.Pool]refusal{}}
 }
 
-// add begins a request for machines under a name that is never used for another.
+// add creates a request for machines with a unique name. The next send sends it.
 func (s *scaleOuts) add(scaleOut autoscaler.ScaleOut) *scaleOutCall {
 	view := s.view()
 	s.counter++
@@ -65,7 +66,7 @@
 	return call
 }
 
-// send sends requests, and repeats those that had no answer.
+// send sends new requests and retries those without an answer.
 func (s *scaleOuts) send(now time.Duration) {
 	for _, call := range s.calls {
 		if call.TryBegin(now) {
@@ -83,19 +84,20 @@
 		s.onCreated(call, names)
 	case errors.Is(err, protocol.ErrNoCapacity):
 		s.refuse(s.poolOf(call))
-		s.drop(call)
-		s.onRefused() // the demand goes to the next pool at once
+		s.remove(call)
+		s.onRefused() // the next tick plans the demand for another pool
 	case errors.Is(err, protocol.ErrOutcomeUnknown):
-		s.Log.Info("creation not answered", "request", call.Request, "count", call.Count, "type", call.Type, "zone", call.Zone, "spot", call.Spot,
+		s.Log.Info("machine creation unanswered", "request", call.Request, "count", call.Count, "type", call.Type, "zone", call.Zone, "spot", call.Spot,
 			"shard", call.shard, "term", s.Leadership.Term(), "err", err)
-		call.RetryAt(s.now() + s.Generation.Jitter(scaleOutRetryPause))
+		call.RetryAt(s.now() + s.Generation.Jitter(scaleOutRetryBackoff))
 	default:
-		s.Log.Debug("machines not created", "err", err)
-		s.drop(call)
+		s.Log.Debug("machine creation failed", "err", err)
+		s.remove(call)
 	}
 }
 
-// onCreated records the machines that a request has created.
+// onCreated records the machines that a request created. A partial result counts as a refusal
+// of the pool.
 func (s *scaleOuts) onCreated(call *scaleOutCall, names []string) {
 	pool := s.poolOf(call)
 	s.Log.Info("machines created", "request", call.Request, "machines", names, "shard", call.shard, "count", len(names), "type", call.Type, "zone", call.Zone, "spot", call.Spot, "term", s.Leadership.Term())
@@ -107,37 +109,38 @@
 	} else {
 		delete(s.refusals, pool)
 	}
-	s.drop(call)
+	s.remove(call)
 	if s.Leadership.Current() {
 		s.adoptions.write()
 	}
 }
 
-// poolOf is the pool from which a request takes machines.
+// poolOf returns the pool of a request.
 func (s *scaleOuts) poolOf(call *scaleOutCall) autoscaler.Pool {
 	view := s.view()
 	return autoscaler.Pool{MachineType: view.MachineTypeNames.Lookup(call.Type), Zone: view.ZoneNames.Lookup(call.Zone), Spot: call.Spot}
 }
 
-// drop forgets a request that was answered.
-func (s *scaleOuts) drop(call *scaleOutCall) {
+// remove removes an answered request.
+func (s *scaleOuts) remove(call *scaleOutCall) {
 	s.calls = slices.DeleteFunc(s.calls, func(other *scaleOutCall) bool { return other == call })
 }
 
-// refuse remembers that a pool has no machines, for longer each time.
+// refuse records that a pool has no capacity, and doubles the pool's backoff
+// within its bounds.
 func (s *scaleOuts) refuse(pool autoscaler.Pool) {
 	r := s.refusals[pool]
-	r.pause = min(max(2*r.pause, minRefusalPause), maxRefusalPause)
-	r.until = s.now() + r.pause
+	r.backoff = min(max(2*r.backoff, minRefusalPause), maxRefusalPause)
+	r.until = s.now() + r.backoff
 	s.refusals[pool] = r
 }
 
-// refused reports whether a pool had no machines a moment ago.
+// refused reports whether a pool is in backoff after a refusal.
 func (s *scaleOuts) refused(pool autoscaler.Pool, now time.Duration) bool {
 	return now < s.refusals[pool].until
 }
 
-// supplies are the machines that were asked for.
+// supplies lists the machines of all requests without an answer.
 func (s *scaleOuts) supplies() []*autoscaler.Supply {
 	var supplies []*autoscaler.Supply
 	for _, call := range s.calls {
--- a/internal/coordination/provisioning/target.go
+++ b/internal/coordination/provisioning/target.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// targetInterval is the least time between two writes of the scaling target.
+	// targetInterval is the minimum delay between two writes of the scaling target.
 	targetInterval = 5 * time.Second
-	// maxDrainingNamed is how many draining machines the record names: a page of them is
-	// enough for whoever reads it.
+	// maxDrainingNamed bounds the draining machines that the record names. A page of names is
+	// enough for its readers.
 	maxDrainingNamed = 50
 )
 
-// targetWriter stores the size that the fleet is to have, with the term that set it and the
-// machines that drain.
+// targetWriter records the target size of the fleet, the term that set it, and the draining
+// machines.
 type targetWriter struct {
 	*Config
 	call loop.Call
 }
 
-// update writes the target where it has changed.
+// update writes the scaling target if it has changed.
 func (w *targetWriter) update(now time.Duration, supplies []*autoscaler.Supply) {
 	record := scalingTarget(w.Leadership.Term(), supplies)
 	if sameTarget(&w.view().ScalingTarget, &record) || !w.call.Ready(now) || !w.Committer.Budget.Take(now, 1) {
@@ -40,15 +40,16 @@
 	})
 }
 
-// scalingTarget counts the machines that are to stay and names those that drain.
+// scalingTarget counts the machines to retain and names the draining ones, up to
+// maxDrainingNamed.
 func scalingTarget(term uint64, supplies []*autoscaler.Supply) storage.ScalingTargetRecord {
 	record := storage.ScalingTargetRecord{Term: term}
-	for _, x := range supplies {
+	for _, supply := range supplies {
 		switch {
-		case x.Machine == nil || x.Machine.Phase != storage.PhaseDraining:
+		case supply.Machine == nil || supply.Machine.Phase != storage.PhaseDraining:
 			record.Target++
 		case len(record.Draining) < maxDrainingNamed:
-			record.Draining = append(record.Draining, x.Machine.Name)
+			record.Draining = append(record.Draining, supply.Machine.Name)
 		}
 	}
 	return record
