--- a/internal/coordination/provisioning/fleet_size_test.go
+++ b/internal/coordination/provisioning/fleet_size_test.go
@@ -7,9 +7,10 @@
 	"rockrun/internal/storage"
 )
 
-// TestDrainsOfHundreds drains hundreds of machines at once. The writes of their groups must
-// share transactions, and each transaction must stay within the limits of the key-value store.
-func TestDrainsOfHundreds(t *testing.T) {
+// TestMassDrainWritesAreBatched drains hundreds of machines at once. The writes of their
+// groups must share transactions, and each transaction must stay within the limits of the
+// key-value store.
+func TestMassDrainWritesAreBatched(t *testing.T) {
 	const drainedMachines = 400
 	l := newFleetLeader(t, largeFleet)
 	writer := l.provisioner.writer
@@ -31,8 +32,9 @@
 	}
 }
 
-// TestCycleOfFourThousand checks that the allocations of a cycle grow no faster than the fleet.
-func TestCycleOfFourThousand(t *testing.T) {
+// TestCycleAllocationsGrowLinearly checks that the allocations of a cycle grow no faster than
+// the fleet.
+func TestCycleAllocationsGrowLinearly(t *testing.T) {
 	perMachine := func(machines int) float64 {
 		l := newFleetLeader(t, machines)
 		l.putBlockedJob()
@@ -45,8 +47,8 @@
 	}
 }
 
-// TestListPause checks that lists of thousands of machines leave half of the allowed cloud calls
-// to creations and deletions, and that small fleets are listed at the minimum interval.
+// TestListPause checks that lists of thousands of machines leave half of the allowed cloud
+// calls to creations and deletions, and that small fleets are listed at the minimum interval.
 func TestListPause(t *testing.T) {
 	for _, c := range []struct {
 		name           string
--- a/internal/coordination/provisioning/groups_test.go
+++ b/internal/coordination/provisioning/groups_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestOversizedGroupIsSplit drains a machine of a group that exceeds lowered limits. The write
-// that records the drain must split the group. Every machine must be in exactly one group, with
-// an unchanged fencing token, so that the holder does not have to fence the agents again.
+// that records the drain must split the group. Every machine must be in exactly one group,
+// with an unchanged fencing token, so that the holder does not have to fence the agents again.
 func TestOversizedGroupIsSplit(t *testing.T) {
 	for _, machines := range []int{60, 69, 90} {
 		l := newTestLeader(t)
@@ -42,9 +42,10 @@
 	}
 }
 
-// TestOversizedGroupMoves moves machines of an oversized group to another job shard. If the
-// split and the move exceed the operations of a transaction, the group must be split first.
-func TestOversizedGroupMoves(t *testing.T) {
+// TestMovesFromOversizedGroup moves machines of an oversized group to another job shard. If
+// the split and the move exceed the operations of a transaction, the group must be split
+// first.
+func TestMovesFromOversizedGroup(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		machines int
@@ -118,11 +119,11 @@
 	}
 }
 
-// TestEmptyGroupsStayForTheirTerm checks that an empty group is retained for the rest of its
-// term. A delayed duplicate of the transaction that created the group must find the key in
-// existence while the same leader is in office. Otherwise it would recreate the group with
+// TestEmptyGroupIsRetainedUntilLaterTerm checks that an empty group is retained for the rest
+// of its term. A delayed duplicate of the transaction that created the group must find the key
+// in existence while the same leader is in office. Otherwise it would recreate the group with
 // machines that have since moved to other groups.
-func TestEmptyGroupsStayForTheirTerm(t *testing.T) {
+func TestEmptyGroupIsRetainedUntilLaterTerm(t *testing.T) {
 	l := newTestLeader(t)
 	empty := storage.MachineGroupRecord{FencingToken: l.NextFencingToken()}
 	if op := l.provisioner.writer.writeOperation("x", empty); op.Delete != "" {
@@ -134,9 +135,9 @@
 	}
 }
 
-// TestGroupsAreNotWrittenTwice checks that the next write of a group waits until the view shows
+// TestGroupWriteWaitsForView checks that the next write of a group waits until the view shows
 // the last one.
-func TestGroupsAreNotWrittenTwice(t *testing.T) {
+func TestGroupWriteWaitsForView(t *testing.T) {
 	l := newTestLeader(t)
 	writer := l.provisioner.writer
 	l.putGroup("b", storage.MachineEntry{Name: "m-1"}, storage.MachineEntry{Name: "m-2"})
@@ -166,9 +167,9 @@
 	}
 }
 
-// TestFoundMachinesAreGrouped checks that machines without a record are grouped by type, zone
-// and market, and that each is recorded once.
-func TestFoundMachinesAreGrouped(t *testing.T) {
+// TestUnrecordedMachinesAreGrouped checks that machines without a record are grouped by type,
+// zone and market, and that each is recorded once.
+func TestUnrecordedMachinesAreGrouped(t *testing.T) {
 	l := newTestLeader(t)
 	adoptions := l.provisioner.adoptions
 	for i, zone := range []string{"z", "z", "y", "z"} {
--- a/internal/coordination/provisioning/machine_types_test.go
+++ b/internal/coordination/provisioning/machine_types_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestNothingBeforeMachineTypesAreKnown checks that no machines are requested before the machine
-// types are known, as no decision is possible without them.
-func TestNothingBeforeMachineTypesAreKnown(t *testing.T) {
+// TestNoScaleOutBeforeMachineTypesAreKnown checks that no machines are requested before the
+// machine types are known, as no decision is possible without them.
+func TestNoScaleOutBeforeMachineTypesAreKnown(t *testing.T) {
 	l := newTestLeader(t)
 	l.putBlockedJob()
 	for range 10 {
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestScalingTarget checks that the target counts the machines to retain and names the draining
-// ones up to the limit.
+// TestScalingTarget checks that the target counts the machines to retain and names the
+// draining ones up to the limit.
 func TestScalingTarget(t *testing.T) {
 	supply := func(name string, phase storage.MachinePhase) *autoscaler.Supply {
 		return &autoscaler.Supply{Machine: &storage.Machine{MachineEntry: storage.MachineEntry{Name: name, Phase: phase}}}
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestScalingTargetIsWrittenOnce checks that the scaling target is written only when it changes,
-// and not while a write is in flight.
-func TestScalingTargetIsWrittenOnce(t *testing.T) {
+// TestScalingTargetIsWrittenOnChange checks that the scaling target is written only when it
+// changes, and not while a write is in flight.
+func TestScalingTargetIsWrittenOnChange(t *testing.T) {
 	l := newTestLeader(t)
 	for range 3 {
 		l.provisioner.target.update(l.now, []*autoscaler.Supply{{}})
@@ -99,7 +99,8 @@
 	}
 }
 
-// TestHistoryIsBounded checks that the history retains only the latest decisions, latest first.
+// TestHistoryIsBounded checks that the history retains only the latest decisions, latest
+// first.
 func TestHistoryIsBounded(t *testing.T) {
 	l := newTestLeader(t)
 	for i := range maxHistory + 10 {
