--- a/internal/coordination/provisioning/fleet_size_test.go
+++ b/internal/coordination/provisioning/fleet_size_test.go
@@ -62,7 +62,7 @@
 		{"9 calls per list, 4 calls per second", largeFleet, 4, 4500 * time.Millisecond},
 		{"9 calls per list, 1 call per second", largeFleet, 1, 18 * time.Second},
 	} {
-		if got := listPause(c.machines, c.callsPerSecond); got != c.want {
+		if got := listInterval(c.machines, c.callsPerSecond); got != c.want {
 			t.Errorf("%s: %d machines, %g calls per second: got %s, want %s", c.name, c.machines, c.callsPerSecond, got, c.want)
 		}
 	}
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -36,7 +36,7 @@
 	provisioner.history.Config = shared
 	provisioner.adoptions = newAdoptions(shared)
 	provisioner.list = newCloudList(shared, provisioner.adoptions)
-	provisioner.scaleOuts = newScaleOuts(shared, provisioner.adoptions, provisioner.cycle.runSoon)
+	provisioner.scaleOuts = newScaleOuts(shared, provisioner.adoptions, provisioner.cycle.runOnNextTick)
 	provisioner.writer = newGroupWriter(shared, provisioner.urgency)
 	provisioner.moves = newMoves(shared, provisioner.writer)
 	provisioner.deletions = newDeletions(shared, provisioner.writer)
@@ -128,7 +128,7 @@
 	switch machine.Phase {
 	case storage.PhaseDeleted:
 		p.Members.ForgetMachine(machine.Name)
-		if p.list.forgettable[machine.Name] {
+		if p.list.expiredRecords[machine.Name] {
 			p.writer.add(machineChange{machine: machine, forget: true})
 		}
 		return
@@ -146,7 +146,7 @@
 		p.writer.setPhase(machine, storage.PhaseDecommissioning, reason)
 		return
 	}
-	if known && losses.awaitsZone(machine, status) {
+	if known && losses.retainedDuringPartition(machine, status) {
 		return
 	}
 	if known && status.Faulty && machine.Phase == storage.PhaseActive {
--- a/internal/coordination/provisioning/scale_outs.go
+++ b/internal/coordination/provisioning/scale_outs.go
@@ -145,7 +145,7 @@
 	var supplies []*autoscaler.Supply
 	for _, call := range s.calls {
 		for range call.Count {
-			supplies = append(supplies, s.promisedSupply(call.Type, call.Zone, call.Spot, call.shard))
+			supplies = append(supplies, s.pendingSupply(call.Type, call.Zone, call.Spot, call.shard))
 		}
 	}
 	return supplies
