--- a/internal/coordination/provisioning/adoption_test.go
+++ b/internal/coordination/provisioning/adoption_test.go
@@ -33,7 +33,7 @@
 				l.applyTransactions()
 			}
 			l.now += 6 * time.Second
-			l.cloud.created[0]([]string{"m-000001", "m-000002"}, nil)
+			l.cloud.onCreated[0]([]string{"m-000001", "m-000002"}, nil)
 			l.provisioner.adoptions.write()
 			l.applyTransactions()
 
--- a/internal/coordination/provisioning/claims_test.go
+++ b/internal/coordination/provisioning/claims_test.go
@@ -113,7 +113,7 @@
 	shard := f.unmet[0].Shard
 	for name := range claims {
 		m := f.testLeader.machine(name)
-		if got := f.provisioner.takeShardFor(m); got != shard {
+		if got := f.provisioner.allocateToShard(m); got != shard {
 			t.Errorf("machine %s moves to shard %d, want %d", name, got, shard)
 		}
 		f.put(storage.MachineGroupKey(m.Group), storage.MachineGroupRecord{Type: "small", Zone: "z", Shard: shard, Machines: []storage.MachineEntry{{Name: name}}})
@@ -141,7 +141,7 @@
 		name    string
 		changes []machineChange // of equal urgency, higher than that of the previous case
 	}{
-		{"cost only", []machineChange{{machine: empty, phase: storage.PhaseDraining}, {machine: empty, phase: storage.PhaseDecommissioning}, {machine: empty, forget: true}}},
+		{"cost only", []machineChange{{machine: empty, phase: storage.PhaseDraining}, {machine: empty, phase: storage.PhaseDecommissioning}, {machine: empty, remove: true}}},
 		{"tasks", []machineChange{{machine: withTask(array), phase: storage.PhaseDecommissioning}, {machine: empty, phase: storage.PhaseActive}}},
 		{"claims", []machineChange{{machine: claimed, phase: storage.PhaseDraining}}},
 		{"replicas", []machineChange{{machine: withTask(service), phase: storage.PhaseDeleted}, {machine: empty, phase: storage.PhaseDraining, evict: true}}},
--- a/internal/coordination/provisioning/cycle.go
+++ b/internal/coordination/provisioning/cycle.go
@@ -123,7 +123,7 @@
 		Blocked:      p.cycle.unmet.Shards(),
 		Claimed:      p.claims.claimed,
 		Changing:     p.writer.pending,
-		TakeShardFor: p.takeShardFor,
+		TakeShardFor: p.allocateToShard,
 	})
 	for _, m := range plan.Reactivate {
 		p.writer.setPhase(m, storage.PhaseActive, "needed after all")
--- a/internal/coordination/provisioning/fixture_test.go
+++ b/internal/coordination/provisioning/fixture_test.go
@@ -44,7 +44,7 @@
 	listed    []protocol.CloudMachine
 	types     protocol.MachineTypeCatalogue
 	requests  []protocol.CreateMachinesRequest
-	created   []func([]string, error)
+	onCreated []func([]string, error)
 	deleted   [][]string
 	onDeleted []func(error)
 }
@@ -54,7 +54,7 @@
 }
 func (c *testCloud) CreateMachines(r protocol.CreateMachinesRequest, done func([]string, error)) {
 	c.requests = append(c.requests, r)
-	c.created = append(c.created, done)
+	c.onCreated = append(c.onCreated, done)
 }
 func (c *testCloud) DeleteMachines(names []string, done func(error)) {
 	c.deleted = append(c.deleted, names)
--- a/internal/coordination/provisioning/fleet_size_test.go
+++ b/internal/coordination/provisioning/fleet_size_test.go
@@ -14,7 +14,7 @@
 	const drainedMachines = 400
 	l := newFleetLeader(t, largeFleet)
 	writer := l.provisioner.writer
-	writer.begin()
+	writer.reset()
 	for i := range drainedMachines {
 		writer.setPhase(l.machine(machineName(i)), storage.PhaseDraining, "idle")
 	}
--- a/internal/coordination/provisioning/group_writer.go
+++ b/internal/coordination/provisioning/group_writer.go
@@ -19,7 +19,7 @@
 	drainStamp uint64 // of a drain that continues; 0: a new drain, whose stamp is issued with the write
 	evict      bool   // of a drain: the machine's tasks are stopped
 	address    string
-	forget     bool // the entry is removed
+	remove     bool // the entry is removed
 	// holderConfirmedEmpty: the change relies on the holder's confirmation that the machine
 	// has no tasks.
 	holderConfirmedEmpty bool
@@ -38,8 +38,8 @@
 	return &groupWriter{Config: c, changes: map[string][]machineChange{}, writes: map[string]*loop.Write{}, urgency: urgency}
 }
 
-// begin discards the changes of the previous tick.
-func (w *groupWriter) begin() { clear(w.changes) }
+// reset discards the changes of the previous tick.
+func (w *groupWriter) reset() { clear(w.changes) }
 
 // setPhase adds a change of a machine's phase.
 func (w *groupWriter) setPhase(m *storage.Machine, phase storage.MachinePhase, reason string) {
@@ -152,7 +152,7 @@
 		switch {
 		case change == nil:
 			record.Machines = append(record.Machines, entry)
-		case !change.forget:
+		case !change.remove:
 			record.Machines = append(record.Machines, w.changedEntry(entry, change))
 		}
 	}
--- a/internal/coordination/provisioning/groups_test.go
+++ b/internal/coordination/provisioning/groups_test.go
@@ -18,7 +18,7 @@
 		l.put(storage.MachineGroupKey("large"), largeGroup(machines))
 		l.lowerStoreLimits(2048, 3, 12)
 		draining := l.machine(machineName(5020))
-		writer.begin()
+		writer.reset()
 		writer.setPhase(draining, storage.PhaseDraining, "idle")
 		writer.flush(l.now)
 		if len(l.transactions) != 1 {
@@ -81,7 +81,7 @@
 	l.t.Helper()
 	l.now += time.Second
 	p := l.provisioner
-	p.writer.begin()
+	p.writer.reset()
 	p.moves.reset()
 	for i := range count {
 		if m := l.machine(machineName(5000 + i)); m.Shard == storage.BatchShard {
@@ -142,7 +142,7 @@
 	writer := l.provisioner.writer
 	l.putGroup("b", storage.MachineEntry{Name: "m-1"}, storage.MachineEntry{Name: "m-2"})
 	drain := func(name string) {
-		writer.begin()
+		writer.reset()
 		writer.setPhase(l.machine(name), storage.PhaseDraining, "idle")
 		writer.flush(l.now)
 	}
--- a/internal/coordination/provisioning/lifecycle_test.go
+++ b/internal/coordination/provisioning/lifecycle_test.go
@@ -58,7 +58,7 @@
 	l := newTestLeader(t)
 	l.putGroup("b", storage.MachineEntry{Name: "m-1", Phase: storage.PhaseDecommissioning})
 	writer := l.provisioner.writer
-	writer.begin()
+	writer.reset()
 	writer.setPhase(l.machine("m-1"), storage.PhaseActive, "needed after all")
 	writer.flush(l.now)
 	if len(l.transactions) > 0 {
--- a/internal/coordination/provisioning/loss_test.go
+++ b/internal/coordination/provisioning/loss_test.go
@@ -155,7 +155,7 @@
 			t.Fatalf("%s: requests %+v", c.name, l.cloud.requests)
 		}
 		pool := p.scaleOuts.poolOf(p.scaleOuts.calls[0])
-		l.cloud.created[0](c.names, c.err)
+		l.cloud.onCreated[0](c.names, c.err)
 		if got := len(p.scaleOuts.calls) > 0; got != c.pending {
 			t.Errorf("%s: request pending %t, want %t", c.name, got, c.pending)
 		}
@@ -178,8 +178,8 @@
 	l := newTestLeader(t)
 	scaleOuts := l.provisioner.scaleOuts
 	pool := l.provisioner.scaleOuts.poolOf(&scaleOutCall{CreateMachinesRequest: protocol.CreateMachinesRequest{Type: "small", Zone: "z"}})
-	for _, want := range []time.Duration{minRefusalPause, 2 * minRefusalPause, maxRefusalPause, maxRefusalPause} {
-		scaleOuts.refuse(pool)
+	for _, want := range []time.Duration{minRefusalBackoff, 2 * minRefusalBackoff, maxRefusalBackoff, maxRefusalBackoff} {
+		scaleOuts.recordRefusal(pool)
 		if !scaleOuts.refused(pool, l.now+want-1) || scaleOuts.refused(pool, l.now+want) {
 			t.Errorf("pool not unavailable for exactly %s", want)
 		}
--- a/internal/coordination/provisioning/moves.go
+++ b/internal/coordination/provisioning/moves.go
@@ -64,7 +64,7 @@
 	changes := v.writer.changes[move.group]
 	for _, m := range machines[:min(len(machines), v.machinesPerGroup(machines[0].Name))] { // the others move in a later tick
 		target.Machines = append(target.Machines, storage.MachineEntry{Name: m.Name, Address: m.Address})
-		changes = append(changes, machineChange{machine: m, forget: true})
+		changes = append(changes, machineChange{machine: m, remove: true})
 	}
 	sourceWrite, ok := v.writer.prepareWrite(move.group, v.writer.apply(group, changes))
 	delete(v.writer.changes, move.group)
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -52,7 +52,7 @@
 	if !p.types.known() {
 		return
 	}
-	p.writer.begin()
+	p.writer.reset()
 	p.list.refresh(now)
 	p.adoptions.write()
 	p.moves.reset()
@@ -129,7 +129,7 @@
 	case storage.PhaseDeleted:
 		p.Members.ForgetMachine(machine.Name)
 		if p.list.expiredRecords[machine.Name] {
-			p.writer.add(machineChange{machine: machine, forget: true})
+			p.writer.add(machineChange{machine: machine, remove: true})
 		}
 		return
 	case storage.PhaseDecommissioning:
@@ -163,7 +163,7 @@
 	if m.Phase != storage.PhaseDraining || status.Empty == 0 || status.Empty != m.DrainStamp {
 		return false
 	}
-	if shard := p.takeShardFor(m); shard >= 0 && !status.Faulty && !status.Leaves {
+	if shard := p.allocateToShard(m); shard >= 0 && !status.Faulty && !status.Leaves {
 		p.moves.add(m, shard)
 		return true
 	}
@@ -171,10 +171,10 @@
 	return true
 }
 
-// takeShardFor returns the job shard to which a machine of another shard is to move, or -1: the
+// allocateToShard returns the job shard to which a machine of another shard is to move, or -1: the
 // shard that has claimed the machine, or else one with unmet demand that the machine suits. In
 // the latter case the tasks that fit on the machine are subtracted from the unmet demand.
-func (p *Provisioner) takeShardFor(m *storage.Machine) int {
+func (p *Provisioner) allocateToShard(m *storage.Machine) int {
 	if shard, claimed := p.claims.byMachine[m.Name]; claimed {
 		return shard
 	}
--- a/internal/coordination/provisioning/scale_outs.go
+++ b/internal/coordination/provisioning/scale_outs.go
@@ -17,8 +17,8 @@
 	scaleOutRetryBackoff = 500 * time.Millisecond
 	// A pool without capacity gets no requests for a while. This backoff doubles with every
 	// refusal, between these bounds.
-	minRefusalPause = 5 * time.Second
-	maxRefusalPause = 20 * time.Second
+	minRefusalBackoff = 5 * time.Second
+	maxRefusalBackoff = 20 * time.Second
 )
 
 // scaleOutCall is a request for machines whose outcome is unknown. Retries use the same request
@@ -83,7 +83,7 @@
 	case err == nil:
 		s.onCreated(call, names)
 	case errors.Is(err, protocol.ErrNoCapacity):
-		s.refuse(s.poolOf(call))
+		s.recordRefusal(s.poolOf(call))
 		s.remove(call)
 		s.onRefused() // the next tick plans the demand for another pool
 	case errors.Is(err, protocol.ErrOutcomeUnknown):
@@ -105,7 +105,7 @@
 		Type: call.Type, Zone: call.Zone, Spot: call.Spot, Shard: call.shard, RentedAtMS: s.wallMS(),
 	}, names)
 	if len(names) < call.Count {
-		s.refuse(pool)
+		s.recordRefusal(pool)
 	} else {
 		delete(s.refusals, pool)
 	}
@@ -126,11 +126,11 @@
 	s.calls = slices.DeleteFunc(s.calls, func(other *scaleOutCall) bool { return other == call })
 }
 
-// refuse records that a pool has no capacity, and doubles the pool's backoff
+// recordRefusal records that a pool has no capacity, and doubles the pool's backoff
 // within its bounds.
-func (s *scaleOuts) refuse(pool autoscaler.Pool) {
+func (s *scaleOuts) recordRefusal(pool autoscaler.Pool) {
 	r := s.refusals[pool]
-	r.backoff = min(max(2*r.backoff, minRefusalPause), maxRefusalPause)
+	r.backoff = min(max(2*r.backoff, minRefusalBackoff), maxRefusalBackoff)
 	r.until = s.now() + r.backoff
 	s.refusals[pool] = r
 }
