--- a/internal/coordination/reconcile/bench_test.go
+++ b/internal/coordination/reconcile/bench_test.go
@@ -10,8 +10,8 @@
 	"rockrun/internal/storage"
 )
 
-// BenchmarkPass is one placing pass over a fleet: with nothing to place, and
-// with work that finds no room.
+// BenchmarkPass measures a pass over a fleet, without pending tasks and with pending tasks
+// that fit on no machine.
 func BenchmarkPass(b *testing.B) {
 	for _, waiting := range []bool{false, true} {
 		b.Run(fmt.Sprintf("waiting=%t", waiting), func(b *testing.B) {
@@ -27,19 +27,19 @@
 	}
 }
 
-// BenchmarkMachineStatuses is a peer heartbeat of the holder of a fleet, made, encoded
-// and decoded again.
+// BenchmarkMachineStatuses measures building, encoding and decoding the peer heartbeat of
+// the holder of a fleet.
 func BenchmarkMachineStatuses(b *testing.B) {
 	f := newFleetFixture(b, mediumFleet)
-	var link bytes.Buffer
-	enc, dec := gob.NewEncoder(&link), gob.NewDecoder(&link)
+	var buffer bytes.Buffer
+	enc, dec := gob.NewEncoder(&buffer), gob.NewDecoder(&buffer)
 	b.ReportAllocs()
 	size := 0
 	for b.Loop() {
 		if err := enc.Encode(protocol.PeerRequest{Heartbeat: &protocol.PeerHeartbeat{Controller: "a", Machines: f.reconciler.MachineStatuses()}}); err != nil {
 			b.Fatal(err)
 		}
-		size = link.Len()
+		size = buffer.Len()
 		var r protocol.PeerRequest
 		if err := dec.Decode(&r); err != nil {
 			b.Fatal(err)
@@ -48,7 +48,7 @@
 	b.ReportMetric(float64(size), "bytes/heartbeat")
 }
 
-// BenchmarkApplyPage is a page of intents taken in from the changes.
+// BenchmarkApplyPage measures applying a changed intent page to the view.
 func BenchmarkApplyPage(b *testing.B) {
 	f := newFleetFixture(b, mediumFleet)
 	page := storage.IntentPage{}
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkOnHeartbeat is a heartbeat without news, taken in and answered.
+// BenchmarkOnHeartbeat measures processing and answering a heartbeat without changes.
 func BenchmarkOnHeartbeat(b *testing.B) {
 	f := newFleetFixture(b, mediumFleet)
 	r := fleetHeartbeat(7, 2)
@@ -80,14 +80,14 @@
 	}
 }
 
-// BenchmarkPageWritten is the value of a page of intents, made to be written.
+// BenchmarkPageWritten measures encoding an intent page for a write.
 func BenchmarkPageWritten(b *testing.B) {
 	f := newFleetFixture(b, mediumFleet)
 	writer := f.reconciler.writers[0]
 	b.ReportAllocs()
 	for b.Loop() {
 		if op := writer.intentPageOperation(writer.intentPages[0]); len(op.Value) == 0 {
-			b.Fatal("an empty value")
+			b.Fatal("intent page has an empty value")
 		}
 	}
 }
--- a/internal/coordination/reconcile/config.go
+++ b/internal/coordination/reconcile/config.go
@@ -13,31 +13,31 @@
 	"rockrun/internal/storage"
 )
 
-// Leases are the shard leases of this controller.
+// Leases provides the shard leases of this controller.
 type Leases interface {
 	// Holds reports whether the view grants a shard to this incarnation.
 	Holds(shard int) bool
 	// MayActFor reports whether this controller may act for a shard now.
 	MayActFor(shard int) bool
-	// NoteAgentHeard takes in that an agent of a shard was heard.
+	// NoteAgentHeard records contact with an agent of a shard.
 	NoteAgentHeard(shard int)
 }
 
-// Agents carries commands to agents.
+// Agents sends commands to agents.
 type Agents interface {
-	// Execute sends commands to the agent at an address. done is called later on the
-	// controller's goroutine, with the agent's heartbeat and whether it has carried out
+	// Execute sends commands to the agent at an address. It calls done later on the
+	// controller's goroutine, with the agent's heartbeat and whether the agent executed
 	// the commands.
 	Execute(address string, r protocol.CommandRequest, done func(h *protocol.AgentHeartbeat, executed bool, err error))
 }
 
-// Outcomes is told how jobs have ended.
+// Outcomes records how jobs ended.
 type Outcomes interface {
-	// Remember takes in that the final record of a job is durable.
+	// Remember records the final record of a job, which is durable.
 	Remember(job string, final storage.FinalRecord)
 }
 
-// Config is all that a Reconciler is made of.
+// Config holds the dependencies and settings of a Reconciler.
 type Config struct {
 	Generation *loop.Generation
 	Replica    *replica.Replica
@@ -47,22 +47,23 @@
 	Agents     Agents
 	Outcomes   Outcomes
 	Log        *slog.Logger
-	// AgentSettings are the intervals that agents keep to.
+	// AgentSettings are the heartbeat interval, the lease and the cancellation timeout of
+	// agents.
 	AgentSettings config.Agents
-	// Objectives are what operators promise for each class of jobs.
+	// Objectives are the service-level objectives of the job classes.
 	Objectives []config.Objective
-	// MaxStaleness is how old a holder's knowledge of cancellations may be while it
-	// renews agents' leases.
+	// MaxStaleness is the maximum staleness of a holder's view, and so of the cancellations
+	// in it, at which the holder still renews agents' leases.
 	MaxStaleness time.Duration
-	// MaxAttempts is how many attempt numbers are used under one grant; 0: as many as there
-	// are. See AttemptsExhausted.
+	// MaxAttempts limits the attempt numbers used under one grant; 0 selects the default,
+	// which is nearly all of them. See AttemptsExhausted.
 	MaxAttempts uint64
 	// EndOfPass is called at the end of every pass.
 	EndOfPass func()
 }
 
-// maxAttempts is how far the counter of attempts may go. What is left of the numbers is
-// more than can be used between two looks at AttemptsExhausted.
+// maxAttempts is the default limit of the attempt counter. The numbers left above the limit
+// are more than can be used between two checks of AttemptsExhausted.
 const maxAttempts = election.HolderSteps - 1<<16
 
 func (c *Config) now() time.Duration { return c.Generation.Now() }
--- a/internal/coordination/reconcile/doc.go
+++ b/internal/coordination/reconcile/doc.go
@@ -1,6 +1,7 @@
-// Package reconcile makes the machines of the shards that this controller holds run what
-// the records say they should. A Reconciler compares desired tasks with those that the
-// agents report, sends commands, writes intents before starts and completions after ends,
-// and ends jobs whose tasks are all done. It never starts a task that the records do not
-// name, and counts a task as gone only when that is proven.
+// Package reconcile brings the machines of the shards that this controller holds to the
+// state that the records describe. A Reconciler compares the desired tasks with the tasks
+// that agents report, sends commands, writes an intent before each start and a completion
+// after each success, and ends jobs whose tasks are all done. It starts only tasks that the
+// records name, and treats an attempt as terminated only when an agent or the records prove
+// it.
 package reconcile
--- a/internal/coordination/reconcile/drains.go
+++ b/internal/coordination/reconcile/drains.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// drainCheckInterval is the time between two looks at what must leave its machine: what
-	// they look for takes seconds, and passes come many times a second.
+	// drainCheckInterval is the time between two drain checks. Drains and terminations take
+	// seconds, so a check in each of the many passes a second is not needed.
 	drainCheckInterval = 200 * time.Millisecond
-	// saveMarginSeconds is how long before it must a task begins to save its progress on a
-	// machine that the cloud takes.
+	// saveMarginSeconds is how long before the last possible moment a task begins to save
+	// its progress on a machine that the cloud is about to terminate.
 	saveMarginSeconds = 3
 )
 
-// evictForDrains decides which tasks must leave: those of a machine that the cloud takes
-// and which can save in time, and services of machines that drain.
+// evictForDrains requests the stops that drains and terminations need: of tasks that can
+// save their progress before the cloud terminates their machine, and of replicas on
+// draining machines. It also marks the intent pages that still name a draining machine.
 func (r *Reconciler) evictForDrains() {
 	now := r.now()
 	if now < r.schedule.nextDrainCheckAt {
@@ -30,30 +31,30 @@
 			r.writers[agent.shard].markPagesNaming(agent)
 		}
 	}
-	anythingLeaves := slices.ContainsFunc(r.agents.sorted, func(a *agent) bool {
+	evictionNeeded := slices.ContainsFunc(r.agents.sorted, func(a *agent) bool {
 		return a.terminationAt > 0 || a.draining() && a.load.serviceCPUs > 0
 	})
-	if !anythingLeaves {
+	if !evictionNeeded {
 		return
 	}
 	r.saveBeforeTermination(now)
-	if !r.anyReplicaChanges() {
+	if !r.anyReplicaStartingOrStopping() {
 		r.moveReplica(now)
 	}
 }
 
-// saveBeforeTermination stops what can still save its progress on machines that the cloud
-// takes, once it must.
+// saveBeforeTermination requests stops of the tasks that can still save their progress on
+// machines that the cloud is about to terminate, as late as possible.
 func (r *Reconciler) saveBeforeTermination(now time.Duration) {
 	for _, agent := range r.agents.sorted {
-		left := (agent.terminationAt - now).Seconds()
-		if left <= 0 {
+		secondsLeft := (agent.terminationAt - now).Seconds()
+		if secondsLeft <= 0 {
 			continue
 		}
 		for _, attempt := range agent.attempts {
 			saveSeconds := attempt.job.SaveSeconds
-			inTime := saveSeconds < left && left < saveSeconds+saveMarginSeconds
-			if attempt.state == attemptRunning && !attempt.stop.requested && attempt.job.CheckpointSeconds > 0 && inTime {
+			saveDue := saveSeconds < secondsLeft && secondsLeft < saveSeconds+saveMarginSeconds
+			if attempt.state == attemptRunning && !attempt.stop.requested && attempt.job.CheckpointSeconds > 0 && saveDue {
 				attempt.stop.request(saveSeconds)
 				agent.needsAttention = true
 			}
@@ -61,8 +62,7 @@
 	}
 }
 
-// anyReplicaChanges reports whether any replica is starting or stopping.
-func (r *Reconciler) anyReplicaChanges() bool {
+func (r *Reconciler) anyReplicaStartingOrStopping() bool {
 	for _, agent := range r.agents.sorted {
 		for _, attempt := range agent.attempts {
 			if attempt.live() && attempt.job.IsService() && (attempt.stop.requested || attempt.state != attemptRunning) {
@@ -73,9 +73,9 @@
 	return false
 }
 
-// moveReplica stops a replica on a machine that drains, to be started elsewhere. Replicas
-// move one at a time, and only to room that is free now on a machine that has their image,
-// so that a move costs no more than a stop and a start.
+// moveReplica requests the stop of one replica on a draining machine, so that it starts
+// elsewhere. Replicas move one at a time, and only if a machine that has their image has
+// free capacity now, so that a move costs no more than a stop and a start.
 func (r *Reconciler) moveReplica(now time.Duration) {
 	placer := &placer{reconciler: r, now: now}
 	for _, agent := range r.agents.sorted {
@@ -87,11 +87,11 @@
 			if attempt.state != attemptRunning || attempt.stop.requested || !attempt.job.IsService() {
 				continue
 			}
-			target, found := placer.chooseFor(attempt)
+			target, found := placer.chooseTarget(attempt)
 			if !found || !target.hasImage(attempt.job) {
 				continue
 			}
-			r.Log.Info("move replica", "job", attempt.job.ID, "task", attempt.task, "machine", agent.machine.Name, "to", target.machine.Name)
+			r.Log.Info("replica move started", "job", attempt.job.ID, "task", attempt.task, "machine", agent.machine.Name, "to", target.machine.Name)
 			attempt.stop.request(attempt.job.SaveSeconds)
 			agent.needsAttention = true
 			return
@@ -99,7 +99,7 @@
 	}
 }
 
-// chooseFor is the machine to which an attempt would move now.
-func (p *placer) chooseFor(a *attempt) (target *agent, found bool) {
+// chooseTarget returns the machine on which an attempt at the same task would be placed now.
+func (p *placer) chooseTarget(a *attempt) (target *agent, found bool) {
 	return placement.Choose(placement.Fleet[*agent](p), p.Machines(), a.job, a.task, a.progress.attemptsByZone)
 }
--- a/internal/coordination/reconcile/fixture_test.go
+++ b/internal/coordination/reconcile/fixture_test.go
@@ -17,8 +17,8 @@
 	"rockrun/internal/storage"
 )
 
-// fixture is a reconciler whose clock, store and agents do what a test says. It holds one
-// machine, m-1, under a fresh grant.
+// fixture is a reconciler whose clock, store and agents the test controls. The reconciler
+// holds one machine, m-1, under a new grant.
 type fixture struct {
 	t               testing.TB
 	reconciler      *Reconciler
@@ -31,9 +31,9 @@
 	transactions    []protocol.Transaction // sent to the store, not answered
 	commandRequests []protocol.CommandRequest
 	revision        uint64
-	watched         bool              // the changes have been read once
-	values          map[string][]byte // what the store holds
-	ended           []string          // jobs whose ends are durable
+	watchAnswered   bool              // the first watch has been answered
+	values          map[string][]byte // contents of the store
+	endedJobs       []string          // jobs whose final records are durable
 }
 
 func (f *fixture) Now() time.Duration                               { return f.now }
@@ -43,7 +43,7 @@
 func (f *fixture) OpenLease(time.Duration, func(uint64, error))     {}
 func (f *fixture) RenewLease(uint64, func(error))                   {}
 func (f *fixture) RevokeLease(uint64, func(error))                  {}
-func (f *fixture) Remember(job string, _ storage.FinalRecord)       { f.ended = append(f.ended, job) }
+func (f *fixture) Remember(job string, _ storage.FinalRecord)       { f.endedJobs = append(f.endedJobs, job) }
 
 func (f *fixture) List(_, _ string, done func(protocol.KeyValuePage, error)) {
 	done(protocol.KeyValuePage{}, nil)
@@ -53,10 +53,10 @@
 	f.transactions = append(f.transactions, t)
 }
 
-// Watch answers the first read of the changes, so that the records count as read.
+// Watch answers the first watch, after which the replica counts as complete.
 func (f *fixture) Watch(_ string, _ uint64, _ time.Duration, done func(protocol.Changes, error)) {
-	if !f.watched {
-		f.watched = true
+	if !f.watchAnswered {
+		f.watchAnswered = true
 		done(protocol.Changes{}, nil)
 	}
 }
@@ -68,23 +68,23 @@
 const (
 	// grantToken is the fencing token of the fixture's grant.
 	grantToken = 5<<44 | 1<<24
-	// testShardLease is how long a shard lease lasts.
+	// testShardLease is the duration of a shard lease.
 	testShardLease = 3 * time.Second
-	// testLease is for how long the controller may act once its leases are extended.
+	// testLease is how long refreshKnowledge lets the controller act for its shards.
 	testLease = time.Minute
 )
 
-// firstPage is the first page of the only job shard.
+// firstPage identifies the first page of the only job shard.
 var firstPage = storage.PageID{}
 
 var (
-	// inherited is the intent of a former holder that run-1/0 is on m-1.
+	// inherited is an intent entry of a former holder: run-1/0 may run on m-1.
 	inherited = storage.IntentEntry(0, "m-1", 9)
-	// running is what the agent says of that task.
+	// running is the agent's report that this task runs.
 	running = protocol.TaskStatus{Task: "run-1/0", Attempt: 9, State: protocol.TaskRunning}
 )
 
-// newFixture makes a fixture; the record of a former holder has the intents given of
+// newFixture creates a fixture. The intent page of a former holder has the given entries of
 // run-1.
 func newFixture(t testing.TB, intents ...string) *fixture {
 	f := &fixture{t: t, now: time.Minute, values: map[string][]byte{}}
@@ -119,14 +119,14 @@
 	return f
 }
 
-// recordsChanged lets the reconciler see the records that were applied.
+// recordsChanged makes the reconciler process the records that were applied.
 func (f *fixture) recordsChanged() {
 	f.leases.ObserveGrants()
 	f.reconciler.SyncWithRecords()
 	f.reconciler.SchedulePass()
 }
 
-// limitStore lets the store's limits be lower from now on.
+// limitStore lowers the store's limits to at most the given ones.
 func (f *fixture) limitStore(valueBytes, operations, conditions int) {
 	limits := f.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
@@ -135,7 +135,7 @@
 	f.committer.SetLimits(limits)
 }
 
-// limitWrites lets the writes of this controller arrive at a rate, of which one is there.
+// limitWrites sets the controller's write budget to one available write, refilled at a rate.
 func (f *fixture) limitWrites(rate float64) {
 	budget := &f.committer.Budget
 	*budget = loop.NewTokenBucket(1)
@@ -143,22 +143,22 @@
 	budget.SetRate(rate)
 }
 
-// apply lets the view hold a record.
+// apply puts a record into the view, at a new revision.
 func (f *fixture) apply(key string, record any) {
 	f.t.Helper()
 	f.revision++
 	f.put(key, storage.Encode(record))
-	f.advance(f.revision)
+	f.advanceRevision(f.revision)
 }
 
-// remove lets the view hold a record no more.
+// remove removes a record from the view, at a new revision.
 func (f *fixture) remove(key string) {
 	f.revision++
 	f.view.Remove(key, f.revision)
 }
 
-// advance lets the view have reached a revision, without making it any fresher.
-func (f *fixture) advance(revision uint64) {
+// advanceRevision advances the view to a revision without reducing its staleness.
+func (f *fixture) advanceRevision(revision uint64) {
 	f.replica.Apply(protocol.Changes{Revision: revision}, 0)
 }
 
@@ -170,8 +170,8 @@
 	}
 }
 
-// applyTransactions carries out the transactions that were sent, in their order. They are
-// not answered: the view shows what came of them.
+// applyTransactions applies the sent transactions in order. Their senders get no answer and
+// see the result only in the view.
 func (f *fixture) applyTransactions() {
 	f.t.Helper()
 	transactions := f.transactions
@@ -187,36 +187,36 @@
 			delete(f.values, op.Delete)
 			f.view.Remove(op.Delete, f.revision)
 		}
-		f.advance(f.revision)
+		f.advanceRevision(f.revision)
 	}
 }
 
-// checkLimits fails where a transaction is over the limits in force.
+// checkLimits fails the test if a transaction exceeds the limits in force.
 func (f *fixture) checkLimits(t protocol.Transaction) {
 	f.t.Helper()
 	limits := f.committer.Limits()
 	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Conditions) > limits.Conditions {
-		f.t.Errorf("over the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
+		f.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
 	}
 }
 
-// refreshKnowledge renews what the controller knows and holds.
+// refreshKnowledge makes the view current and extends the shard leases.
 func (f *fixture) refreshKnowledge() {
 	f.refreshView()
 	f.extendLeases(testLease)
 }
 
-// refreshView lets the view be known to hold everything durable.
+// refreshView makes the view count as current now.
 func (f *fixture) refreshView() { f.replica.Apply(protocol.Changes{}, f.now) }
 
-// extendLeases lets the controller act for all its shards for so long.
+// extendLeases lets the controller act for all its shards for d from now on.
 func (f *fixture) extendLeases(d time.Duration) {
 	for shard := range f.view.Grants {
 		f.leases.Extend(shard, f.now+d-testShardLease)
 	}
 }
 
-// heartbeat hands a heartbeat of m-1 to the reconciler and returns the answer.
+// heartbeat delivers a heartbeat of m-1 to the reconciler and returns the answer.
 func (f *fixture) heartbeat(sequence, token uint64, tasks ...protocol.TaskStatus) (answer protocol.AgentHeartbeatAnswer, err error) {
 	f.t.Helper()
 	return f.deliver(&protocol.AgentHeartbeat{
@@ -224,7 +224,8 @@
 	})
 }
 
-// commandsFor is what a heartbeat of m-1 that must be answered is answered with.
+// commandsFor delivers a heartbeat of m-1 and returns the commands of the answer. A rejected
+// heartbeat fails the test.
 func (f *fixture) commandsFor(sequence, token uint64, tasks ...protocol.TaskStatus) []protocol.Command {
 	f.t.Helper()
 	answer, err := f.heartbeat(sequence, token, tasks...)
@@ -234,17 +235,17 @@
 	return answer.Commands
 }
 
-// deliver hands a heartbeat to the reconciler and returns the answer.
+// deliver delivers a heartbeat to the reconciler and returns the answer.
 func (f *fixture) deliver(r *protocol.AgentHeartbeat) (answer protocol.AgentHeartbeatAnswer, err error) {
 	_, machine := f.view.Machines.Find(r.Machine)
 	err = f.reconciler.OnHeartbeat(machine, r, func(a protocol.AgentHeartbeatAnswer) { answer = a })
 	return answer, err
 }
 
-// agent is the agent of m-1.
+// agent returns the agent of m-1.
 func (f *fixture) agent() *agent { return f.reconciler.agents.find("m-1") }
 
-// liveAttempts counts the attempts that may be on m-1.
+// liveAttempts returns the number of attempts that may still run on m-1.
 func (f *fixture) liveAttempts() int {
 	count := 0
 	for _, a := range f.agent().attempts {
--- a/internal/coordination/reconcile/fleet_fixture_test.go
+++ b/internal/coordination/reconcile/fleet_fixture_test.go
@@ -8,10 +8,11 @@
 	"rockrun/internal/storage"
 )
 
-// The size of a fleet: machines held, those of a machine group, and tasks of arrays on them.
+// Sizes of the test fleets, in machines, and of their machine groups, array jobs and intent
+// pages.
 const (
 	mediumFleet       = 1200
-	largeFleet        = 4000 // the size that every fixed limit must allow
+	largeFleet        = 4000 // every fixed limit must allow this size
 	fleetGroupSize    = 40
 	fleetTasksPerJob  = 60
 	fleetTasksPerPage = 30
@@ -19,17 +20,17 @@
 
 func fleetMachineName(i int) string { return fmt.Sprintf("m-%06d", i) }
 
-// fleetRecords hands the records of a fleet on which every machine runs one task
-// to put, and returns how many tasks there are.
-func fleetRecords(machines int, put func(key string, record any)) int {
+// putFleetRecords calls put with each record of a fleet in which every machine runs one
+// task. It returns the number of tasks.
+func putFleetRecords(machines int, put func(key string, record any)) int {
 	put(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 32, HourlyPrice: 1, HourlySpotPrice: 0.3, BootSeconds: 30, Zones: []string{"z"}}}})
 	put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
 	for i := 0; i < machines; i += fleetGroupSize {
-		rec := storage.MachineGroupRecord{Type: "small", Zone: "z", Spot: true}
+		record := storage.MachineGroupRecord{Type: "small", Zone: "z", Spot: true}
 		for j := i; j < min(i+fleetGroupSize, machines); j++ {
-			rec.Machines = append(rec.Machines, storage.MachineEntry{Name: fleetMachineName(j), Address: fmt.Sprintf("10.1.%d.%d:9000", j/250, j%250)})
+			record.Machines = append(record.Machines, storage.MachineEntry{Name: fleetMachineName(j), Address: fmt.Sprintf("10.1.%d.%d:9000", j/250, j%250)})
 		}
-		put(storage.MachineGroupKey(fmt.Sprint(i)), rec)
+		put(storage.MachineGroupKey(fmt.Sprint(i)), record)
 	}
 	job := func(task int) string { return fmt.Sprintf("run-%06d", task/fleetTasksPerJob) }
 	for i := 0; i < machines; i += fleetTasksPerJob {
@@ -51,7 +52,7 @@
 
 const fleetAttempt = 5<<24 | 7
 
-// fleetHeartbeat is what the agent of a machine says while its task runs.
+// fleetHeartbeat returns a heartbeat of machine i, whose task runs.
 func fleetHeartbeat(i int, sequence uint64) *protocol.AgentHeartbeat {
 	return &protocol.AgentHeartbeat{
 		Machine: fleetMachineName(i), Address: "w", MachineType: "small", Zone: "z", Spot: true, Epoch: 1, Sequence: sequence, FencingToken: grantToken,
@@ -59,10 +60,10 @@
 	}
 }
 
-// newFleetFixture is a fixture that holds so many machines, every one of which has sent a
-// heartbeat with its running task.
+// newFleetFixture creates a fixture that holds a fleet. Every machine has sent a heartbeat
+// with its running task.
 func newFleetFixture(tb testing.TB, machines int) *fixture {
-	f := newUnheardFleetFixture(tb, machines)
+	f := newFleetFixtureWithoutHeartbeats(tb, machines)
 	for i := range machines {
 		if _, err := f.deliver(fleetHeartbeat(i, 1)); err != nil {
 			tb.Fatal(err)
@@ -70,22 +71,22 @@
 	}
 	f.reconciler.pass()
 	if n := len(f.reconciler.attemptsByTask); n < machines {
-		tb.Fatalf("%d tasks are placed", n)
+		tb.Fatalf("only %d tasks have attempts", n)
 	}
 	return f
 }
 
-// newUnheardFleetFixture is a fixture that has just been granted so many machines, of none
-// of which it has a heartbeat.
-func newUnheardFleetFixture(tb testing.TB, machines int) *fixture {
+// newFleetFixtureWithoutHeartbeats creates a fixture that has just been granted a fleet and
+// has received no heartbeat.
+func newFleetFixtureWithoutHeartbeats(tb testing.TB, machines int) *fixture {
 	f := newFixture(tb)
 	f.view.Teams[0].MaxCPUs = 0
-	fleetRecords(machines, f.apply)
+	putFleetRecords(machines, f.apply)
 	f.recordsChanged()
 	return f
 }
 
-// waitingJob adds a job for whose tasks there is no room.
+// waitingJob adds a job whose tasks fit on no machine of a fleet, because all are full.
 func (f *fixture) waitingJob() {
 	f.apply(storage.JobKey("run-999999"), storage.JobRecord{Spec: protocol.JobSpec{
 		ID: "run-999999", Class: "report", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 500, CPUs: 4, MemoryGB: 29, Spot: true, EstimateSeconds: 15,
--- a/internal/coordination/reconcile/job_progress.go
+++ b/internal/coordination/reconcile/job_progress.go
@@ -9,33 +9,33 @@
 	"rockrun/internal/storage"
 )
 
-// jobProgress is what the holder of a job shard knows about a job beyond its record.
+// jobProgress is the state of a job that its holder tracks in addition to the job's record.
 type jobProgress struct {
 	job              *storage.Job
-	completed        storage.TaskSet // done as far as is known here, durable or not
+	completed        storage.TaskSet // tasks done according to this holder, durable or not
 	completedCount   int
 	completionPages  map[int]*completionPage // by chunk
-	nextTask         int                     // no task below it waits to be placed
+	nextTask         int                     // no task below it is unplaced
 	attempts         int
-	attemptsByZone   []int // attempts that may be on a machine
-	intentHeaderSize int   // bytes of its header in a page of intents
-	withinGuarantee  bool  // fits into its team's guarantee with the team's earlier jobs
-	starved          bool  // has once waited too long
+	attemptsByZone   []int // live attempts by zone index
+	intentHeaderSize int   // bytes of the job's header in an intent page
+	withinGuarantee  bool  // the job fits into the team's guarantee beside the team's earlier jobs
+	starved          bool  // the job has been a starved candidate at least once
 	endWrite         loop.Write
 	failures         failureRecord
 	runTimes         runTimes
-	backoffUntil     time.Duration // no starts before
+	backoffUntil     time.Duration // no task is placed before
 }
 
-// countInZone changes the count of attempts in a zone.
-func (p *jobProgress) countInZone(zone, by int) {
+// addAttemptsInZone changes the number of live attempts in a zone by delta.
+func (p *jobProgress) addAttemptsInZone(zone, delta int) {
 	for len(p.attemptsByZone) <= zone {
 		p.attemptsByZone = append(p.attemptsByZone, 0)
 	}
-	p.attemptsByZone[zone] += by
+	p.attemptsByZone[zone] += delta
 }
 
-// complete takes in that a task is done, and reports whether that is news.
+// complete records that a task is done, and reports whether it was not recorded before.
 func (p *jobProgress) complete(task int) bool {
 	if p.completed.Has(task) {
 		return false
@@ -45,10 +45,10 @@
 	return true
 }
 
-// done reports whether all tasks are.
+// done reports whether all tasks are done.
 func (p *jobProgress) done() bool { return p.completedCount >= p.job.Tasks }
 
-// progressOf is the progress of a job, which is kept from then on.
+// progressOf returns the progress of a job, which it begins to track on the first call.
 func (r *Reconciler) progressOf(job *storage.Job) *jobProgress {
 	if progress := r.jobs[job]; progress != nil {
 		return progress
@@ -70,13 +70,14 @@
 	return progress
 }
 
-// activeJobs lists the jobs that are neither over nor cancelled.
+// activeJobs caches the list of active jobs: those that have neither ended nor been
+// cancelled.
 type activeJobs struct {
 	list          []*storage.Job
-	seenJobsAdded uint64 // of the view, when the list was made
+	seenJobsAdded uint64 // View.JobsAdded when the list was built
 }
 
-// update returns the list, in the order in which the jobs could start.
+// update returns the active jobs, sorted by the time from which they could start, then by ID.
 func (l *activeJobs) update(view *storage.View) []*storage.Job {
 	if l.seenJobsAdded != view.JobsAdded {
 		l.seenJobsAdded = view.JobsAdded
--- a/internal/coordination/reconcile/pass.go
+++ b/internal/coordination/reconcile/pass.go
@@ -3,28 +3,29 @@
 import "time"
 
 const (
-	// minPassDelay is the least time from the wish for a pass to the pass, in which other
-	// wishes join it.
+	// minPassDelay is the minimum delay of a requested pass, so that one pass serves further
+	// requests too.
 	minPassDelay = 5 * time.Millisecond
-	// minPassPause is the least time between two passes, and passPauseFactor how many times
-	// its own length follows a pass: heartbeats are answered first.
-	minPassPause    = 25 * time.Millisecond
-	passPauseFactor = 6
-	// resolutionPause is the least time between two requests to an agent that ask only for
-	// what has not been resolved.
-	resolutionPause = 500 * time.Millisecond
+	// minPassInterval is the minimum time from the end of a pass to the next pass. A longer
+	// pass is followed by passIntervalFactor times its duration, so that heartbeats are
+	// answered first.
+	minPassInterval    = 25 * time.Millisecond
+	passIntervalFactor = 6
+	// resolutionRequestInterval is the minimum time between two requests to an agent that
+	// serve only to resolve unexpected tasks or unconfirmed stops.
+	resolutionRequestInterval = 500 * time.Millisecond
 )
 
-// schedule is when the reconciler does what it does again and again.
+// schedule holds the times of the reconciler's recurring work.
 type schedule struct {
 	passScheduled    bool
-	nextPassAt       time.Duration // no pass before
-	nextDrainCheckAt time.Duration // no look before at what must leave its machine
+	nextPassAt       time.Duration // earliest time of the next pass
+	nextDrainCheckAt time.Duration // earliest time of the next drain check
 	nextSummaryAt    time.Duration
 }
 
-// SchedulePass asks for a pass over all that this controller holds, soon but once. A pass
-// that took long is followed by a longer pause, so that heartbeats are answered first.
+// SchedulePass schedules a pass over everything that this controller holds, unless one is
+// scheduled already. A long pass delays the next one, so that heartbeats are answered first.
 func (r *Reconciler) SchedulePass() {
 	if r.schedule.passScheduled {
 		return
@@ -36,7 +37,8 @@
 	})
 }
 
-// pass places what waits, writes what must be durable and sends what follows.
+// pass places pending tasks, writes the records that are due and sends the resulting
+// commands.
 func (r *Reconciler) pass() {
 	if !r.Replica.Ready() {
 		return
@@ -51,16 +53,17 @@
 	}
 	for _, agent := range r.agents.sorted {
 		if agent.needsAttention {
-			r.attend(agent)
+			r.sendDueCommands(agent)
 		}
 	}
 	r.writeJobEnds()
 	r.EndOfPass()
-	r.schedule.nextPassAt = r.now() + max(minPassPause, passPauseFactor*(r.now()-began))
+	r.schedule.nextPassAt = r.now() + max(minPassInterval, passIntervalFactor*(r.now()-began))
 }
 
-// attend sends an agent what it needs now, or notes that it needs nothing any more.
-func (r *Reconciler) attend(agent *agent) {
+// sendDueCommands sends an agent the commands that are due, or clears needsAttention when no
+// work is left for the agent.
+func (r *Reconciler) sendDueCommands(agent *agent) {
 	now := r.now()
 	if !r.Leases.MayActFor(agent.shard) || !agent.fence.confirmed {
 		if agent.hasDueStops(now) {
@@ -70,7 +73,7 @@
 	}
 	needsResolution := agent.needsResolution()
 	switch {
-	case agent.hasUnsentCommands(now), needsResolution && now-agent.commands.sentAt > resolutionPause:
+	case agent.hasUnsentCommands(now), needsResolution && now-agent.commands.sentAt > resolutionRequestInterval:
 		r.sendCommands(agent)
 	case !needsResolution && !agent.unexpected.reapDue(now) && !agent.hasPendingChanges():
 		agent.needsAttention = false
--- a/internal/coordination/reconcile/pending_jobs.go
+++ b/internal/coordination/reconcile/pending_jobs.go
@@ -8,7 +8,8 @@
 	"rockrun/internal/storage"
 )
 
-// pendingJobs lists the jobs of the job shards held that have tasks to place, in order.
+// pendingJobs returns the jobs of the held job shards that have tasks to place, in the order
+// of placement.
 func (r *Reconciler) pendingJobs(now time.Duration) []placement.Candidate {
 	var list []placement.Candidate
 	guarantees, wall := quota.NewGuarantees(r.View), r.Generation.Wall()
@@ -19,7 +20,7 @@
 		progress := r.progressOf(job)
 		remaining := job.Tasks - progress.completedCount
 		progress.withinGuarantee = guarantees.Claim(job, remaining)
-		if now < progress.backoffUntil || r.nextOpenTask(job, progress) < 0 {
+		if now < progress.backoffUntil || r.nextUnplacedTask(job, progress) < 0 {
 			continue
 		}
 		begun := progress.attempts > 0 || progress.completedCount > 0
@@ -33,8 +34,8 @@
 	return list
 }
 
-// nextOpenTask returns the first task of a job that waits to be placed, or -1.
-func (r *Reconciler) nextOpenTask(job *storage.Job, progress *jobProgress) int {
+// nextUnplacedTask returns the first unplaced task of a job, or -1.
+func (r *Reconciler) nextUnplacedTask(job *storage.Job, progress *jobProgress) int {
 	for ; progress.nextTask < job.Tasks; progress.nextTask++ {
 		ref := storage.TaskRef{Job: job.Index, Task: progress.nextTask}
 		if !progress.completed.Has(progress.nextTask) && r.attemptsByTask[ref] == 0 {
--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -9,8 +9,8 @@
 	"rockrun/internal/storage"
 )
 
-// place gives waiting tasks to machines, and makes room for those that may
-// preempt others.
+// place runs a placement round: it places pending tasks on machines, and preempts other
+// attempts for pending tasks where the rules allow it.
 func (r *Reconciler) place() {
 	now := r.now()
 	list := r.pendingJobs(now)
@@ -24,34 +24,35 @@
 	}
 }
 
-// nextAttemptNumber returns an attempt number above every earlier one: the grant's token
-// in the high bits, a counter of this holder's in the low ones.
+// nextAttemptNumber returns an attempt number above every earlier one. Its high bits come
+// from the grant's token, its low bits from a counter of this holder.
 func (r *Reconciler) nextAttemptNumber(agent *agent) uint64 {
 	r.attemptCounter++
 	return election.DerivedNumber(r.View.Grants[agent.shard].FencingToken, r.attemptCounter)
 }
 
-// silenceMargin is how much longer than two heartbeat intervals an agent may be silent that
-// takes new tasks.
-const silenceMargin = time.Second
+// heartbeatMargin is added to two heartbeat intervals. An agent without contact for longer
+// gets no new tasks.
+const heartbeatMargin = time.Second
 
-// schedulable reports whether a machine takes new tasks now. One that only answers
-// commands, while its own heartbeats reach nobody, does not: its lease runs out.
+// schedulable reports whether a machine may get new tasks now. An agent that answers
+// commands but whose own heartbeats reach no controller gets none, because its lease is
+// not renewed and will expire.
 func (r *Reconciler) schedulable(agent *agent, now time.Duration) bool {
-	silence := now - agent.contact.silentSince()
+	sinceContact := now - agent.contact.silentSince()
 	return r.Leases.MayActFor(agent.shard) && !agent.isDisplaced() && agent.fence.confirmed && !agent.reachability.suspect &&
 		agent.machine.Phase == storage.PhaseActive && agent.terminationAt == 0 && !agent.health.quarantined(now) &&
-		silence < 2*r.AgentSettings.HeartbeatInterval()+silenceMargin
+		sinceContact < 2*r.AgentSettings.HeartbeatInterval()+heartbeatMargin
 }
 
-// freeCapacity is what is left on a machine.
+// freeCapacity returns the resources of a machine that no live attempt uses.
 func (r *Reconciler) freeCapacity(agent *agent) placement.Resources {
-	t := &r.View.MachineTypes[agent.machine.TypeIndex]
-	return placement.Resources{CPUs: t.CPUs - agent.load.cpus, GPUs: t.GPUs - agent.load.gpus, MemoryGB: t.MemoryGB - agent.load.memoryGB}
+	machineType := &r.View.MachineTypes[agent.machine.TypeIndex]
+	return placement.Resources{CPUs: machineType.CPUs - agent.load.cpus, GPUs: machineType.GPUs - agent.load.gpus, MemoryGB: machineType.MemoryGB - agent.load.memoryGB}
 }
 
-// placer tells a round of placement at one time what the reconciler knows, and carries
-// out what it decides.
+// placer connects a placement round to the reconciler: it provides the state of machines,
+// jobs and teams at one time, and executes the decisions of the round.
 type placer struct {
 	reconciler *Reconciler
 	now        time.Duration
@@ -64,35 +65,35 @@
 	_ placement.Actions[*agent] = (*placer)(nil)
 )
 
-// Machines lists all agents, by their machines' names.
+// Machines returns all agents, sorted by the names of their machines.
 func (p *placer) Machines() []*agent { return p.reconciler.agents.sorted }
 
-// Free is what a machine has left.
+// Free returns the free resources of a machine.
 func (p *placer) Free(agent *agent) placement.Resources { return p.reconciler.freeCapacity(agent) }
 
-// Zone is the index of a machine's zone.
+// Zone returns the index of a machine's zone.
 func (p *placer) Zone(agent *agent) int { return agent.machine.ZoneIndex }
 
-// Eligible reports whether a job's task may ever be on a machine.
+// Eligible reports whether tasks of a job may ever run on a machine.
 func (p *placer) Eligible(agent *agent, job *storage.Job) bool {
 	return agent.shard == job.Shard && p.reconciler.View.Eligible(job, agent.machine)
 }
 
-// Schedulable reports whether a machine takes new tasks now.
+// Schedulable reports whether a machine may get new tasks now.
 func (p *placer) Schedulable(agent *agent) bool { return p.reconciler.schedulable(agent, p.now) }
 
-// Booting reports whether a machine is new and has not been heard of yet.
+// Booting reports whether a machine is new and its agent has sent no heartbeat yet.
 func (p *placer) Booting(agent *agent) bool {
 	return agent.machine.Phase == storage.PhaseActive && agent.contact.sequence == 0 && len(agent.machine.Intents) == 0
 }
 
-// ListsTask reports whether a machine still lists an earlier attempt at a task that is
-// not reaped; a start of another attempt would be refused.
+// ListsTask reports whether a machine still lists an earlier attempt at a task. The agent
+// refuses to start another attempt until the earlier one is reaped.
 func (p *placer) ListsTask(agent *agent, job *storage.Job, task int) bool {
 	return agent.unexpected.lists(job, task)
 }
 
-// Describe says what weighs in the choice of a machine.
+// Describe returns the properties of a machine that determine its score for a job.
 func (p *placer) Describe(agent *agent, job *storage.Job) placement.Machine {
 	return placement.Machine{
 		Type:        &p.reconciler.View.MachineTypes[agent.machine.TypeIndex],
@@ -104,10 +105,10 @@
 	}
 }
 
-// ServiceCPUs is what all replicas on all machines take.
+// ServiceCPUs returns the CPUs that all replicas on all machines use.
 func (p *placer) ServiceCPUs() float64 { return p.reconciler.usage.serviceCPUs }
 
-// AppendRunning appends the attempts that may be on a machine to a list.
+// AppendRunning appends the attempts that may still run on a machine to a list.
 func (p *placer) AppendRunning(list []placement.Running, agent *agent) []placement.Running {
 	for _, attempt := range agent.attempts {
 		if !attempt.live() {
@@ -127,7 +128,7 @@
 	return list
 }
 
-// State is how far the tasks of a job have come.
+// State returns the progress of the tasks of a job.
 func (p *placer) State(job *storage.Job) placement.JobState {
 	progress := p.reconciler.progressOf(job)
 	return placement.JobState{
@@ -137,13 +138,13 @@
 	}
 }
 
-// NextTask is the first task of a job that waits to be placed, or -1.
+// NextTask returns the first unplaced task of a job, or -1.
 func (p *placer) NextTask(job *storage.Job) int {
-	return p.reconciler.nextOpenTask(job, p.reconciler.progressOf(job))
+	return p.reconciler.nextUnplacedTask(job, p.reconciler.progressOf(job))
 }
 
-// WithinQuota reports whether one more task of a job keeps its shard's share of the
-// team's maximum. Everything that may be on a machine counts.
+// WithinQuota reports whether the job's shard stays within its part of the team's maximum
+// with one more task of the job. Every attempt that may still run counts.
 func (p *placer) WithinQuota(job *storage.Job) bool {
 	view := p.reconciler.View
 	used := p.reconciler.usage.ofShard(job.Shard)[job.TeamIndex]
@@ -151,17 +152,17 @@
 	return quota.ShardWithin(view, &view.Teams[job.TeamIndex], job.Shard, used)
 }
 
-// RunsBelow reports whether any attempt is of a lower priority than rank.
+// RunsBelow reports whether any live attempt has a lower priority than rank.
 func (p *placer) RunsBelow(rank int) bool { return p.reconciler.usage.anyBelow(rank) }
 
-// BorrowsBeyond reports whether a job's team would use no less than its guarantee with
-// one task of the job less.
+// BorrowsBeyond reports whether a job's team would still use at least its guarantee with
+// one task of the job fewer.
 func (p *placer) BorrowsBeyond(job *storage.Job) bool {
 	return p.reconciler.usage.ofShard(job.Shard)[job.TeamIndex].CPUs-job.CPUs >= p.guaranteedCPUs(job.TeamIndex, job.Shard)
 }
 
-// OthersBorrow reports whether any team but the job's uses more than its guarantee in the
-// job's shard.
+// OthersBorrow reports whether another team uses more CPUs than its guarantee in the job's
+// shard.
 func (p *placer) OthersBorrow(job *storage.Job) bool {
 	for team, used := range p.reconciler.usage.ofShard(job.Shard) {
 		if team != job.TeamIndex && used.CPUs > p.guaranteedCPUs(team, job.Shard) {
@@ -171,16 +172,16 @@
 	return false
 }
 
-// guaranteedCPUs is a shard's share of what a team is guaranteed.
+// guaranteedCPUs returns a shard's part of the CPUs that a team is guaranteed.
 func (p *placer) guaranteedCPUs(team, shard int) float64 {
 	view := p.reconciler.View
 	return view.QuotaShare(&view.Teams[team], shard, view.Teams[team].GuaranteedCPUs)
 }
 
-// NextAttemptNumber is a number above that of every earlier attempt.
+// NextAttemptNumber returns a number above that of every earlier attempt.
 func (p *placer) NextAttemptNumber(agent *agent) uint64 { return p.reconciler.nextAttemptNumber(agent) }
 
-// Place makes a new attempt at a task.
+// Place creates an attempt at a task on a machine.
 func (p *placer) Place(job *storage.Job, task int, agent *agent, number uint64) {
 	r := p.reconciler
 	cached := agent.hasImage(job)
@@ -189,23 +190,23 @@
 	writer := r.writers[agent.shard]
 	writer.unassigned = append(writer.unassigned, a)
 	if r.debugs() {
-		r.Log.Debug("place", "machine", agent.machine.Name, "job", job.ID, "task", task, "attempt", number, "cached", cached,
+		r.Log.Debug("task placed", "machine", agent.machine.Name, "job", job.ID, "task", task, "attempt", number, "cached", cached,
 			"image", job.Image, "waited_ms", r.Generation.Wall().UnixMilli()-job.ReadyAtMS())
 	}
 }
 
-// Unplace drops an attempt that has just been placed.
+// Unplace removes an attempt that Place created in the same round.
 func (p *placer) Unplace(job *storage.Job, task int, agent *agent) {
 	p.reconciler.removeAttempt(agent.attempts[storage.TaskRef{Job: job.Index, Task: task}])
 }
 
-// Preempt asks for the stop of attempts on a machine; those that can save their progress
-// get the time for it.
+// Preempt requests stops of attempts on a machine for a pending job. Victims that can save
+// their progress get the time to do so.
 func (p *placer) Preempt(agent *agent, victims []placement.Running, waiting *storage.Job) {
 	for _, victim := range victims {
 		agent.needsAttention = true
 		a := agent.attempts[storage.TaskRef{Job: victim.Job.Index, Task: victim.Task}]
 		a.stop.request(a.saveGrace())
-		p.reconciler.Log.Info("preempt", "machine", agent.machine.Name, "job", a.job.ID, "task", a.task, "attempt", a.number, "for", waiting.ID)
+		p.reconciler.Log.Info("preemption requested", "machine", agent.machine.Name, "job", a.job.ID, "task", a.task, "attempt", a.number, "for", waiting.ID)
 	}
 }
--- a/internal/coordination/reconcile/reconciler.go
+++ b/internal/coordination/reconcile/reconciler.go
@@ -5,14 +5,15 @@
 	"rockrun/internal/storage"
 )
 
-// Reconciler reconciles the desired tasks of the shards that this controller holds with
-// what their agents report. All its methods must be called on the controller's goroutine.
+// Reconciler compares the desired tasks of the shards that this controller holds with the
+// tasks that agents report, and acts on the differences. All methods must be called on the
+// controller's goroutine.
 type Reconciler struct {
 	Config
 	agents         agentTable
-	writers        map[int]*recordWriter // by job shard held
+	writers        map[int]*recordWriter // by held job shard
 	jobs           map[*storage.Job]*jobProgress
-	attemptsByTask map[storage.TaskRef]int // attempts that are not proven over
+	attemptsByTask map[storage.TaskRef]int // attempts not confirmed terminated, or with a completion that is not durable
 	activeJobs     activeJobs
 	usage          usageLedger
 	completions    completions
@@ -20,13 +21,14 @@
 	schedule       schedule
 
 	attemptCounter uint64 // attempt numbers used
-	placingPasses  int    // passes that placed something
+	placingPasses  int    // passes that placed a task outside a gang
 }
 
-// seenRevisions are the revisions of the view that the agents and jobs held match.
+// seenRevisions holds the revisions of the view with which the held agents and jobs were
+// last synchronized.
 type seenRevisions struct{ fleet, jobsEnded uint64 }
 
-// New makes a reconciler that holds nothing yet.
+// New creates a reconciler that holds no shard.
 func New(parts Config) *Reconciler {
 	if parts.MaxAttempts == 0 {
 		parts.MaxAttempts = maxAttempts
@@ -41,8 +43,8 @@
 	}
 }
 
-// StopInactive stops what a cancelled or completed job still has on machines, and what is
-// on a machine that replicas of another job shard wait for.
+// StopInactive requests stops of the remaining attempts of cancelled and ended jobs, and of
+// array and gang attempts on draining machines that replicas of another job shard need.
 func (r *Reconciler) StopInactive() {
 	for _, agent := range r.agents.sorted {
 		evict := agent.machine.Evict && agent.draining()
@@ -66,7 +68,7 @@
 	}
 }
 
-// addAttempt takes an attempt into the agent's list and all sums.
+// addAttempt adds an attempt to its agent, its job's progress and all usage sums.
 func (r *Reconciler) addAttempt(attempt *attempt) {
 	attempt.progress = r.progressOf(attempt.job)
 	attempt.progress.attempts++
@@ -80,7 +82,8 @@
 	}
 }
 
-// removeAttempt takes an attempt out of the agent's list and all sums.
+// removeAttempt removes an attempt from its agent, its page, its job's progress and all usage
+// sums.
 func (r *Reconciler) removeAttempt(attempt *attempt) {
 	if attempt.live() {
 		r.usage.charge(attempt, -1)
@@ -102,15 +105,16 @@
 	r.View.ForgetJob(attempt.job)
 }
 
-// Tick does what only the passing of time asks for.
+// Tick does the periodic work: lease expiry, fencing of newly held agents, probes, due
+// writes and summaries.
 func (r *Reconciler) Tick() {
 	now := r.now()
 	lease := r.AgentSettings.Lease()
 	for _, agent := range r.agents.sorted {
 		contact := &agent.contact
 		if len(agent.attempts) > 0 && !agent.heldByAnother() {
-			// The agent's lease has provably expired: neither this holder nor, until its
-			// knowledge ran out, a former one can have renewed it since.
+			// The agent's lease has certainly expired: this holder has not renewed it, and
+			// a former holder could renew it only until its view exceeded MaxStaleness.
 			expiry := contact.lastRenewedAt(r.MaxStaleness) + lease + lease/1000 + config.LeaseMargin
 			if now > expiry && now > contact.lastHeartbeatAt+lease {
 				r.endAll(agent, "agent's lease has expired")
@@ -133,14 +137,15 @@
 // HoldsJobShards reports whether this controller holds any job shard.
 func (r *Reconciler) HoldsJobShards() bool { return len(r.writers) > 0 }
 
-// JobShardsHeld is how many job shards this controller holds.
+// JobShardsHeld returns the number of job shards that this controller holds.
 func (r *Reconciler) JobShardsHeld() int { return len(r.writers) }
 
-// AttemptsExhausted reports whether the attempt numbers of the grants held are used up:
-// the holder must start over under other grants.
+// AttemptsExhausted reports whether the attempt numbers of the held grants are used up. The
+// controller must then begin a new generation, which gets new grants.
 func (r *Reconciler) AttemptsExhausted() bool { return r.attemptCounter >= r.MaxAttempts }
 
-// OversizedValues counts the values of the shards held that are over the limit in force.
+// OversizedValues returns the number of values of the held shards that exceed the size limit
+// in force.
 func (r *Reconciler) OversizedValues() int {
 	count := 0
 	for _, writer := range r.writers {
--- a/internal/coordination/reconcile/summary.go
+++ b/internal/coordination/reconcile/summary.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// summaryInterval is the time between two summaries in the log.
+// summaryInterval is the time between two log summaries of the held job shards.
 const summaryInterval = 10 * time.Second
 
-// fullBelowCPUs is how few free CPUs make a machine full.
+// fullBelowCPUs is the number of free CPUs below which a machine counts as full.
 const fullBelowCPUs = 1
 
-// shardSummary is how a job shard stands.
+// shardSummary counts the machines, pending work and attempts of a job shard.
 type shardSummary struct {
 	machines, usable, full int
-	waiting                int // tasks to place
-	dependent              int // jobs that wait for others
-	unwritten              int // attempts that the records do not name yet
-	states                 [attemptEnded + 1]int
+	unplaced               int                   // tasks that are neither done nor placed
+	blocked                int                   // jobs whose dependencies are not all done
+	notDurable             int                   // live attempts that the records do not name yet
+	states                 [attemptEnded + 1]int // attempts by state
 }
 
-// logSummaries logs now and then how the job shards held stand.
+// logSummaries logs a summary of each held job shard once every summaryInterval.
 func (r *Reconciler) logSummaries(now time.Duration) {
 	if now < r.schedule.nextSummaryAt {
 		return
@@ -32,8 +32,8 @@
 
 func (r *Reconciler) logSummary(shard int) {
 	s := r.summarize(shard)
-	r.Log.Info("job shard", "shard", shard, "machines", s.machines, "usable", s.usable, "full", s.full,
-		"waiting", s.waiting, "dependent", s.dependent, "unwritten", s.unwritten,
+	r.Log.Info("job shard summary", "shard", shard, "machines", s.machines, "usable", s.usable, "full", s.full,
+		"waiting", s.unplaced, "dependent", s.blocked, "unwritten", s.notDurable,
 		"planned", s.states[attemptPlanned], "fetching", s.states[attemptFetching], "running", s.states[attemptRunning],
 		"saving", s.states[attemptSaving], "ended", s.states[attemptEnded],
 		"pages", len(r.writers[shard].intentPages), "writes", r.Committer.Budget.Level())
@@ -49,16 +49,16 @@
 		switch {
 		case job.Shard != shard:
 		case job.AwaitsDependencies():
-			summary.dependent++
+			summary.blocked++
 		default:
 			progress := r.progressOf(job)
-			summary.waiting += max(0, job.Tasks-progress.completedCount-progress.attempts)
+			summary.unplaced += max(0, job.Tasks-progress.completedCount-progress.attempts)
 		}
 	}
 	return summary
 }
 
-// addAgent adds an agent and its attempts to a summary.
+// addAgent adds a machine and its attempts to a summary.
 func (r *Reconciler) addAgent(summary *shardSummary, agent *agent) {
 	summary.machines++
 	if r.schedulable(agent, r.now()) {
@@ -70,7 +70,7 @@
 	for _, attempt := range agent.attempts {
 		summary.states[attempt.state]++
 		if !attempt.durable() && attempt.live() {
-			summary.unwritten++
+			summary.notDurable++
 		}
 	}
 }
--- a/internal/coordination/reconcile/usage.go
+++ b/internal/coordination/reconcile/usage.go
@@ -5,22 +5,22 @@
 	"rockrun/internal/storage"
 )
 
-// maxRank bounds the ranks of priorities: see storage.Job.Rank.
+// maxRank is an exclusive upper bound of priority ranks; see protocol.JobSpec.Rank.
 const maxRank = 8
 
-// usageLedger sums up what all live attempts take.
+// usageLedger sums the resources that live attempts use.
 type usageLedger struct {
 	teams       int
 	byShard     map[int][]quota.Usage // by team
 	countByRank [maxRank]int          // live attempts
-	serviceCPUs float64               // CPUs that replicas take
+	serviceCPUs float64               // CPUs that replicas use
 }
 
 func newUsageLedger(teams int) usageLedger {
 	return usageLedger{teams: teams, byShard: map[int][]quota.Usage{}}
 }
 
-// ofShard is what a job shard's attempts take, by team.
+// ofShard returns the resources that a job shard's live attempts use, by team index.
 func (u *usageLedger) ofShard(shard int) []quota.Usage {
 	usage := u.byShard[shard]
 	if usage == nil {
@@ -30,8 +30,8 @@
 	return usage
 }
 
-// charge adds an attempt to the sums of its machine, team, rank and zone (1), or takes it
-// off (-1).
+// charge adds an attempt to the sums of its machine, team, rank and zone if sign is 1, and
+// subtracts it if sign is -1.
 func (u *usageLedger) charge(attempt *attempt, sign int) {
 	tasks := float64(sign)
 	attempt.agent.load.add(attempt.job, tasks)
@@ -39,13 +39,13 @@
 		u.serviceCPUs += tasks * attempt.job.CPUs
 	}
 	u.countByRank[min(attempt.job.Rank(), maxRank-1)] += sign
-	attempt.progress.countInZone(attempt.agent.machine.ZoneIndex, sign)
+	attempt.progress.addAttemptsInZone(attempt.agent.machine.ZoneIndex, sign)
 	if team := attempt.job.TeamIndex; team >= 0 {
 		u.ofShard(attempt.agent.shard)[team].Add(attempt.job, tasks)
 	}
 }
 
-// anyBelow reports whether any live attempt is of a lower priority than a rank.
+// anyBelow reports whether any live attempt has a lower priority than rank.
 func (u *usageLedger) anyBelow(rank int) bool {
 	for lower := rank + 1; lower < maxRank; lower++ {
 		if u.countByRank[lower] > 0 {
@@ -55,7 +55,7 @@
 	return false
 }
 
-// withinQuota reports whether no team takes more in a shard than the quota split allows.
+// withinQuota reports whether no team uses more in a shard than the quota split allows.
 func (u *usageLedger) withinQuota(view *storage.View, shard int) bool {
 	within := true
 	for team, usage := range u.ofShard(shard) {
