--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -142,7 +142,7 @@
 	if !c.replica.Ready() {
 		return
 	}
-	if c.reconciler.AttemptsExhausted() {
+	if c.reconciler.AttemptNumbersExhausted() {
 		c.Log.Warn("attempt numbers exhausted, starting over")
 		c.beginGeneration()
 		return
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -28,11 +28,11 @@
 		t.Fatal("it started over with an attempt number left")
 	}
 	b.runTimers()
-	if tasks := b.statuses()["m-1"].Tasks; tasks != 1 || !b.controller.reconciler.AttemptsExhausted() {
+	if tasks := b.statuses()["m-1"].Tasks; tasks != 1 || !b.controller.reconciler.AttemptNumbersExhausted() {
 		t.Fatalf("%d tasks are planned", tasks)
 	}
 	b.controller.tick()
-	if b.controller.replica.Incarnation <= before || b.controller.replica.Ready() || b.controller.reconciler.AttemptsExhausted() {
+	if b.controller.replica.Incarnation <= before || b.controller.replica.Ready() || b.controller.reconciler.AttemptNumbersExhausted() {
 		t.Errorf("incarnation %d after %d, ready %v", b.controller.replica.Incarnation, before, b.controller.replica.Ready())
 	}
 	if b.controller.leases.Holds(0) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// stopsAtOnce reports whether commands stop run-1/0 at once.
+// stopsWithoutGrace reports whether commands stop run-1/0 at once.
 func stopsAtOnce(commands []protocol.Command) bool {
 	return slices.ContainsFunc(commands, func(c protocol.Command) bool {
 		return c.Verb == protocol.VerbStop && c.Task == "run-1/0" && c.GraceSeconds != nil && *c.GraceSeconds == 0
--- a/internal/coordination/fixture_test.go
+++ b/internal/coordination/fixture_test.go
@@ -185,13 +185,13 @@
 	}
 }
 
-// refreshKnowledge renews what the controller knows, and its leases.
+// refreshViewAndLeases renews what the controller knows, and its leases.
 func (b *testController) refreshKnowledge() {
 	b.controller.replica.Apply(protocol.Changes{}, b.now)
 	b.extendLeases(testLease)
 }
 
-// testLease is how long the controller may act once its leases are extended.
+// leaseExtension is how long the controller may act once its leases are extended.
 const testLease = time.Minute
 
 // extendLeases lets the controller act for all its shards for so long.
--- a/internal/coordination/generation.go
+++ b/internal/coordination/generation.go
@@ -96,19 +96,19 @@
 // beginReconciler makes what runs the tasks of the shards held.
 func (c *Controller) beginReconciler() {
 	c.reconciler = reconcile.New(reconcile.Config{
-		Generation:    c.generation,
-		Replica:       c.replica,
-		View:          c.replica.View,
-		Committer:     c.committer,
-		Leases:        c.leases,
-		Agents:        c.Agents,
-		Outcomes:      c.jobs,
-		Log:           c.Log,
-		AgentSettings: c.Settings.Cluster.Agents,
-		Objectives:    c.Settings.Cluster.Objectives,
-		MaxStaleness:  c.maxStaleness,
-		MaxAttempts:   c.maxAttempts,
-		EndOfPass: func() {
+		Generation:        c.generation,
+		Replica:           c.replica,
+		View:              c.replica.View,
+		Committer:         c.committer,
+		Leases:            c.leases,
+		Agents:            c.Agents,
+		Outcomes:          c.jobs,
+		Log:               c.Log,
+		AgentSettings:     c.Settings.Cluster.Agents,
+		Objectives:        c.Settings.Cluster.Objectives,
+		MaxStaleness:      c.maxStaleness,
+		MaxAttemptNumbers: c.maxAttempts,
+		OnPassEnd: func() {
 			c.stats.passes.Add(1)
 			c.jobs.WriteCancelledDependents()
 		},
--- a/internal/coordination/jobs/fixture_test.go
+++ b/internal/coordination/jobs/fixture_test.go
@@ -198,7 +198,7 @@
 	f.apply(storage.JobKey(spec.ID), storage.JobRecord{Spec: spec})
 }
 
-// refreshKnowledge renews what the controller knows and holds.
+// refreshViewAndLeases renews what the controller knows and holds.
 func (f *fixture) refreshKnowledge() {
 	f.replica.Apply(protocol.Changes{}, f.now)
 	f.leases.Extend(0, f.now)
--- a/internal/coordination/reconcile/agent_test.go
+++ b/internal/coordination/reconcile/agent_test.go
@@ -94,7 +94,7 @@
 		if load.cpus != 2*want || load.gpus != want || load.memoryGB != 8*want || load.serviceCPUs != 2*want || u.serviceCPUs != 2*want {
 			t.Errorf("%d attempts: load %+v", count, load)
 		}
-		if u.anyBelow(job.Rank()-1) != (count > 0) || u.anyBelow(job.Rank()) {
+		if u.anyLowerPriority(job.Rank()-1) != (count > 0) || u.anyLowerPriority(job.Rank()) {
 			t.Errorf("%d attempts: by rank %v", count, u.countByRank)
 		}
 		if zones := a.progress.attemptsByZone; len(zones) != 2 || zones[1] != count {
--- a/internal/coordination/reconcile/allocs_test.go
+++ b/internal/coordination/reconcile/allocs_test.go
@@ -11,9 +11,9 @@
 // TestHeartbeatAllocations: a heartbeat without news is what a controller gets most of. It
 // must cost next to nothing to take in, however many machines there are.
 func TestHeartbeatAllocations(t *testing.T) {
-	f := newFixture(t, inherited)
-	f.heartbeat(1, grantToken, running)
-	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: 1, FencingToken: grantToken, Tasks: []protocol.TaskStatus{running}}
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(1, grantToken, runningStatus)
+	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: 1, FencingToken: grantToken, Tasks: []protocol.TaskStatus{runningStatus}}
 	f.reconciler.pass() // what the first heartbeat asked for is sent
 	f.boundHeartbeatAllocations(r)
 }
@@ -45,7 +45,7 @@
 		before := f.view.FleetRevision
 		f.apply(key, record)
 		f.recordsChanged()
-		if f.reconciler.seen.fleet != f.view.FleetRevision {
+		if f.reconciler.synced.fleet != f.view.FleetRevision {
 			t.Fatal("the reconciler has not looked at the last change")
 		}
 		return f.view.FleetRevision != before
@@ -68,7 +68,7 @@
 	}
 	f.remove(storage.JobKey("run-50"))
 	f.recordsChanged()
-	if f.reconciler.seen.jobsEnded != f.view.JobsEnded {
+	if f.reconciler.synced.jobsEnded != f.view.JobsEnded {
 		t.Error("the end of a job was not looked at")
 	}
 }
@@ -81,7 +81,7 @@
 		if n := testing.AllocsPerRun(20, f.reconciler.pass); n > 16 {
 			t.Errorf("%d machines: %v allocations for a pass with nothing to place", machines, n)
 		}
-		f.waitingJob()
+		f.addUnplaceableJob()
 		if n := testing.AllocsPerRun(20, f.reconciler.pass); n > 64 {
 			t.Errorf("%d machines: %v allocations for a pass with work that finds no room", machines, n)
 		}
--- a/internal/coordination/reconcile/bench_test.go
+++ b/internal/coordination/reconcile/bench_test.go
@@ -17,7 +17,7 @@
 		b.Run(fmt.Sprintf("waiting=%t", waiting), func(b *testing.B) {
 			f := newFleetFixture(b, mediumFleet)
 			if waiting {
-				f.waitingJob()
+				f.addUnplaceableJob()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/coordination/reconcile/commands.go
+++ b/internal/coordination/reconcile/commands.go
@@ -10,7 +10,7 @@
 	"rockrun/internal/storage"
 )
 
-// commandsFor works out the difference between what should be on a machine and what its
+// heartbeatCommands works out the difference between what should be on a machine and what its
 // last heartbeat showed.
 func (r *Reconciler) commandsFor(agent *agent) []protocol.Command {
 	if !agent.needsAttention {
--- a/internal/coordination/reconcile/commands_test.go
+++ b/internal/coordination/reconcile/commands_test.go
@@ -21,18 +21,18 @@
 	for _, a := range agent.attempts {
 		number = a.number
 	}
-	if commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current); len(commands) != 0 {
+	if commands := f.heartbeatCommands(agent.contact.sequence+1, agent.fence.current); len(commands) != 0 {
 		t.Fatalf("commands before the intent is durable: %v", commands)
 	}
 	f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {storage.IntentEntry(0, "m-1", number)}})
-	commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current)
+	commands := f.heartbeatCommands(agent.contact.sequence+1, agent.fence.current)
 	if len(commands) != 1 || commands[0].Verb != protocol.VerbStart {
 		t.Fatalf("commands once it is: %v", commands)
 	}
 	startToken := agent.fence.highestStart
 	ended := protocol.TaskStatus{Task: "run-1/0", Attempt: number, State: protocol.TaskEnded, Cause: protocol.CauseDone}
 	for range 2 {
-		for _, c := range f.commandsFor(agent.contact.sequence+1, agent.fence.current, ended) {
+		for _, c := range f.heartbeatCommands(agent.contact.sequence+1, agent.fence.current, ended) {
 			if c.Verb == protocol.VerbReap {
 				t.Fatal("reaped before its completion is durable")
 			}
@@ -42,11 +42,11 @@
 	f.apply(storage.CompletionPageKey(firstPage), storage.CompletionPage{storage.CompletionChunkName("run-1", 0): {1}})
 	f.reconciler.pass()
 	// It waits for company for a while, and then goes by itself.
-	if commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current, ended); len(commands) != 0 {
+	if commands := f.heartbeatCommands(agent.contact.sequence+1, agent.fence.current, ended); len(commands) != 0 {
 		t.Fatalf("commands as soon as it is durable: %v", commands)
 	}
 	f.now += reapAfter
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	answer, err := f.heartbeat(agent.contact.sequence+1, agent.fence.current, ended)
 	if err != nil || len(answer.Commands) == 0 || answer.Commands[0].Verb != protocol.VerbReap {
 		t.Fatalf("commands after it is durable: %v, %v", answer.Commands, err)
@@ -60,14 +60,14 @@
 // that it has not fenced yet. What it knows to be cancelled must stop by that answer: the
 // next may never come, and the lease would carry the task past the time for cancelling.
 func TestRenewalStopsCancelled(t *testing.T) {
-	f := newFixture(t, inherited)
+	f := newFixture(t, inheritedIntent)
 	f.remove(storage.JobKey("run-1"))
 	f.recordsChanged()
-	commands := f.commandsFor(1, grantToken-1, running)
+	commands := f.heartbeatCommands(1, grantToken-1, runningStatus)
 	if f.agent().fence.confirmed {
 		t.Fatal("the agent is fenced: this is not the answer in question")
 	}
-	if !stopsAtOnce(commands) {
+	if !stopsWithoutGrace(commands) {
 		t.Errorf("the lease is renewed without a stop: %v", commands)
 	}
 	if f.liveAttempts() != 1 {
--- a/internal/coordination/reconcile/config.go
+++ b/internal/coordination/reconcile/config.go
@@ -55,15 +55,15 @@
 	// MaxStaleness is the maximum staleness of a holder's view, and so of the cancellations
 	// in it, at which the holder still renews agents' leases.
 	MaxStaleness time.Duration
-	// MaxAttempts limits the attempt numbers used under one grant; 0 selects the default,
-	// which is nearly all of them. See AttemptsExhausted.
-	MaxAttempts uint64
-	// EndOfPass is called at the end of every pass.
-	EndOfPass func()
+	// MaxAttemptNumbers limits the attempt numbers used under one grant; 0 selects the default,
+	// which is nearly all of them. See AttemptNumbersExhausted.
+	MaxAttemptNumbers uint64
+	// OnPassEnd is called at the end of every pass.
+	OnPassEnd func()
 }
 
-// maxAttempts is the default limit of the attempt counter. The numbers left above the limit
-// are more than can be used between two checks of AttemptsExhausted.
-const maxAttempts = election.HolderSteps - 1<<16
+// defaultMaxAttemptNumbers is the default limit of the attempt counter. The numbers left above the limit
+// are more than can be used between two checks of AttemptNumbersExhausted.
+const defaultMaxAttemptNumbers = election.HolderSteps - 1<<16
 
 func (c *Config) now() time.Duration { return c.Generation.Now() }
--- a/internal/coordination/reconcile/displaced_test.go
+++ b/internal/coordination/reconcile/displaced_test.go
@@ -15,8 +15,8 @@
 // then say that it is in a group of another shard. m-2 has room for the task.
 func newDisplacedFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := newFixture(t, inherited)
-	f.heartbeat(1, grantToken, running)
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(1, grantToken, runningStatus)
 	f.apply(storage.MachineGroupKey("second"), storage.MachineGroupRecord{
 		Type: "small", Zone: "z", Shard: otherShard, FencingToken: grantToken + 1<<24, Machines: []storage.MachineEntry{{Name: "m-1", Address: "w"}},
 	})
@@ -90,7 +90,7 @@
 		heard    protocol.AgentHeartbeat
 		attempts int
 	}{
-		{"it is still listed", protocol.AgentHeartbeat{Epoch: 1, Sequence: 2, FencingToken: higher, Tasks: []protocol.TaskStatus{running}}, 1},
+		{"it is still listed", protocol.AgentHeartbeat{Epoch: 1, Sequence: 2, FencingToken: higher, Tasks: []protocol.TaskStatus{runningStatus}}, 1},
 		{"an old word does not list it", protocol.AgentHeartbeat{Epoch: 1, Sequence: 1, FencingToken: higher}, 1},
 		{"it has gone", protocol.AgentHeartbeat{Epoch: 1, Sequence: 2, FencingToken: higher}, 0},
 		{"it was stopped", protocol.AgentHeartbeat{Epoch: 1, Sequence: 2, FencingToken: higher, Tasks: []protocol.TaskStatus{
@@ -114,7 +114,7 @@
 // machine shows a token above its own.
 func TestDisplacedStartNeedsFence(t *testing.T) {
 	for token, attempts := range map[uint64]int{grantToken - 2: 1, grantToken - 1: 1, grantToken: 0} {
-		f := newFixture(t, inherited) // not seen: it may have been started under tokens below the grant's
+		f := newFixture(t, inheritedIntent) // not seen: it may have been started under tokens below the grant's
 		f.apply(storage.MachineGroupKey("second"), storage.MachineGroupRecord{
 			Type: "small", Zone: "z", Shard: otherShard, Machines: []storage.MachineEntry{{Name: "m-1", Address: "w"}},
 		})
@@ -134,7 +134,7 @@
 	f.commandRequests = nil
 	f.agent().commands.Finish() // of the request made while it was held
 	f.now += 5 * time.Minute
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	f.reconciler.Tick()
 	if f.liveAttempts() != 1 {
 		t.Error("silence ended what another holder may keep alive")
@@ -156,21 +156,21 @@
 // TestUnnamedMachineOutlivesItsGroup: that no group names a machine does not say that it was
 // deleted. Nobody answers it then, so its lease runs out, counted from when it was last named.
 func TestUnnamedMachineOutlivesItsGroup(t *testing.T) {
-	f := newFixture(t, inherited)
-	f.heartbeat(1, grantToken, running)
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(1, grantToken, runningStatus)
 	f.remove(storage.MachineGroupKey("b"))
 	f.recordsChanged()
 	if f.agent() == nil || f.liveAttempts() != 1 {
 		t.Fatal("the task is not counted any more")
 	}
 	f.now += f.reconciler.AgentSettings.Lease()
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	f.reconciler.Tick()
 	if f.liveAttempts() != 1 {
 		t.Error("the task ended before the lease can have expired")
 	}
 	f.now += f.reconciler.MaxStaleness + time.Minute
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	f.reconciler.Tick()
 	if f.attemptsAt(0) != 0 {
 		t.Error("the task is counted after the lease has expired")
--- a/internal/coordination/reconcile/fixture_test.go
+++ b/internal/coordination/reconcile/fixture_test.go
@@ -70,18 +70,18 @@
 	grantToken = 5<<44 | 1<<24
 	// testShardLease is the duration of a shard lease.
 	testShardLease = 3 * time.Second
-	// testLease is how long refreshKnowledge lets the controller act for its shards.
-	testLease = time.Minute
+	// leaseExtension is how long refreshViewAndLeases lets the controller act for its shards.
+	leaseExtension = time.Minute
 )
 
 // firstPage identifies the first page of the only job shard.
 var firstPage = storage.PageID{}
 
 var (
-	// inherited is an intent entry of a former holder: run-1/0 may run on m-1.
-	inherited = storage.IntentEntry(0, "m-1", 9)
-	// running is the agent's report that this task runs.
-	running = protocol.TaskStatus{Task: "run-1/0", Attempt: 9, State: protocol.TaskRunning}
+	// inheritedIntent is an intent entry of a former holder: run-1/0 may run on m-1.
+	inheritedIntent = storage.IntentEntry(0, "m-1", 9)
+	// runningStatus is the agent's report that this task runs.
+	runningStatus = protocol.TaskStatus{Task: "run-1/0", Attempt: 9, State: protocol.TaskRunning}
 )
 
 // newFixture creates a fixture. The intent page of a former holder has the given entries of
@@ -103,10 +103,10 @@
 	})
 	f.reconciler = New(Config{
 		Generation: generation, Replica: f.replica, View: f.view, Committer: f.committer, Leases: f.leases, Agents: f, Outcomes: f, Log: log,
-		AgentSettings: agents, MaxStaleness: agents.MaxStaleness(), EndOfPass: func() {},
+		AgentSettings: agents, MaxStaleness: agents.MaxStaleness(), OnPassEnd: func() {},
 	})
 	f.replica.Start()
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	f.apply(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}})
 	f.apply(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
 	f.apply(storage.JobKey("run-1"), storage.JobRecord{Spec: protocol.JobSpec{
@@ -135,8 +135,8 @@
 	f.committer.SetLimits(limits)
 }
 
-// limitWrites sets the controller's write budget to one available write, refilled at a rate.
-func (f *fixture) limitWrites(rate float64) {
+// setWriteRate sets the controller's write budget to one available write, refilled at a rate.
+func (f *fixture) setWriteRate(rate float64) {
 	budget := &f.committer.Budget
 	*budget = loop.NewTokenBucket(1)
 	budget.Fill(f.now)
@@ -200,10 +200,10 @@
 	}
 }
 
-// refreshKnowledge makes the view current and extends the shard leases.
-func (f *fixture) refreshKnowledge() {
+// refreshViewAndLeases makes the view current and extends the shard leases.
+func (f *fixture) refreshViewAndLeases() {
 	f.refreshView()
-	f.extendLeases(testLease)
+	f.extendLeases(leaseExtension)
 }
 
 // refreshView makes the view count as current now.
@@ -224,9 +224,9 @@
 	})
 }
 
-// commandsFor delivers a heartbeat of m-1 and returns the commands of the answer. A rejected
+// heartbeatCommands delivers a heartbeat of m-1 and returns the commands of the answer. A rejected
 // heartbeat fails the test.
-func (f *fixture) commandsFor(sequence, token uint64, tasks ...protocol.TaskStatus) []protocol.Command {
+func (f *fixture) heartbeatCommands(sequence, token uint64, tasks ...protocol.TaskStatus) []protocol.Command {
 	f.t.Helper()
 	answer, err := f.heartbeat(sequence, token, tasks...)
 	if err != nil {
@@ -256,8 +256,8 @@
 	return count
 }
 
-// stopsAtOnce reports whether commands stop run-1/0 without grace.
-func stopsAtOnce(commands []protocol.Command) bool {
+// stopsWithoutGrace reports whether commands stop run-1/0 without grace.
+func stopsWithoutGrace(commands []protocol.Command) bool {
 	return slices.ContainsFunc(commands, func(c protocol.Command) bool {
 		return c.Verb == protocol.VerbStop && c.Task == "run-1/0" && c.GraceSeconds != nil && *c.GraceSeconds == 0
 	})
--- a/internal/coordination/reconcile/fleet_fixture_test.go
+++ b/internal/coordination/reconcile/fleet_fixture_test.go
@@ -86,8 +86,8 @@
 	return f
 }
 
-// waitingJob adds a job whose tasks fit on no machine of a fleet, because all are full.
-func (f *fixture) waitingJob() {
+// addUnplaceableJob adds a job whose tasks fit on no machine of a fleet, because all are full.
+func (f *fixture) addUnplaceableJob() {
 	f.apply(storage.JobKey("run-999999"), storage.JobRecord{Spec: protocol.JobSpec{
 		ID: "run-999999", Class: "report", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 500, CPUs: 4, MemoryGB: 29, Spot: true, EstimateSeconds: 15,
 	}})
--- a/internal/coordination/reconcile/fleet_test.go
+++ b/internal/coordination/reconcile/fleet_test.go
@@ -15,7 +15,7 @@
 func TestFailoverOfLargeFleet(t *testing.T) {
 	f := newFleetFixtureWithoutHeartbeats(t, largeFleet)
 	for range 3 {
-		f.refreshKnowledge()
+		f.refreshViewAndLeases()
 		f.reconciler.Tick()
 		f.reconciler.pass()
 	}
--- a/internal/coordination/reconcile/heartbeat_test.go
+++ b/internal/coordination/reconcile/heartbeat_test.go
@@ -18,7 +18,7 @@
 // former holder may still take effect; it does once the agent has seen this holder's
 // fencing token.
 func TestFenceBeforeDeciding(t *testing.T) {
-	f := newFixture(t, inherited)
+	f := newFixture(t, inheritedIntent)
 	f.heartbeat(1, grantToken-1)
 	if f.liveAttempts() != 1 {
 		t.Fatal("an unfenced heartbeat ended what a former holder may have started")
@@ -31,8 +31,8 @@
 
 // TestOldHeartbeatsAreIgnored: a heartbeat that was held back on its way is not news.
 func TestOldHeartbeatsAreIgnored(t *testing.T) {
-	f := newFixture(t, inherited)
-	f.heartbeat(7, grantToken, running)
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(7, grantToken, runningStatus)
 	f.heartbeat(3, grantToken)
 	if f.liveAttempts() != 1 {
 		t.Error("an older heartbeat ended a running task")
@@ -42,7 +42,7 @@
 // TestLostOnlyWhenLeaseExpired: silence alone proves nothing; the end of the agent's lease
 // does, counted from when a former holder may last have renewed it.
 func TestLostOnlyWhenLeaseExpired(t *testing.T) {
-	f := newFixture(t, inherited)
+	f := newFixture(t, inheritedIntent)
 	lease, maxStaleness := f.reconciler.AgentSettings.Lease(), f.reconciler.MaxStaleness
 	heldSince := f.now
 	for _, c := range []struct {
@@ -54,7 +54,7 @@
 		{maxStaleness + lease + config.LeaseMargin + time.Second, 0},
 	} {
 		f.now = heldSince + c.after
-		f.refreshKnowledge()
+		f.refreshViewAndLeases()
 		f.reconciler.Tick()
 		if f.liveAttempts() != c.live {
 			t.Errorf("after %s, %d attempts count", c.after, f.liveAttempts())
@@ -65,7 +65,7 @@
 // TestUnprovenAttemptsCount: whatever may be on a machine counts against the team's quota,
 // seen or not.
 func TestUnprovenAttemptsCount(t *testing.T) {
-	f := newFixture(t, inherited)
+	f := newFixture(t, inheritedIntent)
 	if got := f.reconciler.usage.ofShard(0)[0].CPUs; got != 4 {
 		t.Errorf("an inherited attempt counts as %v CPUs", got)
 	}
@@ -87,14 +87,14 @@
 	}
 	expect(1, grantToken, nil, "while entitled")
 	f.now += f.reconciler.MaxStaleness + time.Second
-	f.extendLeases(testLease)
+	f.extendLeases(leaseExtension)
 	expect(2, grantToken, api.ErrNotEntitled, "with old knowledge")
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	expect(3, grantToken, nil, "with fresh knowledge")
-	f.now += testLease
+	f.now += leaseExtension
 	f.refreshView()
 	expect(4, grantToken, api.ErrNotEntitled, "without a shard lease")
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	expect(5, grantToken+1<<24, api.ErrNotEntitled, "to an agent that has seen a higher token")
 }
 
@@ -105,7 +105,7 @@
 	f.heartbeat(5, grantToken)
 	answeredAt := f.agent().contact.lastAnsweredAt
 	f.now += membership.AgentAnswerTimeout + time.Second
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	if _, err := f.heartbeat(5, grantToken); !errors.Is(err, api.ErrOldHeartbeat) {
 		t.Errorf("a late copy: %v", err)
 	}
@@ -126,7 +126,7 @@
 	for _, a := range f.agent().attempts {
 		f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {storage.IntentEntry(0, "m-1", a.number)}})
 	}
-	if commands := f.commandsFor(2, grantToken); len(commands) != 1 {
+	if commands := f.heartbeatCommands(2, grantToken); len(commands) != 1 {
 		t.Fatalf("commands: %v", commands)
 	}
 	f.heartbeat(3, grantToken)
@@ -149,7 +149,7 @@
 		t.Fatal("it takes no tasks at all")
 	}
 	f.now += 8 * time.Second
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", Epoch: 1, Sequence: 9, FencingToken: grantToken}
 	f.reconciler.observeHeartbeat(f.agent(), r, false)
 	if f.reconciler.schedulable(f.agent(), f.now) {
@@ -163,7 +163,7 @@
 // TestGrantsWithinQuota: a holder vouches for the grants under which nothing takes more
 // than the quota split allows, whatever may be on the machines counted in.
 func TestGrantsWithinQuota(t *testing.T) {
-	f := newFixture(t, inherited, storage.IntentEntry(1, "m-1", 10))
+	f := newFixture(t, inheritedIntent, storage.IntentEntry(1, "m-1", 10))
 	if tokens := f.reconciler.GrantsWithinQuota(); !slices.Equal(tokens, []uint64{grantToken}) {
 		t.Fatalf("8 of 8 CPUs: %v", tokens)
 	}
@@ -178,15 +178,15 @@
 // name, where an attempt that is over would be taken for the later one.
 func TestLastAttemptNumber(t *testing.T) {
 	f := newFixture(t)
-	f.reconciler.attemptCounter = maxAttempts - 1
-	if f.reconciler.AttemptsExhausted() {
+	f.reconciler.attemptCounter = defaultMaxAttemptNumbers - 1
+	if f.reconciler.AttemptNumbersExhausted() {
 		t.Error("used up with a number left")
 	}
 	last := f.reconciler.nextAttemptNumber(f.agent())
-	if election.TokenSerial(last) != election.TokenSerial(grantToken) || last&(election.HolderSteps-1) != maxAttempts {
+	if election.TokenSerial(last) != election.TokenSerial(grantToken) || last&(election.HolderSteps-1) != defaultMaxAttemptNumbers {
 		t.Errorf("attempt %x under grant %x", last, uint64(grantToken))
 	}
-	if !f.reconciler.AttemptsExhausted() {
+	if !f.reconciler.AttemptNumbersExhausted() {
 		t.Error("not used up after the last number")
 	}
 }
--- a/internal/coordination/reconcile/oversized_pages_test.go
+++ b/internal/coordination/reconcile/oversized_pages_test.go
@@ -19,7 +19,7 @@
 	writer := f.reconciler.writers[0]
 	for range 5 * seconds {
 		f.now += 200 * time.Millisecond
-		f.refreshKnowledge()
+		f.refreshViewAndLeases()
 		writer.flush()
 		f.applyTransactions()
 		for _, page := range writer.intentPages {
--- a/internal/coordination/reconcile/pass.go
+++ b/internal/coordination/reconcile/pass.go
@@ -57,7 +57,7 @@
 		}
 	}
 	r.writeJobEnds()
-	r.EndOfPass()
+	r.OnPassEnd()
 	r.schedule.nextPassAt = r.now() + max(minPassInterval, passIntervalFactor*(r.now()-began))
 }
 
--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -153,7 +153,7 @@
 }
 
 // RunsBelow reports whether any live attempt has a lower priority than rank.
-func (p *placer) RunsBelow(rank int) bool { return p.reconciler.usage.anyBelow(rank) }
+func (p *placer) RunsBelow(rank int) bool { return p.reconciler.usage.anyLowerPriority(rank) }
 
 // BorrowsBeyond reports whether a job's team would still use at least its guarantee with
 // one task of the job fewer.
--- a/internal/coordination/reconcile/reconciler.go
+++ b/internal/coordination/reconcile/reconciler.go
@@ -17,21 +17,21 @@
 	activeJobs     activeJobs
 	usage          usageLedger
 	completions    completions
-	seen           seenRevisions
+	synced         syncedRevisions
 	schedule       schedule
 
 	attemptCounter uint64 // attempt numbers used
 	placingPasses  int    // passes that placed a task outside a gang
 }
 
-// seenRevisions holds the revisions of the view with which the held agents and jobs were
+// syncedRevisions holds the revisions of the view with which the held agents and jobs were
 // last synchronized.
-type seenRevisions struct{ fleet, jobsEnded uint64 }
+type syncedRevisions struct{ fleet, jobsEnded uint64 }
 
 // New creates a reconciler that holds no shard.
 func New(parts Config) *Reconciler {
-	if parts.MaxAttempts == 0 {
-		parts.MaxAttempts = maxAttempts
+	if parts.MaxAttemptNumbers == 0 {
+		parts.MaxAttemptNumbers = defaultMaxAttemptNumbers
 	}
 	return &Reconciler{
 		Config:         parts,
@@ -140,9 +140,9 @@
 // JobShardsHeld returns the number of job shards that this controller holds.
 func (r *Reconciler) JobShardsHeld() int { return len(r.writers) }
 
-// AttemptsExhausted reports whether the attempt numbers of the held grants are used up. The
+// AttemptNumbersExhausted reports whether the attempt numbers of the held grants are used up. The
 // controller must then begin a new generation, which gets new grants.
-func (r *Reconciler) AttemptsExhausted() bool { return r.attemptCounter >= r.MaxAttempts }
+func (r *Reconciler) AttemptNumbersExhausted() bool { return r.attemptCounter >= r.MaxAttemptNumbers }
 
 // OversizedValues returns the number of values of the held shards that exceed the size limit
 // in force.
--- a/internal/coordination/reconcile/record_writer_test.go
+++ b/internal/coordination/reconcile/record_writer_test.go
@@ -22,7 +22,7 @@
 		writer := f.reconciler.writers[0]
 		for range 12 {
 			f.now += 200 * time.Millisecond
-			f.refreshKnowledge()
+			f.refreshViewAndLeases()
 			f.reconciler.place()
 			writer.assign()
 			for _, page := range writer.intentPages {
@@ -69,8 +69,8 @@
 	agent.machine.Phase = storage.PhaseDraining
 	for range 20 {
 		f.now += time.Second
-		f.refreshKnowledge()
-		f.limitWrites(2.5) // never more than half of what there may be
+		f.refreshViewAndLeases()
+		f.setWriteRate(2.5) // never more than half of what there may be
 		f.reconciler.evictForDrains()
 		f.reconciler.writers[0].flush()
 		f.applyTransactions()
@@ -112,13 +112,13 @@
 	if dirty < 10 {
 		t.Fatalf("%d pages are to be written", dirty)
 	}
-	f.waitingJob()
+	f.addUnplaceableJob()
 	f.reconciler.place()
 	if len(writer.unassigned) == 0 {
 		t.Fatal("nothing new was placed")
 	}
 	f.transactions = nil
-	f.limitWrites(1)
+	f.setWriteRate(1)
 	f.now += flushPause
 	writer.flush()
 	if len(f.transactions) != 1 || len(f.transactions[0].Operations) != 1 {
--- a/internal/coordination/reconcile/sync.go
+++ b/internal/coordination/reconcile/sync.go
@@ -13,12 +13,12 @@
 // times a second, and nearly all are of pages of intents and of jobs: the machines are
 // gone through only for those that change what there is to hold.
 func (r *Reconciler) SyncWithRecords() {
-	now := seenRevisions{fleet: r.View.FleetRevision, jobsEnded: r.View.JobsEnded}
-	if r.seen == now {
+	now := syncedRevisions{fleet: r.View.FleetRevision, jobsEnded: r.View.JobsEnded}
+	if r.synced == now {
 		return
 	}
-	fleetChanged := r.seen.fleet != now.fleet
-	r.seen = now
+	fleetChanged := r.synced.fleet != now.fleet
+	r.synced = now
 	if fleetChanged {
 		r.syncMachines()
 	}
--- a/internal/coordination/reconcile/sync_test.go
+++ b/internal/coordination/reconcile/sync_test.go
@@ -15,17 +15,17 @@
 // for over, the other's for none of its business, and started the task on a second machine 3 s
 // after the grant.
 func TestShardLostAndRegainedUnseen(t *testing.T) {
-	f := newFixture(t, inherited)
-	f.heartbeat(1, grantToken, running)
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(1, grantToken, runningStatus)
 	others := storage.IntentEntry(0, "m-1", 20)
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 1, FencingToken: grantToken + 1<<24})
 	f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {others}})
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: f.replica.Incarnation, FencingToken: grantToken + 2<<24})
 	f.recordsChanged() // once, after all three
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 
 	theirs := protocol.TaskStatus{Task: "run-1/0", Attempt: 20, State: protocol.TaskRunning}
-	for _, command := range f.commandsFor(2, grantToken+2<<24, theirs) {
+	for _, command := range f.heartbeatCommands(2, grantToken+2<<24, theirs) {
 		if command.Verb == protocol.VerbStop {
 			t.Errorf("the other holder's attempt is stopped: %+v", command)
 		}
@@ -43,8 +43,8 @@
 // TestRegrantKeepsWhatIsKnown: a grant that only raises the token of the present holder, as a
 // new leader makes, leaves what it knows of its machines.
 func TestRegrantKeepsWhatIsKnown(t *testing.T) {
-	f := newFixture(t, inherited)
-	f.heartbeat(1, grantToken, running)
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(1, grantToken, runningStatus)
 	before, writer := f.agent(), f.reconciler.writers[0]
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: f.replica.Incarnation, FencingToken: grantToken + 1<<24})
 	f.recordsChanged()
--- a/internal/coordination/reconcile/usage.go
+++ b/internal/coordination/reconcile/usage.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// anyBelow reports whether any live attempt has a lower priority than rank.
-func (u *usageLedger) anyBelow(rank int) bool {
+// anyLowerPriority reports whether any live attempt has a lower priority than rank.
+func (u *usageLedger) anyLowerPriority(rank int) bool {
 	for lower := rank + 1; lower < maxRank; lower++ {
 		if u.countByRank[lower] > 0 {
 			return true
