--- a/internal/coordination/reconcile/allocs_test.go
+++ b/internal/coordination/reconcile/allocs_test.go
@@ -8,73 +8,74 @@
 	"rockrun/internal/storage"
 )
 
-// TestHeartbeatAllocations: a heartbeat without news is what a controller gets most of. It
-// must cost next to nothing to take in, however many machines there are.
+// TestHeartbeatAllocations guards against a high cost per heartbeat. Most requests to a
+// controller are heartbeats without changes, whose processing must allocate next to nothing,
+// regardless of the number of machines.
 func TestHeartbeatAllocations(t *testing.T) {
 	f := newFixture(t, inherited)
 	f.heartbeat(1, grantToken, running)
-	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: 1, FencingToken: grantToken, Tasks: []protocol.TaskStatus{running}}
-	f.reconciler.pass() // what the first heartbeat asked for is sent
-	f.boundHeartbeatAllocations(r)
+	heartbeat := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: 1, FencingToken: grantToken, Tasks: []protocol.TaskStatus{running}}
+	f.reconciler.pass() // sends the commands that follow from the first heartbeat
+	f.boundHeartbeatAllocations(heartbeat)
 }
 
-// boundHeartbeatAllocations asserts what a heartbeat without news allocates.
-func (f *fixture) boundHeartbeatAllocations(r *protocol.AgentHeartbeat) {
+// boundHeartbeatAllocations checks the allocations of a heartbeat without changes.
+func (f *fixture) boundHeartbeatAllocations(heartbeat *protocol.AgentHeartbeat) {
 	f.t.Helper()
-	_, machine := f.view.Machines.Find(r.Machine)
+	_, machine := f.view.Machines.Find(heartbeat.Machine)
 	reply := func(protocol.AgentHeartbeatAnswer) {}
 	if n := testing.AllocsPerRun(200, func() {
-		r.Sequence++
-		if err := f.reconciler.OnHeartbeat(machine, r, reply); err != nil {
+		heartbeat.Sequence++
+		if err := f.reconciler.OnHeartbeat(machine, heartbeat, reply); err != nil {
 			f.t.Fatal(err)
 		}
 	}); n > maxHeartbeatAllocations {
-		f.t.Errorf("%v allocations for a heartbeat without news", n)
+		f.t.Errorf("%v allocations for a heartbeat without changes", n)
 	}
 }
 
-// maxHeartbeatAllocations leaves the controller one for the body of its answer.
+// maxHeartbeatAllocations leaves the controller one allocation for the body of its answer.
 const maxHeartbeatAllocations = 1
 
-// TestMachinesAreGoneThroughOnNeed: changes of jobs and of pages of intents come many times
-// a second; the machines held are gone through only where what there is to hold has
-// changed.
-func TestMachinesAreGoneThroughOnNeed(t *testing.T) {
+// TestFleetSyncedOnlyAfterFleetChanges guards against an iteration over all machines for every
+// change of the records. Jobs and intent pages change many times a second; only a change of the
+// machines to hold may cause an iteration.
+func TestFleetSyncedOnlyAfterFleetChanges(t *testing.T) {
 	f := newFixture(t)
-	goesThrough := func(key string, record any) bool {
+	changesFleet := func(key string, record any) bool {
 		before := f.view.FleetRevision
 		f.apply(key, record)
 		f.recordsChanged()
 		if f.reconciler.seen.fleet != f.view.FleetRevision {
-			t.Fatal("the reconciler has not looked at the last change")
+			t.Fatal("the reconciler has not synced with the last change")
 		}
 		return f.view.FleetRevision != before
 	}
 	for i := range 5 {
-		if goesThrough(storage.JobKey(fmt.Sprintf("run-%d", 50+i)), storage.JobRecord{Spec: protocol.JobSpec{
+		if changesFleet(storage.JobKey(fmt.Sprintf("run-%d", 50+i)), storage.JobRecord{Spec: protocol.JobSpec{
 			ID: fmt.Sprintf("run-%d", 50+i), Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 1, CPUs: 4, MemoryGB: 1,
 		}}) {
-			t.Error("a job made it go through all machines")
+			t.Error("a job caused an iteration over all machines")
 		}
 	}
-	if goesThrough(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {storage.IntentEntry(0, "m-1", 11)}}) {
-		t.Error("a page of intents made it go through all machines")
+	if changesFleet(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {storage.IntentEntry(0, "m-1", 11)}}) {
+		t.Error("an intent page caused an iteration over all machines")
 	}
-	if !goesThrough(storage.MachineGroupKey("c"), storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-2", Address: "v"}}}) {
-		t.Error("a new machine group did not")
+	if !changesFleet(storage.MachineGroupKey("c"), storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-2", Address: "v"}}}) {
+		t.Error("a new machine group caused no iteration over the machines")
 	}
 	if f.reconciler.agents.find("m-2") == nil {
-		t.Error("the new machine is not held")
+		t.Error("the new machine has no agent")
 	}
 	f.remove(storage.JobKey("run-50"))
 	f.recordsChanged()
 	if f.reconciler.seen.jobsEnded != f.view.JobsEnded {
-		t.Error("the end of a job was not looked at")
+		t.Error("the end of a job was not processed")
 	}
 }
 
-// TestPassAllocations: a pass that finds nothing to do allocates nothing that grows
-// with the fleet, whether work waits or not.
+// TestPassAllocations checks that the allocations of a pass that places nothing do not grow
+// with the fleet, with or without pending tasks.
 func TestPassAllocations(t *testing.T) {
 	for _, machines := range []int{mediumFleet, largeFleet} {
 		f := newFleetFixture(t, machines)
@@ -83,7 +84,7 @@
 		}
 		f.waitingJob()
 		if n := testing.AllocsPerRun(20, f.reconciler.pass); n > 64 {
-			t.Errorf("%d machines: %v allocations for a pass with work that finds no room", machines, n)
+			t.Errorf("%d machines: %v allocations for a pass with pending tasks that fit nowhere", machines, n)
 		}
 	}
 }
--- a/internal/coordination/reconcile/attempt.go
+++ b/internal/coordination/reconcile/attempt.go
@@ -7,25 +7,25 @@
 	"rockrun/internal/storage"
 )
 
-// attempt is one try at a task on one machine.
+// attempt is one execution of a task on one machine.
 type attempt struct {
 	job              *storage.Job
 	progress         *jobProgress
 	task             int
 	number           uint64
 	agent            *agent
-	page             *intentPage // of intents that names it; nil until one is chosen
-	entrySize        int         // bytes of its entry there, the machine's name aside
+	page             *intentPage // intent page that names the attempt; nil until assigned
+	entrySize        int         // bytes of its entry on the page, without the machine's name
 	state            attemptState
 	start            startCommand
 	stop             stopCommand
-	listedInSequence uint64 // number of the last heartbeat that listed it
-	inherited        bool   // of a former holder, not seen yet
+	listedInSequence uint64 // sequence number of the last heartbeat that listed it
+	inherited        bool   // planned by a former holder; known only from the records when acquired
 	plannedAt        time.Duration
-	runningSince     time.Duration // when first seen running
+	runningSince     time.Duration // when a heartbeat first showed it running
 }
 
-// ref names the task.
+// ref identifies the task.
 func (a *attempt) ref() storage.TaskRef {
 	return storage.TaskRef{Job: a.job.Index, Task: a.task}
 }
@@ -36,19 +36,19 @@
 // durable reports whether the records name the attempt.
 func (a *attempt) durable() bool { return a.agent.machine.Intents[a.ref()].Attempt == a.number }
 
-// startable reports whether the attempt may be started: its intent is durable, and its job
-// still wanted.
+// startable reports whether the attempt may be started: this holder planned the attempt, its
+// intent is durable, and its job is active.
 func (a *attempt) startable() bool {
 	return a.state == attemptPlanned && a.durable() && a.job.Active() && !a.inherited
 }
 
-// stopDue reports whether a stop is to be sent, or to be repeated.
+// stopDue reports whether a stop must be sent or repeated.
 func (a *attempt) stopDue(now time.Duration) bool {
 	return a.live() && a.stop.requested && (a.stop.sentAt == 0 || now-a.stop.sentAt > stopRepeatPause && a.state != attemptSaving)
 }
 
-// saveGrace is the time that the task needs to save its progress when it is stopped, in
-// seconds; 0 where it can't.
+// saveGrace is the time in seconds that the task needs to save its progress when stopped, or
+// 0 if the task cannot save its progress.
 func (a *attempt) saveGrace() float64 {
 	if a.job.CheckpointSeconds > 0 {
 		return a.job.SaveSeconds
@@ -56,30 +56,30 @@
 	return 0
 }
 
-// stopNow is the stop of the attempt, which is sent now.
+// stopNow returns the stop command of the attempt and notes that it is sent now.
 func (a *attempt) stopNow(now time.Duration) protocol.Command {
 	grace := a.stop.graceSeconds
 	a.stop.sentAt = now
 	return protocol.Command{Verb: protocol.VerbStop, Task: protocol.TaskName(a.job.ID, a.task), Attempt: a.number, GraceSeconds: &grace}
 }
 
-// startNow is the start of the attempt, which is sent now.
-func (a *attempt) startNow(now time.Duration) protocol.Command {
+// issueStart returns the start command of the attempt and notes that it is sent now.
+func (a *attempt) issueStart(now time.Duration) protocol.Command {
 	a.start.record(a.agent.fence.useForStart(), a.agent.contact.epoch, now)
 	return protocol.Command{Verb: protocol.VerbStart, Task: protocol.TaskName(a.job.ID, a.task), Attempt: a.number}
 }
 
-// startCommand is what is known of the starts that may have been sent for an attempt.
+// startCommand describes the starts that may have been sent for an attempt.
 type startCommand struct {
-	token  uint64        // highest fencing token of one; 0: none was sent
-	epoch  uint64        // the agent's epoch then; 0: not known
-	sentAt time.Duration // when the first of this holder was
+	token  uint64        // highest fencing token of a start; 0: none was sent
+	epoch  uint64        // epoch of the agent at the last start; 0: unknown
+	sentAt time.Duration // when this holder sent its first start
 }
 
 // sent reports whether a start may have been sent.
 func (s *startCommand) sent() bool { return s.token > 0 }
 
-// record takes in that a start is sent.
+// record notes that a start is sent.
 func (s *startCommand) record(token, epoch uint64, now time.Duration) {
 	if !s.sent() {
 		s.sentAt = now
@@ -87,18 +87,18 @@
 	s.token, s.epoch = token, epoch
 }
 
-// stopRepeatPause is the time after which a stop that goes unheeded is sent again.
+// stopRepeatPause is the delay after which a stop without effect is sent again.
 const stopRepeatPause = 2 * time.Second
 
-// stopCommand is whether an attempt is to leave its machine. Once requested, a stop is
-// never taken back.
+// stopCommand describes whether and how an attempt must be stopped. A requested stop is never
+// withdrawn.
 type stopCommand struct {
 	requested    bool
 	graceSeconds float64       // time to save progress
-	sentAt       time.Duration // when it was last sent; 0: not yet
+	sentAt       time.Duration // when the stop was last sent; 0: not yet
 }
 
-// request asks for the stop, to be sent anew.
+// request requests a stop, which is sent even if an earlier stop was sent already.
 func (s *stopCommand) request(graceSeconds float64) {
 	*s = stopCommand{requested: true, graceSeconds: graceSeconds}
 }
--- a/internal/coordination/reconcile/attempt_state.go
+++ b/internal/coordination/reconcile/attempt_state.go
@@ -7,24 +7,24 @@
 	"rockrun/internal/protocol"
 )
 
-// attemptState is how far an attempt has come.
+// attemptState is the state of an attempt in its life cycle.
 type attemptState int
 
 const (
-	attemptPlanned  attemptState = iota // decided here; the start may have been sent
-	attemptFetching                     // seen waiting for its image or its gang
+	attemptPlanned  attemptState = iota // planned, not seen on the agent; the start may have been sent
+	attemptFetching                     // the agent waits for the image or for the gang
 	attemptRunning
-	attemptSaving // asked to stop, saves its progress
-	attemptEnded  // seen ended, outcome being made durable
+	attemptSaving // stopping and saving its progress
+	attemptEnded  // confirmed terminated; the outcome may not be durable yet
 )
 
-// String names the state as in log lines.
+// String returns the name of the state in log lines.
 func (s attemptState) String() string {
 	return [...]string{"planned", "fetching", "running", "saving", "ended"}[s]
 }
 
-// attemptTransitions is the life cycle of an attempt: from each state, those that may
-// follow. Heartbeats come seconds apart, so any state but the last may be skipped.
+// attemptTransitions defines the life cycle of an attempt: the states that may follow each
+// state. Heartbeats arrive seconds apart, so any state but the last may be skipped.
 var attemptTransitions = map[attemptState][]attemptState{
 	attemptPlanned:  {attemptFetching, attemptRunning, attemptSaving, attemptEnded},
 	attemptFetching: {attemptRunning, attemptSaving, attemptEnded},
@@ -33,17 +33,17 @@
 	attemptEnded:    {},
 }
 
-// TransitionError is a change of an attempt's state that its life cycle does not know.
+// TransitionError reports a state change that the life cycle of an attempt does not allow.
 type TransitionError struct{ From, To fmt.Stringer }
 
 // Error implements error.
 func (e *TransitionError) Error() string {
-	return fmt.Sprintf("no transition of an attempt from %s to %s", e.From, e.To)
+	return fmt.Sprintf("attempt state must not change from %s to %s", e.From, e.To)
 }
 
-// advance changes the state, or leaves it where it is that one already. It returns a
-// *TransitionError where the life cycle does not know the change. An ended attempt stays
-// ended; otherwise the state changes all the same, since what an agent shows is so.
+// advance changes the state to next. It returns a *TransitionError if the life cycle does not
+// allow the change. An ended attempt stays ended; otherwise the state changes despite the
+// error, because the agent's heartbeat shows the actual state.
 func (s *attemptState) advance(next attemptState) error {
 	from := *s
 	if from == next {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// stateOnAgent is the state of an attempt whose task an agent reports in a state; false
-// where it names none.
+// stateOnAgent returns the attempt state for a task state in a heartbeat, or false if the
+// task state is unknown.
 func stateOnAgent(reported string) (attemptState, bool) {
 	switch reported {
 	case protocol.TaskFetching, protocol.TaskAwaitingGang:
--- a/internal/coordination/reconcile/attempt_state_test.go
+++ b/internal/coordination/reconcile/attempt_state_test.go
@@ -7,8 +7,9 @@
 	"rockrun/internal/protocol"
 )
 
-// TestAttemptTransitions: a state is followed by itself and any later one. What goes back
-// is an error that names both; it is believed of an agent, but nothing follows the end.
+// TestAttemptTransitions checks that a state may be followed by itself and by any later state.
+// A change to an earlier state returns an error that names both states. The earlier state is
+// adopted nevertheless, unless the attempt has ended.
 func TestAttemptTransitions(t *testing.T) {
 	states := []attemptState{attemptPlanned, attemptFetching, attemptRunning, attemptSaving, attemptEnded}
 	for _, from := range states {
@@ -22,14 +23,15 @@
 				t.Errorf("%s to %s: %v", from, to, err)
 			}
 			if want := to; from == attemptEnded && state != attemptEnded || from != attemptEnded && state != want {
-				t.Errorf("%s to %s: it is %s", from, to, state)
+				t.Errorf("%s to %s: state is %s", from, to, state)
 			}
 		}
 	}
 }
 
-// TestStateOnAgent: what agents call the states.
-func TestStateOnAgent(t *testing.T) {
+// TestParseTaskState checks the attempt state for each task state that agents send, and for an
+// unknown one.
+func TestParseTaskState(t *testing.T) {
 	for _, c := range []struct {
 		reported string
 		want     attemptState
@@ -40,7 +42,7 @@
 		{protocol.TaskRunning, attemptRunning, true},
 		{protocol.TaskSaving, attemptSaving, true},
 		{protocol.TaskEnded, attemptEnded, true},
-		{"dreaming", attemptPlanned, false},
+		{"no-such-state", attemptPlanned, false},
 	} {
 		if state, known := stateOnAgent(c.reported); state != c.want || known != c.known {
 			t.Errorf("%s: %s, known %t", c.reported, state, known)
--- a/internal/coordination/reconcile/commands.go
+++ b/internal/coordination/reconcile/commands.go
@@ -10,8 +10,8 @@
 	"rockrun/internal/storage"
 )
 
-// commandsFor works out the difference between what should be on a machine and what its
-// last heartbeat showed.
+// commandsFor returns the commands that bring a machine from the state in its agent's last
+// heartbeat to the desired state.
 func (r *Reconciler) commandsFor(agent *agent) []protocol.Command {
 	if !agent.needsAttention {
 		return []protocol.Command{}
@@ -20,9 +20,9 @@
 		return r.stopsFor(agent)
 	}
 	commands, reaps := r.commandsForUnexpected(agent)
-	// After a reap the agent has forgotten the attempt, and a start of it that was
-	// repeated or held back on the way would run it again. So a reap always goes out under
-	// a higher token than any start before it.
+	// After a reap the agent no longer knows the attempt, and a duplicated or delayed start
+	// would run the attempt again. A reap is therefore always sent under a higher fencing
+	// token than any earlier start.
 	if reaps {
 		agent.fence.raiseAboveStarts()
 	}
@@ -35,7 +35,8 @@
 	return commands
 }
 
-// attemptsInOrder lists an agent's attempts, those that are to stop first, then by age.
+// attemptsInOrder lists an agent's attempts: first those to be stopped, then the others, each
+// oldest first.
 func attemptsInOrder(agent *agent) []*attempt {
 	list := make([]*attempt, 0, len(agent.attempts))
 	for _, a := range agent.attempts {
@@ -52,13 +53,14 @@
 	return list
 }
 
-// stopsFor are the stops of all that must leave a machine. They need no fence and no
-// entitlement: a stop that comes too late or from one that holds the machine no longer
-// meets a higher token or does no harm. Every answer that renews an agent's lease carries
-// them from the first on. Were they left out until the agent is fenced, a holder that knows
-// a job to be cancelled could renew the lease under its tasks just before it must fall
-// silent, and they would outlast the time for cancelling by as long as the cancellation was
-// known.
+// stopsFor returns the stops of all attempts that must leave a machine. Stops require neither
+// a confirmed fence nor the right to act for the shard: a stop that is delayed, or that is
+// sent by a former holder, is rejected because of a higher fencing token or is harmless.
+// Every answer that renews an agent's lease includes the stops, starting with the first
+// answer. If stops were withheld until the fence is confirmed, a holder that knows of a
+// cancellation could renew the lease of an agent with tasks of the cancelled job just before
+// the holder must stop acting. The tasks would then exceed the cancellation deadline by as
+// long as the holder had known of the cancellation.
 func (r *Reconciler) stopsFor(agent *agent) []protocol.Command {
 	commands := []protocol.Command{}
 	for _, ref := range storage.SortedTasks(agent.attempts) {
@@ -70,17 +72,17 @@
 	return commands
 }
 
-// commandsForUnexpected are the commands for what is on a machine and nobody asks for any
-// more; reaps is whether anything that has ended is to be forgotten.
+// commandsForUnexpected returns the commands for tasks that are on a machine but no longer
+// wanted there. reaps reports whether the commands include a reap of an ended task.
 func (r *Reconciler) commandsForUnexpected(agent *agent) (commands []protocol.Command, reaps bool) {
 	commands = []protocol.Command{}
 	now := r.now()
 	if !agent.unexpected.reapDue(now) && !agent.hasUnsentCommands(now) {
 		return commands, false
 	}
-	atOnce := 0.0
+	noGrace := 0.0
 	for _, task := range agent.unexpected.list {
-		command := protocol.Command{Verb: protocol.VerbStop, Task: task.Task, Attempt: task.Attempt, GraceSeconds: &atOnce}
+		command := protocol.Command{Verb: protocol.VerbStop, Task: task.Task, Attempt: task.Attempt, GraceSeconds: &noGrace}
 		if task.State == protocol.TaskEnded {
 			reaps = true
 			command.Verb, command.GraceSeconds = protocol.VerbReap, nil
@@ -90,8 +92,8 @@
 	return commands, reaps
 }
 
-// commandFor is the command that an attempt needs, if any. One that is to stop and was
-// never told to start ends here.
+// commandFor returns the command that an attempt needs, if any. An attempt that is to be
+// stopped and whose start was never sent ends immediately.
 func (r *Reconciler) commandFor(attempt *attempt) (command protocol.Command, needed bool) {
 	switch {
 	case !attempt.live():
@@ -102,19 +104,20 @@
 			return command, false
 		}
 		if attempt.state == attemptPlanned {
-			attempt.agent.fence.raiseAbove(attempt.start.token) // so that its absence will prove something
+			attempt.agent.fence.raiseAbove(attempt.start.token) // so that its absence from a heartbeat proves that it does not run
 		}
 		return attempt.stopNow(r.now()), true
 	case attempt.startable():
-		return attempt.startNow(r.now()), true
+		return attempt.issueStart(r.now()), true
 	}
 	return command, false
 }
 
-// commandRetryPause is the least pause after commands that were not answered.
-const commandRetryPause = time.Second
+// commandRetryDelay is the minimum delay after a command request that was not answered.
+const commandRetryDelay = time.Second
 
-// sendCommands sends an agent its commands at once instead of with its next heartbeat.
+// sendCommands sends an agent its commands now instead of with the answer to its next
+// heartbeat.
 func (r *Reconciler) sendCommands(agent *agent) {
 	channel := &agent.commands
 	if channel.InFlight() {
@@ -126,7 +129,8 @@
 		return
 	}
 	commands := r.commandsFor(agent)
-	// Without a command it still shows the token to an agent that is new here.
+	// A request without commands still announces the fencing token to an agent whose fence is
+	// not confirmed.
 	if len(commands) == 0 && (agent.fence.confirmed || !r.Leases.MayActFor(agent.shard)) {
 		return
 	}
@@ -138,24 +142,24 @@
 			return
 		}
 		if err != nil {
-			// Whether it was carried out is open; the next heartbeat will tell.
-			r.Log.Debug("commands not answered", "machine", agent.machine.Name, "err", err)
-			channel.RetryAt(r.now() + r.Generation.Jitter(commandRetryPause))
+			// The agent may have executed the commands; its next heartbeat shows whether it has.
+			r.Log.Debug("command request failed", "machine", agent.machine.Name, "err", err)
+			channel.RetryAt(r.now() + r.Generation.Jitter(commandRetryDelay))
 			return
 		}
 		r.onCommandAnswer(agent, heartbeat, !executed && heartbeat.Epoch != request.Epoch)
 	})
 }
 
-// onCommandAnswer takes in the heartbeat that answers commands. outdated is set where the
-// agent refused them because its epoch is another.
-func (r *Reconciler) onCommandAnswer(agent *agent, heartbeat *protocol.AgentHeartbeat, outdated bool) {
+// onCommandAnswer processes the heartbeat that answers a command request. epochMismatch is
+// set if the agent rejected the commands because they named another epoch.
+func (r *Reconciler) onCommandAnswer(agent *agent, heartbeat *protocol.AgentHeartbeat, epochMismatch bool) {
 	if heartbeat.Machine != agent.machine.Name || heartbeat.FencingToken > agent.fence.current {
 		return
 	}
 	r.Leases.NoteAgentHeard(agent.shard)
 	r.observeHeartbeat(agent, heartbeat, false)
-	if agent.commands.sendAgain || outdated {
+	if agent.commands.sendAgain || epochMismatch {
 		r.sendCommands(agent)
 	}
 }
--- a/internal/coordination/reconcile/commands_test.go
+++ b/internal/coordination/reconcile/commands_test.go
@@ -7,8 +7,9 @@
 	"rockrun/internal/storage"
 )
 
-// TestReapFencesStarts: a start repeated late must not run what was reaped: the reap goes
-// out under a higher token than any start, and only once the outcome is durable.
+// TestReapFencesStarts guards against a duplicated start that arrives late and runs a reaped
+// task again: a reap must be sent under a higher fencing token than any start, and only once
+// the outcome of the task is durable.
 func TestReapFencesStarts(t *testing.T) {
 	f := newFixture(t)
 	f.heartbeat(1, grantToken)
@@ -27,50 +28,51 @@
 	f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {storage.IntentEntry(0, "m-1", number)}})
 	commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current)
 	if len(commands) != 1 || commands[0].Verb != protocol.VerbStart {
-		t.Fatalf("commands once it is: %v", commands)
+		t.Fatalf("commands once the intent is durable: %v", commands)
 	}
 	startToken := agent.fence.highestStart
 	ended := protocol.TaskStatus{Task: "run-1/0", Attempt: number, State: protocol.TaskEnded, Cause: protocol.CauseDone}
 	for range 2 {
 		for _, c := range f.commandsFor(agent.contact.sequence+1, agent.fence.current, ended) {
 			if c.Verb == protocol.VerbReap {
-				t.Fatal("reaped before its completion is durable")
+				t.Fatal("task reaped before its completion is durable")
 			}
 		}
 		f.reconciler.pass()
 	}
 	f.apply(storage.CompletionPageKey(firstPage), storage.CompletionPage{storage.CompletionChunkName("run-1", 0): {1}})
 	f.reconciler.pass()
-	// It waits for company for a while, and then goes by itself.
+	// The reap is delayed so that several reaps share a command request.
 	if commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current, ended); len(commands) != 0 {
-		t.Fatalf("commands as soon as it is durable: %v", commands)
+		t.Fatalf("commands as soon as the completion is durable: %v", commands)
 	}
 	f.now += reapAfter
 	f.refreshKnowledge()
 	answer, err := f.heartbeat(agent.contact.sequence+1, agent.fence.current, ended)
 	if err != nil || len(answer.Commands) == 0 || answer.Commands[0].Verb != protocol.VerbReap {
-		t.Fatalf("commands after it is durable: %v, %v", answer.Commands, err)
+		t.Fatalf("commands once the reap is due: %v, %v", answer.Commands, err)
 	}
 	if answer.FencingToken <= startToken {
 		t.Errorf("the reap's token %d does not fence the start's %d", answer.FencingToken, startToken)
 	}
 }
 
-// TestRenewalStopsCancelled: the first answer of a new holder renews the lease of an agent
-// that it has not fenced yet. What it knows to be cancelled must stop by that answer: the
-// next may never come, and the lease would carry the task past the time for cancelling.
-func TestRenewalStopsCancelled(t *testing.T) {
+// TestLeaseRenewalCarriesStopOfCancelledJob guards against a task that runs past the
+// cancellation deadline. The first answer of a new holder renews the lease of an agent whose
+// fence is not confirmed yet. That answer must include the stops of cancelled jobs: the next
+// answer may never arrive, and the renewed lease would let the task run past the deadline.
+func TestLeaseRenewalCarriesStopOfCancelledJob(t *testing.T) {
 	f := newFixture(t, inherited)
 	f.remove(storage.JobKey("run-1"))
 	f.recordsChanged()
 	commands := f.commandsFor(1, grantToken-1, running)
 	if f.agent().fence.confirmed {
-		t.Fatal("the agent is fenced: this is not the answer in question")
+		t.Fatal("the fence is confirmed, so this is not the first answer of a new holder")
 	}
 	if !stopsAtOnce(commands) {
-		t.Errorf("the lease is renewed without a stop: %v", commands)
+		t.Errorf("the answer renews the lease without a stop: %v", commands)
 	}
 	if f.liveAttempts() != 1 {
-		t.Error("the task counts as gone before that is proven")
+		t.Error("the attempt was removed before it was confirmed terminated")
 	}
 }
--- a/internal/coordination/reconcile/completion.go
+++ b/internal/coordination/reconcile/completion.go
@@ -8,19 +8,19 @@
 	"rockrun/internal/storage"
 )
 
-// maxJobEndsInFlight bounds the ends of jobs being written: with answers in half a second,
-// sixteen jobs end each second.
-const maxJobEndsInFlight = 8
+// maxFinalRecordsInFlight limits the concurrent writes of final records. At a write latency of
+// half a second, 16 jobs can end per second.
+const maxFinalRecordsInFlight = 8
 
-// completions are what waits to be durable.
+// completions holds the attempts and jobs whose completion is not durable yet.
 type completions struct {
-	attempts        []*attempt     // completed
-	jobs            []*jobProgress // all tasks done
-	jobEndsInFlight int
+	attempts             []*attempt     // completed attempts
+	jobs                 []*jobProgress // jobs whose tasks are all done
+	finalRecordsInFlight int
 }
 
-// end marks an attempt as proven over. A completed one stays until that is durable; any
-// other makes its task wait again.
+// end marks an attempt as confirmed terminated. A completed attempt is retained until its
+// completion is durable. Any other attempt is removed, which makes its task pending again.
 func (r *Reconciler) end(attempt *attempt, cause string) {
 	if !attempt.live() {
 		return
@@ -38,8 +38,8 @@
 	r.completions.attempts = append(r.completions.attempts, attempt)
 }
 
-// recordCompletion sees to it that a completed task becomes durable, with its job where it
-// was the last.
+// recordCompletion schedules the durable record of a completed task: the final record of the
+// job if this was its last task, otherwise a completion page.
 func (r *Reconciler) recordCompletion(a *attempt) {
 	if a.progress.done() {
 		r.completions.jobs = append(r.completions.jobs, a.progress)
@@ -48,7 +48,7 @@
 	}
 }
 
-// endAll ends every attempt of a machine that is proven to run nothing.
+// endAll ends all attempts on a machine that certainly runs none of them.
 func (r *Reconciler) endAll(agent *agent, reason string) {
 	if len(agent.attempts) > 0 {
 		r.Log.Info("tasks lost", "machine", agent.machine.Name, "tasks", len(agent.attempts), "reason", reason)
@@ -59,31 +59,31 @@
 	agent.unexpected.list = nil
 }
 
-// writeJobEnds makes jobs durable whose tasks are all done, and lets completed attempts
-// leave their machines once that is.
+// writeJobEnds writes the final records of jobs whose tasks are all done, and removes
+// completed attempts from their machines once their completion is durable.
 func (r *Reconciler) writeJobEnds() {
 	pending := &r.completions
 	pending.jobs = slices.DeleteFunc(pending.jobs, func(progress *jobProgress) bool {
 		if progress.job.Ended() || r.jobs[progress.job] != progress {
 			return true
 		}
-		if r.mayWriteJobEnd(progress) {
-			r.writeJobEnd(progress)
+		if r.mayWriteFinalRecord(progress) {
+			r.writeFinalRecord(progress)
 		}
 		return false
 	})
-	pending.attempts = slices.DeleteFunc(pending.attempts, r.releaseCompleted)
+	pending.attempts = slices.DeleteFunc(pending.attempts, r.removeCompleted)
 }
 
-// mayWriteJobEnd reports whether the end of a job may be written now.
-func (r *Reconciler) mayWriteJobEnd(progress *jobProgress) bool {
+// mayWriteFinalRecord reports whether the final record of a job may be written now.
+func (r *Reconciler) mayWriteFinalRecord(progress *jobProgress) bool {
 	return progress.endWrite.Ready(r.now(), r.Replica.Revision()) && r.Leases.MayActFor(progress.job.Shard) &&
-		r.completions.jobEndsInFlight < maxJobEndsInFlight
+		r.completions.finalRecordsInFlight < maxFinalRecordsInFlight
 }
 
-// writeJobEnd writes that a job is done. Users wait for it and there are few jobs beside
-// tasks, so it doesn't wait for a write to be to spare.
-func (r *Reconciler) writeJobEnd(progress *jobProgress) {
+// writeFinalRecord writes the final record of a completed job. Users wait for the final record
+// and there are few jobs compared with tasks, so the write does not wait for the write budget.
+func (r *Reconciler) writeFinalRecord(progress *jobProgress) {
 	job := progress.job
 	final := storage.FinalRecord{Stage: protocol.StageDone, CompletedTasks: job.Tasks, EndedAtMS: r.Generation.Wall().UnixMilli()}
 	operations := storage.EndJobOperations(job.ID, final)
@@ -96,15 +96,15 @@
 	}
 	r.Committer.Budget.TakeAnyway(r.now(), len(operations))
 	progress.endWrite.Begin()
-	r.completions.jobEndsInFlight++
+	r.completions.finalRecordsInFlight++
 	r.Committer.Commit(transaction, func(revision uint64, err error) {
 		progress.endWrite.Finish()
-		r.completions.jobEndsInFlight--
+		r.completions.finalRecordsInFlight--
 		if r.Generation.Ended() {
 			return
 		}
 		if err != nil {
-			r.Log.Debug("end of job not written", "job", job.ID, "err", err)
+			r.Log.Debug("final record write failed", "job", job.ID, "err", err)
 			progress.endWrite.RetryAt(r.now() + r.Generation.Jitter(kv.RetryPause/2))
 			return
 		}
@@ -114,9 +114,9 @@
 	})
 }
 
-// releaseCompleted lets a completed attempt leave its machine once its completion is
-// durable, and reports whether it need not be looked at any more.
-func (r *Reconciler) releaseCompleted(a *attempt) bool {
+// removeCompleted removes a completed attempt from its machine once the completion is
+// durable. It reports whether the attempt needs no further check.
+func (r *Reconciler) removeCompleted(a *attempt) bool {
 	if !r.agents.contains(a.agent) || a.agent.attempts[a.ref()] != a {
 		return true
 	}
@@ -124,6 +124,6 @@
 		return false
 	}
 	r.removeAttempt(a)
-	a.agent.needsAttention = true // it can be reaped
+	a.agent.needsAttention = true // the task can be reaped
 	return true
 }
--- a/internal/coordination/reconcile/oversized_pages.go
+++ b/internal/coordination/reconcile/oversized_pages.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// The key-value store's limits can become lower while larger values lie there, written by
-// a version that knew nothing of it. Such a page stays readable and can't be written. What
-// must change on it moves to other pages, and it is written again once what is left of it
-// fits and the records name elsewhere all that has moved: at no time does the store hold no
-// page that names a task that may be running, or one that has completed.
+// The limits of the key-value store can be lowered while the store contains larger values,
+// written by a version that did not know the lower limits. Such an oversized page can be
+// read but not written. When an oversized page has to change, entries move to other pages.
+// The oversized page is written again once its remaining entries fit and the records contain
+// all moved entries on other pages. The store thus contains, at all times, a page that names
+// each task that may be running and a page that records each completed task.
 
-// oversized reports whether what a page should say is too large to be written.
+// oversized reports whether the current entries of a page are too large to be written.
 func (w *recordWriter) oversized(page *pageState) bool { return page.bytes > w.pageCapacity() }
 
-// intentPageWritable reports whether a page of intents may be written, and take new
-// attempts.
+// intentPageWritable reports whether an intent page may be written and get new attempts.
 func (w *recordWriter) intentPageWritable(page *intentPage) bool {
 	page.moved = slices.DeleteFunc(page.moved, (*attempt).recordedElsewhere)
 	return !w.oversized(&page.pageState) && len(page.moved) == 0
 }
 
-// recordedElsewhere reports whether the page that an attempt is not on any more need not
-// name it: the records name it on another one, or it is over.
+// recordedElsewhere reports whether the page from which an attempt moved need not name the
+// attempt any more: another page in the records names the attempt, or the attempt has ended.
 func (a *attempt) recordedElsewhere() bool {
 	ref := a.ref()
 	if a.agent.attempts[ref] != a {
@@ -33,9 +33,9 @@
 	return a.page != nil && intent.Attempt == a.number && intent.Page == a.page.id.Page
 }
 
-// shrinkOversized moves attempts from a page that is too large and due to be written:
-// machines that drain wait for the names that it still holds. One page at a time is
-// enough, since new tasks need the writes too.
+// shrinkOversized moves attempts off an oversized page that is due, because draining machines
+// wait until no page names them. It shrinks one page at a time, since new tasks need the
+// writes too.
 func (w *recordWriter) shrinkOversized(now time.Duration) {
 	if slices.ContainsFunc(w.intentPages, func(page *intentPage) bool { return len(page.moved) > 0 }) {
 		return
@@ -48,16 +48,16 @@
 	}
 }
 
-// shrink moves attempts off a page until the rest fits.
+// shrink moves attempts off a page until the remaining attempts fit.
 func (w *recordWriter) shrink(page *intentPage) {
-	list := make([]*attempt, 0, len(page.attempts))
+	attempts := make([]*attempt, 0, len(page.attempts))
 	for a := range page.attempts {
-		list = append(list, a)
+		attempts = append(attempts, a)
 	}
-	slices.SortFunc(list, func(a, b *attempt) int {
+	slices.SortFunc(attempts, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(a.job.Index, b.job.Index), cmp.Compare(a.task, b.task), cmp.Compare(a.number, b.number))
 	})
-	for _, a := range list {
+	for _, a := range attempts {
 		if !w.oversized(&page.pageState) {
 			break
 		}
@@ -66,26 +66,27 @@
 		page.moved = append(page.moved, a)
 		w.unassigned = append(w.unassigned, a)
 	}
-	w.Log.Info("page of intents over the limit", "shard", w.shard, "page", page.id.Page, "moved", len(page.moved), "left", len(page.attempts))
+	w.Log.Info("oversized intent page shrunk", "shard", w.shard, "page", page.id.Page, "moved", len(page.moved), "left", len(page.attempts))
 }
 
-// completionPageWritable reports whether a page of completed tasks may be written.
+// completionPageWritable reports whether a completion page may be written.
 func (w *recordWriter) completionPageWritable(page *completionPage) bool {
-	w.dropEndedJobs(page)
+	w.removeObsoleteChunks(page)
 	page.moved = slices.DeleteFunc(page.moved, func(c completionChunk) bool {
-		present := c.progress.completionPages[c.chunk]
-		return w.obsolete(c) || present != nil && c.progress.job.CompletionPages[c.chunk] == present.id.Page
+		current := c.progress.completionPages[c.chunk]
+		return w.obsolete(c) || current != nil && c.progress.job.CompletionPages[c.chunk] == current.id.Page
 	})
 	return !w.oversized(&page.pageState) && len(page.moved) == 0
 }
 
-// obsolete reports whether nobody needs to know any more which tasks of a chunk are done.
+// obsolete reports whether the completed tasks of a chunk need no record any more.
 func (w *recordWriter) obsolete(c completionChunk) bool {
 	return c.progress.job.Ended() || !w.tracks(c.progress)
 }
 
-// dropEndedJobs takes the chunks of jobs that are over off a page.
-func (w *recordWriter) dropEndedJobs(page *completionPage) {
+// removeObsoleteChunks removes from a page the chunks of jobs that have ended or are no longer
+// tracked.
+func (w *recordWriter) removeObsoleteChunks(page *completionPage) {
 	for c := range page.chunks {
 		if w.obsolete(c) {
 			page.remove(c)
@@ -93,7 +94,7 @@
 	}
 }
 
-// oversizedValues counts the values of the shard that are over the limit.
+// oversizedValues counts the pages of the shard that are over the size limit.
 func (w *recordWriter) oversizedValues() int {
 	count := 0
 	for _, page := range w.intentPages {
--- a/internal/coordination/reconcile/oversized_pages_test.go
+++ b/internal/coordination/reconcile/oversized_pages_test.go
@@ -13,8 +13,9 @@
 	"rockrun/internal/storage"
 )
 
-// flushFor lets the writer of the job shard write for so long, as passes do.
-func (f *fixture) flushFor(seconds int, each func()) {
+// flushForSeconds flushes the writer of the job shard for the given time, as passes do, and
+// calls afterFlush after each flush.
+func (f *fixture) flushForSeconds(seconds int, afterFlush func()) {
 	f.t.Helper()
 	writer := f.reconciler.writers[0]
 	for range 5 * seconds {
@@ -28,41 +29,41 @@
 		for _, page := range writer.completionPages {
 			page.write.Finish()
 		}
-		each()
+		afterFlush()
 	}
 }
 
-// TestOversizedPagesAreEmptied: pages of intents lie there from a time of higher
-// limits. What must change on them goes to other pages first, no write is over the
-// limits, and at no time is there a task that may be running without a page that names
-// it. Before, such a page was written as it was and refused for ever, and a machine
-// that drained kept its name on it for as long.
-func TestOversizedPagesAreEmptied(t *testing.T) {
+// TestOversizedIntentPagesShrink guards against intent pages that can never be written again,
+// because they were recorded under higher limits. Such a page used to be written without
+// shrinking and was rejected on every retry, and a draining machine stayed named on the page.
+// Entries must move to other pages first, no write may exceed the limits, and at all times a
+// page must name each task that may be running.
+func TestOversizedIntentPagesShrink(t *testing.T) {
 	f := newFleetFixture(t, mediumFleet)
 	f.limitStore(512, 4, math.MaxInt)
 	writer := f.reconciler.writers[0]
 	before := writer.oversizedValues()
 	if before < 30 {
-		t.Fatalf("%d pages are over the limit", before)
+		t.Fatalf("only %d pages are over the limit", before)
 	}
-	lost := f.reconciler.agents.find(fleetMachineName(17))
-	lost.machine.Phase = storage.PhaseDraining
-	f.reconciler.end(lost.attempts[storage.SortedTasks(lost.attempts)[0]], "stopped")
-	other := f.reconciler.agents.find(fleetMachineName(200)) // goes on taking tasks, so there is no hurry
-	f.reconciler.end(other.attempts[storage.SortedTasks(other.attempts)[0]], "stopped")
-	f.flushFor(10, func() {
+	draining := f.reconciler.agents.find(fleetMachineName(17))
+	draining.machine.Phase = storage.PhaseDraining
+	f.reconciler.end(draining.attempts[storage.SortedTasks(draining.attempts)[0]], "stopped")
+	active := f.reconciler.agents.find(fleetMachineName(200)) // still gets new tasks, so the removal is not urgent
+	f.reconciler.end(active.attempts[storage.SortedTasks(active.attempts)[0]], "stopped")
+	f.flushForSeconds(10, func() {
 		t.Helper()
 		for _, agent := range f.reconciler.agents.sorted {
 			for ref, a := range agent.attempts {
 				if agent.machine.Intents[ref].Attempt != a.number {
-					t.Fatalf("no page names the task on %s", agent.machine.Name)
+					t.Fatalf("no page names the task that may be running on %s", agent.machine.Name)
 				}
 			}
 		}
 	})
-	for _, agent := range []*agent{lost, other} {
+	for _, agent := range []*agent{draining, active} {
 		if len(agent.machine.Intents) > 0 {
-			t.Errorf("%s is still named", agent.machine.Name)
+			t.Errorf("an intent page still names %s", agent.machine.Name)
 		}
 	}
 	if left := writer.oversizedValues(); left != before-2 {
@@ -70,11 +71,11 @@
 	}
 }
 
-// completionJob is the identifier of a job of completionPageFixture.
+// completionJob returns the ID of a job of newCompletionPageFixture.
 func completionJob(number int) string { return fmt.Sprintf("run-%06d", 100+number) }
 
-// newCompletionPageFixture is a fixture with so many jobs, of each of which task 0 is done
-// and all share a page.
+// newCompletionPageFixture makes a fixture with the given number of jobs. Task 0 of each job
+// is completed, and all jobs share one completion page.
 func newCompletionPageFixture(t *testing.T, jobs int) *fixture {
 	f := newFixture(t)
 	page := storage.CompletionPage{}
@@ -93,20 +94,20 @@
 	return f
 }
 
-// progressOf is the progress of a job.
+// progressOf returns the progress of a job.
 func (f *fixture) progressOf(id string) *jobProgress {
 	_, job := f.view.Jobs.Find(id)
 	return f.reconciler.progressOf(job)
 }
 
-// complete lets a task be done.
+// complete marks a task of the job's first chunk as completed.
 func (f *fixture) complete(id string, task int) {
 	progress := f.progressOf(id)
 	progress.complete(task)
 	f.reconciler.writers[0].markCompleted(progress, 0)
 }
 
-// recordsCompleted reports whether a page in the store says that a task is done.
+// recordsCompleted reports whether a completion page in the store lists a task as completed.
 func (f *fixture) recordsCompleted(id string, task int) bool {
 	for key, value := range f.values {
 		if !strings.HasPrefix(key, "r/d/") {
@@ -123,9 +124,9 @@
 	return false
 }
 
-// TestOversizedCompletionPageIsEmptied is the same for a page of completed tasks: what has
-// completed is in the records all the time.
-func TestOversizedCompletionPageIsEmptied(t *testing.T) {
+// TestOversizedCompletionPageShrinks guards against the same failure with a completion page:
+// the page must shrink, and at all times the records must list each completed task.
+func TestOversizedCompletionPageShrinks(t *testing.T) {
 	const jobs, firstTask, laterTask = 60, 0, 5
 	f := newCompletionPageFixture(t, jobs)
 	writer := f.reconciler.writers[0]
@@ -137,17 +138,17 @@
 		for i := first; i < jobs; i += 2 {
 			f.complete(completionJob(i), laterTask)
 		}
-		f.flushFor(10, func() {
+		f.flushForSeconds(10, func() {
 			t.Helper()
 			for i := range jobs {
 				if !f.recordsCompleted(completionJob(i), firstTask) {
-					t.Fatalf("what had completed of %s is in no page", completionJob(i))
+					t.Fatalf("no page lists the task of %s that was completed before", completionJob(i))
 				}
 			}
 		})
 		for i := first; i < jobs; i += 2 {
 			if !f.recordsCompleted(completionJob(i), laterTask) {
-				t.Errorf("what has completed of %s since is in no page", completionJob(i))
+				t.Errorf("no page lists the task of %s that was completed later", completionJob(i))
 			}
 		}
 	}
@@ -156,18 +157,19 @@
 	}
 }
 
-// largeGroup is a machine group that was recorded under higher limits.
+// largeGroup returns a machine group that was recorded under higher limits.
 func largeGroup(machines int) storage.MachineGroupRecord {
-	rec := storage.MachineGroupRecord{Type: "small", Zone: "z", FencingToken: grantToken}
+	record := storage.MachineGroupRecord{Type: "small", Zone: "z", FencingToken: grantToken}
 	for i := range machines {
-		rec.Machines = append(rec.Machines, storage.MachineEntry{Name: fleetMachineName(5000 + i), Address: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
+		record.Machines = append(record.Machines, storage.MachineEntry{Name: fleetMachineName(5000 + i), Address: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250)})
 	}
-	return rec
+	return record
 }
 
-// TestSplitGroupIsHeldAsBefore: the leader divides a group of machines among several that
-// keep its fencing token. Every machine is held as before, under the same grant.
-func TestSplitGroupIsHeldAsBefore(t *testing.T) {
+// TestSplitMachineGroupPreservesAgents guards against agent state that is lost when the leader
+// splits a machine group. The parts have the group's fencing token, so every machine must keep
+// its agent, under the same grant.
+func TestSplitMachineGroupPreservesAgents(t *testing.T) {
 	for _, machines := range []int{60, 69, 90} {
 		f := newFixture(t)
 		group := largeGroup(machines)
@@ -178,7 +180,7 @@
 			held[name] = agent
 		}
 		entries := group.Machines
-		for i, part := range slices.Collect(slices.Chunk(entries, 25)) { // the first keeps the key, and comes last
+		for i, part := range slices.Collect(slices.Chunk(entries, 25)) { // the first part keeps the key and is applied last
 			if group.Machines = part; i > 0 {
 				f.apply(storage.MachineGroupKey(fmt.Sprint("part-", i)), group)
 			}
@@ -188,7 +190,7 @@
 		f.recordsChanged()
 		for _, entry := range entries {
 			if agent := f.reconciler.agents.find(entry.Name); agent == nil || agent != held[entry.Name] || agent.fence.granted != grantToken {
-				t.Errorf("%d machines: %s is held anew", machines, entry.Name)
+				t.Errorf("%d machines: the agent of %s was replaced", machines, entry.Name)
 			}
 		}
 	}
--- a/internal/coordination/reconcile/page.go
+++ b/internal/coordination/reconcile/page.go
@@ -7,37 +7,37 @@
 	"rockrun/internal/storage"
 )
 
-// pageState is what pages of both kinds have in common.
+// pageState is the state that intent pages and completion pages have in common.
 type pageState struct {
-	id      storage.PageID
-	bytes   int           // at least what the value takes
-	dirty   bool          // to be written soon
-	dirtyAt time.Duration // since when something may be removed or added at leisure; 0: nothing
-	write   loop.Write
+	id           storage.PageID
+	bytes        int           // upper bound of the encoded size, without the outer braces
+	urgent       bool          // write at the next possible flush
+	pendingSince time.Duration // time of the oldest unwritten change that may be delayed; 0: none
+	write        loop.Write
 }
 
-// touch notes that the page has something to be written at leisure.
-func (s *pageState) touch(now time.Duration) {
-	if s.dirtyAt == 0 {
-		s.dirtyAt = now
+// markPending notes a change that may be written with a delay.
+func (s *pageState) markPending(now time.Duration) {
+	if s.pendingSince == 0 {
+		s.pendingSince = now
 	}
 }
 
-// intentPage is a page of intents, which names tasks that may be on a machine.
+// intentPage is an intent page, which names the attempts that may be on a machine.
 type intentPage struct {
 	pageState
 	attempts map[*attempt]bool
-	jobs     map[*storage.Job]int // attempts by job
-	// Machines that a write names whose outcome the view does not show yet. A write
-	// without an answer can be applied until the page has a new version.
-	possiblyNamed  map[*agent]bool
-	outcomeUnknown bool
-	writtenOver    uint64 // version of the page that the last write replaces
-	// Attempts that no write has named yet, and those that the last one was the first to
-	// name.
-	newAttempts, newAttemptsSent int
-	// Attempts that the page in the records names and that have gone to others, which must
-	// name them before this one is written without them.
+	jobs     map[*storage.Job]int // number of attempts by job
+	// Machines named by a write whose outcome the view does not show yet. A write without a
+	// response can still be applied until the page has a new version.
+	possiblyNamed   map[*agent]bool
+	outcomeUnknown  bool
+	replacedVersion uint64 // page version that the last write replaces
+	// Number of attempts that no write has named yet, and of attempts that the last write
+	// was the first to name.
+	newAttempts, newAttemptsInFlight int
+	// Attempts that the page in the records names and that have moved to other pages. Those
+	// pages must be written before this page is written without the attempts.
 	moved []*attempt
 }
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// Bytes of JSON around the parts of a page.
+// JSON overhead of the parts of a page, in bytes.
 const (
 	entryOverhead  = 4
 	jobOverhead    = 8
@@ -58,17 +58,17 @@
 	chunkOverhead  = 16
 )
 
-// entryWeight is at least what an attempt takes of a page: its entry, and the name of its
-// job where it is the first of that.
-func (p *intentPage) entryWeight(a *attempt) int {
-	weight := len(a.agent.machine.Name) + a.entrySize
+// entryBytes is an upper bound of the bytes that an attempt adds to a page: its entry and,
+// for the first attempt of a job on the page, the ID and the header of the job.
+func (p *intentPage) entryBytes(a *attempt) int {
+	size := len(a.agent.machine.Name) + a.entrySize
 	if p.jobs[a.job] == 0 {
-		weight += len(a.job.ID) + jobOverhead + a.progress.intentHeaderSize + headerOverhead
+		size += len(a.job.ID) + jobOverhead + a.progress.intentHeaderSize + headerOverhead
 	}
-	return weight
+	return size
 }
 
-// measureEntry works out what an attempt's entry takes, the machine's name aside.
+// measureEntry sets the size of an attempt's entry, without the machine's name.
 func (a *attempt) measureEntry() {
 	a.entrySize = len(storage.IntentEntry(a.task, "", a.number)) + entryOverhead
 }
@@ -77,63 +77,63 @@
 	return storage.IntentHeader(job.Team, job.CPUs, job.GPUs, job.MemoryGB)
 }
 
-// add puts an attempt on the page, unless it is on one.
+// add puts an attempt on the page, unless the attempt already has a page.
 func (p *intentPage) add(a *attempt) {
 	if a.page != nil {
 		return
 	}
 	a.measureEntry()
-	p.bytes += p.entryWeight(a)
+	p.bytes += p.entryBytes(a)
 	p.jobs[a.job]++
 	a.page = p
 	p.attempts[a] = true
 }
 
-// remove takes an attempt off the page.
+// remove removes an attempt from the page.
 func (p *intentPage) remove(a *attempt) {
 	delete(p.attempts, a)
 	if p.jobs[a.job]--; p.jobs[a.job] == 0 {
 		delete(p.jobs, a.job)
 	}
-	p.bytes -= p.entryWeight(a)
+	p.bytes -= p.entryBytes(a)
 }
 
-// drop takes an attempt off the page that is over.
+// drop removes an ended attempt from the page.
 func (p *intentPage) drop(a *attempt, now time.Duration) {
 	if !p.attempts[a] {
 		return
 	}
 	p.remove(a)
-	p.touch(now)
+	p.markPending(now)
 	if a.agent.draining() {
-		p.dirty = true // the machine goes on only once no record names it
+		p.urgent = true // a drain completes only once no record names the machine
 	}
 }
 
-// completionPage is a page of completed tasks.
+// completionPage is a page that records completed tasks.
 type completionPage struct {
 	pageState
 	chunks map[completionChunk]bool
-	moved  []completionChunk // as of an intentPage
+	moved  []completionChunk // to other pages, as in intentPage
 }
 
 func newCompletionPage(id storage.PageID) *completionPage {
 	return &completionPage{pageState: pageState{id: id}, chunks: map[completionChunk]bool{}}
 }
 
-// completionChunk is storage.TasksPerChunk tasks of a job.
+// completionChunk identifies storage.TasksPerChunk consecutive tasks of a job.
 type completionChunk struct {
 	progress *jobProgress
 	chunk    int
 }
 
-// size is at least what a chunk takes of a page.
+// size is an upper bound of the bytes that a chunk adds to a page.
 func (c completionChunk) size() int {
 	tasks := min(c.progress.job.Tasks-c.chunk*storage.TasksPerChunk, storage.TasksPerChunk)
-	return len(c.progress.job.ID) + chunkOverhead + (max(tasks, 1)/8+3)*4/3 // bits in base 64
+	return len(c.progress.job.ID) + chunkOverhead + (max(tasks, 1)/8+3)*4/3 // a bitmap in base64
 }
 
-// add puts a chunk on the page, unless it is on one.
+// add puts a chunk on the page, unless the chunk already has a page.
 func (p *completionPage) add(progress *jobProgress, chunk int) {
 	if progress.completionPages[chunk] == nil {
 		progress.completionPages[chunk] = p
@@ -143,7 +143,7 @@
 	}
 }
 
-// remove takes a chunk off the page.
+// remove removes a chunk from the page.
 func (p *completionPage) remove(c completionChunk) {
 	if p.chunks[c] {
 		delete(p.chunks, c)
@@ -151,10 +151,11 @@
 	}
 }
 
-// move takes a chunk off a page that is too large.
-func (p *completionPage) move(c completionChunk, now time.Duration) {
+// beginMove removes a chunk from an oversized page. The page may be written without the
+// chunk only once the records contain the chunk on another page.
+func (p *completionPage) beginMove(c completionChunk, now time.Duration) {
 	p.remove(c)
 	delete(c.progress.completionPages, c.chunk)
 	p.moved = append(p.moved, c)
-	p.touch(now)
+	p.markPending(now)
 }
--- a/internal/coordination/reconcile/page_assignment.go
+++ b/internal/coordination/reconcile/page_assignment.go
@@ -8,75 +8,76 @@
 )
 
 const (
-	// pageSlack is how many pages there are for each that the entries would fill, and
-	// minPages how many there are at least.
+	// pageSlack is the number of pages for each page that the entries would fill, and
+	// minPages is the minimum number of pages.
 	pageSlack = 3
 	minPages  = 4
-	// maxNewPages bounds the pages that one flush adds.
+	// maxNewPages limits the pages that one flush adds.
 	maxNewPages = 4
 )
 
-// assign puts new attempts on the emptiest pages that can be written now, so that what has
-// ended leaves the records with the same writes.
+// assignPages puts new attempts on the emptiest pages that can be written now, so that the
+// same writes also remove ended attempts from the records.
 //
-// A write costs the same however much of a page is new. Among full pages each would carry
-// the few entries that have just ended there, and where writes are few, new tasks would
-// wait for theirs while machines stand idle: so there are several times the pages that the
-// entries need, and one that is more than a quarter full is left to empty.
-func (w *recordWriter) assign() {
+// A write costs the same however much of the page is new. If the pages were full, each
+// write would replace only the few entries that have just ended on that page, and with few
+// writes available, new tasks would wait for their intents while machines are idle. There
+// are therefore several times as many pages as the entries need, and a page that is more
+// than a quarter full gets no new attempts, so that it can empty.
+func (w *recordWriter) assignPages() {
 	w.unassigned = slices.DeleteFunc(w.unassigned, func(a *attempt) bool { return !a.live() || a.page != nil })
 	if len(w.unassigned) == 0 {
 		return
 	}
-	free := w.assignablePages()
-	enough := w.pagesEnough()
-	added := 0
+	candidates := w.assignablePages()
+	desired := w.desiredPages()
+	newPages := 0
 	for _, attempt := range w.unassigned {
 		attempt.measureEntry()
-		for len(free) > 0 && !w.takes(free[0], attempt) {
-			free = free[1:]
+		for len(candidates) > 0 && !w.hasRoomFor(candidates[0], attempt) {
+			candidates = candidates[1:]
 		}
-		if len(free) > 0 && !free[0].dirty && free[0].bytes > w.pageCapacity()/4 && added == 0 && len(w.intentPages) < enough {
-			free = nil
+		if len(candidates) > 0 && !candidates[0].urgent && candidates[0].bytes > w.pageCapacity()/4 && newPages == 0 && len(w.intentPages) < desired {
+			candidates = nil
 		}
-		if len(free) == 0 {
-			if added >= maxNewPages {
+		if len(candidates) == 0 {
+			if newPages >= maxNewPages {
 				break
 			}
-			added++
-			free = append(free, w.intentPageAt(len(w.intentPages)))
+			newPages++
+			candidates = append(candidates, w.intentPageAt(len(w.intentPages)))
 		}
-		page := free[0]
+		page := candidates[0]
 		page.add(attempt)
-		if !attempt.durable() { // one that moves from another page waits for nothing
+		if !attempt.durable() { // an attempt that moves from another page is already recorded
 			page.newAttempts++
 		}
-		page.dirty = true
+		page.urgent = true
 	}
 	w.unassigned = slices.DeleteFunc(w.unassigned, func(a *attempt) bool { return a.page != nil })
 }
 
-// assignablePages lists the pages that can be written now, those first that are to be
-// written soonest, or anyway.
+// assignablePages lists the pages that can be written now: pages with the most new attempts
+// first, then urgent pages, then the smallest pages.
 func (w *recordWriter) assignablePages() []*intentPage {
 	var free []*intentPage
 	for _, page := range w.intentPages {
-		if w.idle(&page.pageState) && w.intentPageWritable(page) {
+		if w.writeReady(&page.pageState) && w.intentPageWritable(page) {
 			free = append(free, page)
 		}
 	}
 	slices.SortStableFunc(free, func(a, b *intentPage) int {
 		return cmp.Or(
 			cmp.Compare(b.newAttempts, a.newAttempts),
-			placement.CompareBool(b.dirty, a.dirty),
+			placement.CompareBool(b.urgent, a.urgent),
 			cmp.Compare(a.bytes, b.bytes),
 		)
 	})
 	return free
 }
 
-// pagesEnough is how many pages of intents the entries need, with slack.
-func (w *recordWriter) pagesEnough() int {
+// desiredPages is the number of intent pages for the current entries, including slack.
+func (w *recordWriter) desiredPages() int {
 	bytes := 0
 	for _, page := range w.intentPages {
 		bytes += page.bytes
@@ -84,7 +85,7 @@
 	return minPages + pageSlack*(bytes/w.pageCapacity()+1)
 }
 
-// takes reports whether a page has room for an attempt; an empty one takes any.
-func (w *recordWriter) takes(page *intentPage, a *attempt) bool {
-	return page.bytes+page.entryWeight(a) <= w.pageCapacity() || len(page.attempts) == 0
+// hasRoomFor reports whether a page has room for an attempt. An empty page accepts any attempt.
+func (w *recordWriter) hasRoomFor(page *intentPage, a *attempt) bool {
+	return page.bytes+page.entryBytes(a) <= w.pageCapacity() || len(page.attempts) == 0
 }
--- a/internal/coordination/reconcile/page_batch.go
+++ b/internal/coordination/reconcile/page_batch.go
@@ -10,7 +10,7 @@
 	"rockrun/internal/protocol"
 )
 
-// pageBatch is a transaction with the pages that it writes.
+// pageBatch is a transaction and the pages that it writes.
 type pageBatch struct {
 	transaction     protocol.Transaction
 	intentPages     []*intentPage
@@ -28,25 +28,25 @@
 	return states
 }
 
-// add puts one changed page into the transaction.
+// add adds the write of one page, conditional on the page's version, to the transaction.
 func (b *pageBatch) add(version uint64, operation protocol.Operation) {
 	b.transaction.Conditions = append(b.transaction.Conditions, protocol.Condition{Key: operation.Put, Version: version})
 	b.transaction.Operations = append(b.transaction.Operations, operation)
 }
 
-// dueWrites collects the pages that are to be written now: completed tasks first. There are
-// never more than there are writes for: waiting for a few at once, this would starve beside
-// others that take one or two as they come.
+// dueWrites collects the pages that are due, completion pages first. The batch never exceeds
+// the write budget that is available now: a batch that waited for several writes at once
+// would starve beside other writers that use one or two as soon as they are available.
 func (w *recordWriter) dueWrites(now time.Duration) *pageBatch {
 	batch := &pageBatch{}
 	batch.transaction.Conditions = []protocol.Condition{w.View.GrantCondition(w.shard)}
-	most := min(w.Committer.Limits().Operations, w.maxOperations, max(1, int(w.Committer.Budget.Level())))
+	maxOperations := min(w.Committer.Limits().Operations, w.maxOperations, max(1, int(w.Committer.Budget.Level())))
 	for _, page := range w.completionPages {
-		if page.dirtyAt == 0 && w.View.HasStaleCompletions(page.id) {
-			page.touch(now)
+		if page.pendingSince == 0 && w.View.HasStaleCompletions(page.id) {
+			page.markPending(now)
 		}
-		full := len(batch.transaction.Operations) >= most
-		if full || !w.idle(&page.pageState) || !w.completionPageDue(page, now) || !w.completionPageWritable(page) {
+		full := len(batch.transaction.Operations) >= maxOperations
+		if full || !w.writeReady(&page.pageState) || !w.completionPageDue(page, now) || !w.completionPageWritable(page) {
 			continue
 		}
 		if operation, needed := w.completionPageOperation(page); needed {
@@ -55,34 +55,35 @@
 		}
 	}
 	due := w.dueIntentPages(now)
-	for _, page := range due[:min(len(due), max(most-len(batch.transaction.Operations), 0))] {
+	for _, page := range due[:min(len(due), max(maxOperations-len(batch.transaction.Operations), 0))] {
 		batch.intentPages = append(batch.intentPages, page)
 		batch.add(w.View.IntentPageVersion(page.id), w.intentPageOperation(page))
 	}
 	return batch
 }
 
-// completionPageDue reports whether a page of completed tasks is to be written now. They
-// stay on their machines' lists until it is, where the next holder finds them, and a job
-// that is over needs no page of them: so while writes are short these wait longer. Where
-// each page was written every second, they took as many writes as new tasks did.
+// completionPageDue reports whether a completion page is to be written now. Until the page
+// is written, the completed tasks stay on their agents' lists, where the next holder finds
+// them, and an ended job needs no completion pages. Completion pages are therefore delayed
+// longer while few writes are available: when each page was written every second, completion
+// pages used as many writes as new tasks.
 func (w *recordWriter) completionPageDue(page *completionPage, now time.Duration) bool {
-	if page.dirtyAt == 0 {
+	if page.pendingSince == 0 {
 		return false
 	}
-	waited := now - page.dirtyAt
-	return waited > completionMaxDelay || waited > completionDelay && w.spareWrites()
+	age := now - page.pendingSince
+	return age > maxCompletionDelay || age > completionDelay && w.hasSpareWrites()
 }
 
-// spareWrites reports whether there are writes beyond those that new tasks need.
-func (w *recordWriter) spareWrites() bool {
+// hasSpareWrites reports whether more writes are available than new tasks need.
+func (w *recordWriter) hasSpareWrites() bool {
 	budget := &w.Committer.Budget
 	return budget.Level() > budget.Rate()/2
 }
 
-// dueIntentPages lists the pages of intents that are to be written, those with most new
-// tasks first. Every drained machine makes a page due as well; written in turn, a few dozen
-// of those would keep new tasks waiting for seconds while machines stand idle.
+// dueIntentPages lists the intent pages that are due, pages with the most new attempts first.
+// Every drained machine also makes a page due; if the pages were written in page order, a
+// few dozen drained machines would delay new tasks for seconds while machines are idle.
 func (w *recordWriter) dueIntentPages(now time.Duration) []*intentPage {
 	var due []*intentPage
 	for _, page := range w.intentPages {
@@ -94,14 +95,14 @@
 	return due
 }
 
-// intentPageDue reports whether a page of intents is to be written now.
+// intentPageDue reports whether an intent page is to be written now.
 func (w *recordWriter) intentPageDue(page *intentPage, now time.Duration) bool {
-	stale := page.dirtyAt > 0 && w.spareWrites() && now-page.dirtyAt > removalDelay
-	return w.idle(&page.pageState) && (page.dirty || stale) &&
+	overdue := page.pendingSince > 0 && w.hasSpareWrites() && now-page.pendingSince > removalDelay
+	return w.writeReady(&page.pageState) && (page.urgent || overdue) &&
 		(len(page.attempts) > 0 || w.View.IntentPageVersion(page.id) != 0)
 }
 
-// onWritten takes in how a write ended.
+// onWritten handles the result of a write.
 func (w *recordWriter) onWritten(batch *pageBatch, revision uint64, err error) {
 	if w.retired || w.Generation.Ended() {
 		return
@@ -112,9 +113,8 @@
 		w.onBatchFailed(batch, err)
 	}
 	w.schedulePass()
-	// A pass over a large fleet takes long, and what is to be written need not wait for
-	// the next.
-	w.Generation.Later(flushPause, w.flushSoon)
+	// A pass over a large fleet takes long, so due pages do not wait for the next pass.
+	w.Generation.Later(flushInterval, w.flushSoon)
 }
 
 func (w *recordWriter) onBatchApplied(batch *pageBatch, revision uint64) {
@@ -124,18 +124,19 @@
 	w.maxOperations = min(w.maxOperations+1, maxOperationsPerWrite)
 }
 
-// onBatchFailed has the pages written again. Where all controllers together ask for more
-// writes than there are, small transactions get through and large ones starve.
+// onBatchFailed schedules the pages to be written again, in smaller transactions: when the
+// controllers together request more writes than the store allows, small transactions succeed
+// and large transactions starve.
 func (w *recordWriter) onBatchFailed(batch *pageBatch, err error) {
-	w.Log.Debug("pages not written", "shard", w.shard, "err", err)
+	w.Log.Debug("page write failed", "shard", w.shard, "err", err)
 	now := w.now()
 	for _, state := range batch.states() {
 		state.write.Done(now + w.Generation.Jitter(kv.RetryPause/2))
-		state.dirty, state.dirtyAt = true, max(1, now-removalDelay)
+		state.urgent, state.pendingSince = true, max(1, now-removalDelay)
 	}
 	w.maxOperations = max(1, w.maxOperations/2)
 	for _, page := range batch.intentPages {
-		page.newAttempts += page.newAttemptsSent
+		page.newAttempts += page.newAttemptsInFlight
 		page.outcomeUnknown = page.outcomeUnknown || errors.Is(err, protocol.ErrOutcomeUnknown)
 	}
 }
--- a/internal/coordination/reconcile/record_writer.go
+++ b/internal/coordination/reconcile/record_writer.go
@@ -8,54 +8,54 @@
 	"rockrun/internal/storage"
 )
 
-// recordWriter writes the records of one job shard: pages of intents, which name every
-// task that may be on a machine, and pages of completed tasks. Many tasks share a value and
-// all changes of a pass share a transaction, so the number of writes follows the passes and
-// not the tasks.
+// recordWriter writes the records of one job shard: intent pages, which name every task
+// that may be on a machine, and completion pages, which list the completed tasks. Many
+// tasks share a page and all changes of a pass share a transaction, so the number of writes
+// grows with the number of passes, not of tasks.
 //
-// Every write depends on the grant and on the version of the page that it replaces, so that
-// at most one holder's pages can ever change, and a transaction that is applied late finds
-// its condition broken by any later one.
+// Every write is conditional on the grant and on the version of each page that it replaces.
+// At most one holder can therefore change the pages, and the preconditions of a delayed
+// transaction fail once a later transaction has been applied.
 type recordWriter struct {
 	*Config
 	shard           int
 	intentPages     []*intentPage
 	completionPages []*completionPage
-	unassigned      []*attempt // not on a page yet
+	unassigned      []*attempt // attempts without an intent page
 	nextFlushAt     time.Duration
-	maxOperations   int                     // operations in a transaction; fewer after a refusal
-	retired         bool                    // the shard is not held any more
-	heldSince       uint64                  // View.HeldSince when the shard was taken up
-	tracks          func(*jobProgress) bool // whether a job's progress is still kept
+	maxOperations   int                     // operations in a transaction; fewer after a failed write
+	retired         bool                    // the shard is no longer held
+	heldSince       uint64                  // View.HeldSince when the shard was acquired
+	tracks          func(*jobProgress) bool // whether the reconciler still tracks a job's progress
 	schedulePass    func()
 }
 
-// Times of a record writer. Removals and completed tasks wait for company; new intents
-// don't, but for the pause that the budget of writes asks for.
+// Intervals of a record writer. Removals and completions are delayed so that they share
+// writes. New intents wait only for the flush interval and the write budget.
 const (
-	flushPause         = 40 * time.Millisecond
-	completionDelay    = time.Second
-	completionMaxDelay = 6 * time.Second // while all writes are needed for new tasks
-	removalDelay       = 2 * time.Second
-	namesCheckInterval = 2 * time.Second // between two looks for the pages that name a machine which drains
+	flushInterval          = 40 * time.Millisecond
+	completionDelay        = time.Second
+	maxCompletionDelay     = 6 * time.Second // while new tasks need all writes
+	removalDelay           = 2 * time.Second
+	drainPageCheckInterval = 2 * time.Second // between two searches for the pages that name a draining machine
 
 	maxOperationsPerWrite = 4
 )
 
-// newRecordWriter makes the writer of a shard, with the pages that the records have.
+// newRecordWriter returns the writer of a shard, with the pages that the records contain.
 func newRecordWriter(config *Config, shard int) *recordWriter {
 	w := &recordWriter{Config: config, shard: shard, maxOperations: maxOperationsPerWrite, heldSince: config.View.HeldSince(shard)}
 	w.View.EachIntentPage(shard, func(number, entries int) {
 		page := w.intentPageAt(number)
 		if entries > 0 {
-			page.dirtyAt = w.now() // until its machines are taken up nobody knows what of it is wanted
+			page.pendingSince = w.now() // some entries may be obsolete, which is known only once the machines are acquired
 		}
 	})
 	w.View.EachCompletionPage(shard, func(number int) { w.completionPageAt(number) })
 	return w
 }
 
-// loadCompleted puts a job's completed tasks on the pages that name them.
+// loadCompleted adds the chunks of a job's completed tasks to the pages that record them.
 func (w *recordWriter) loadCompleted(progress *jobProgress) {
 	for chunk, number := range progress.job.CompletionPages {
 		w.completionPageAt(number).add(progress, chunk)
@@ -76,31 +76,33 @@
 	return w.completionPages[number]
 }
 
-// pageCapacity is how many bytes a page holds.
+// pageCapacity is the maximum size of a page in bytes.
 func (w *recordWriter) pageCapacity() int { return w.Committer.ValueCapacity() }
 
-// idle reports whether a page may be written: no write is under way, and the view shows
-// the last.
-func (w *recordWriter) idle(page *pageState) bool {
+// writeReady reports whether a page may be written: no write is in flight and the view
+// shows the last write.
+func (w *recordWriter) writeReady(page *pageState) bool {
 	return page.write.Ready(w.now(), w.Replica.Revision())
 }
 
-// markCompleted takes in that a task of a chunk is done.
+// markCompleted schedules the write of a chunk in which a task has been completed. A chunk
+// on an oversized page moves to another page.
 func (w *recordWriter) markCompleted(progress *jobProgress, chunk int) {
 	now := w.now()
 	page := progress.completionPages[chunk]
 	if page != nil && page.bytes > w.pageCapacity() && len(page.chunks) > 1 {
-		page.move(completionChunk{progress, chunk}, now)
+		page.beginMove(completionChunk{progress, chunk}, now)
 		page = nil
 	}
 	if page == nil {
 		page = w.completionPageFor(completionChunk{progress, chunk}.size())
 		page.add(progress, chunk)
 	}
-	page.touch(now)
+	page.markPending(now)
 }
 
-// completionPageFor is the first page with room for so many bytes, or an empty one.
+// completionPageFor returns the first completion page with room for the given number of
+// bytes, or an empty page.
 func (w *recordWriter) completionPageFor(bytes int) *completionPage {
 	for number := 0; ; number++ {
 		page := w.completionPageAt(number)
@@ -110,32 +112,32 @@
 	}
 }
 
-// mayStillName reports whether a write whose outcome is not known names a machine.
+// mayStillName reports whether a write whose outcome is unknown names a machine.
 func (w *recordWriter) mayStillName(a *agent) bool {
 	return slices.ContainsFunc(w.intentPages, func(page *intentPage) bool { return page.possiblyNamed[a] })
 }
 
-// markPagesNaming sees to it that pages which still name a machine that drains, and on
-// which nothing is left, are written soon. What ended there before the drain began left its
-// name to be removed at leisure, which may be never while all writes are needed for new
-// tasks.
+// markPagesNaming marks as urgent the pages that still name a draining machine without
+// attempts. If an attempt ended before the drain began, its removal from the page is not
+// urgent and may never be written while new tasks need all writes.
 func (w *recordWriter) markPagesNaming(a *agent) {
 	now := w.now()
-	if len(a.attempts) > 0 || len(a.machine.Intents) == 0 || now < a.namesCheckedAt+namesCheckInterval {
+	if len(a.attempts) > 0 || len(a.machine.Intents) == 0 || now < a.namesCheckedAt+drainPageCheckInterval {
 		return
 	}
 	a.namesCheckedAt = now
 	for _, number := range w.View.IntentPagesNaming(w.shard, a.machine) {
-		w.intentPageAt(number).dirty = true
+		w.intentPageAt(number).urgent = true
 	}
 }
 
-// resolveNamed forgets what writes may have named once the view shows how they ended.
-func (w *recordWriter) resolveNamed(page *intentPage) {
+// resolvePossiblyNamed clears the set of possibly named machines once the view shows the
+// outcome of the writes that name them.
+func (w *recordWriter) resolvePossiblyNamed(page *intentPage) {
 	if len(page.possiblyNamed) == 0 || page.write.InFlight() || w.Replica.Revision() < page.write.Revision() {
 		return
 	}
-	if w.View.IntentPageVersion(page.id) != page.writtenOver {
+	if w.View.IntentPageVersion(page.id) != page.replacedVersion {
 		page.outcomeUnknown = false
 	}
 	if !page.outcomeUnknown {
@@ -143,57 +145,57 @@
 	}
 }
 
-// flushSoon writes what is due outside of a pass.
+// flushSoon writes the due pages outside of a pass, if the shard is still held.
 func (w *recordWriter) flushSoon() {
 	if !w.retired && !w.Generation.Ended() && w.Leases.MayActFor(w.shard) {
 		w.flush()
 	}
 }
 
-// flush writes what is due.
+// flush writes the due pages.
 func (w *recordWriter) flush() {
 	now := w.now()
 	if now < w.nextFlushAt {
 		return
 	}
 	for _, page := range w.intentPages {
-		w.resolveNamed(page)
+		w.resolvePossiblyNamed(page)
 	}
 	w.shrinkOversized(now)
-	w.assign()
+	w.assignPages()
 	budget := &w.Committer.Budget
 	budget.Fill(now)
 	if budget.Level() < min(1, budget.Rate()) {
-		return // nothing can be written, so nothing is encoded
+		return // no write is possible, so skip the encoding
 	}
 	batch := w.dueWrites(now)
 	operations := len(batch.transaction.Operations)
 	if operations == 0 || !budget.Take(now, operations) {
 		return
 	}
-	w.nextFlushAt = now + flushPause
+	w.nextFlushAt = now + flushInterval
 	w.beginWrites(batch)
 	w.Committer.Commit(batch.transaction, func(revision uint64, err error) { w.onWritten(batch, revision, err) })
 }
 
-// beginWrites notes what is being written with a batch.
+// beginWrites marks the pages of a batch as being written.
 func (w *recordWriter) beginWrites(batch *pageBatch) {
 	for _, page := range batch.intentPages {
-		page.writtenOver = w.View.IntentPageVersion(page.id)
-		page.newAttempts, page.newAttemptsSent = 0, page.newAttempts
+		page.replacedVersion = w.View.IntentPageVersion(page.id)
+		page.newAttempts, page.newAttemptsInFlight = 0, page.newAttempts
 		for a := range page.attempts {
 			page.possiblyNamed[a.agent] = true
 		}
 	}
 	for _, state := range batch.states() {
 		state.write.Begin()
-		state.dirty, state.dirtyAt = false, 0
+		state.urgent, state.pendingSince = false, 0
 	}
 }
 
-// intentPageOperation is the change that makes a page of intents say what it should. An
-// empty page stays: once it were removed, its version would be 0 again, and a late
-// transaction that made it first could bring its contents back.
+// intentPageOperation returns the operation that writes the current entries of an intent
+// page. An empty page is written, not deleted: deleting the page would reset its version to
+// 0, and the delayed transaction that created the page could then restore its old entries.
 func (w *recordWriter) intentPageOperation(page *intentPage) protocol.Operation {
 	record := storage.IntentPage{}
 	for a := range page.attempts {
@@ -208,19 +210,19 @@
 	return protocol.Operation{Put: storage.IntentPageKey(page.id), Value: storage.Encode(record)}
 }
 
-// completionPageOperation is the same for a page of completed tasks; needed is false where
-// there is neither a page nor a need of one.
+// completionPageOperation returns the operation that writes a completion page. needed is
+// false if the page has no content and does not exist in the store.
 func (w *recordWriter) completionPageOperation(page *completionPage) (operation protocol.Operation, needed bool) {
 	const chunkBytes = storage.TasksPerChunk / 8
 	record := storage.CompletionPage{}
-	w.dropEndedJobs(page)
+	w.removeObsoleteChunks(page)
 	for c := range page.chunks {
 		completed := c.progress.completed
 		part := completed[min(len(completed), c.chunk*chunkBytes):]
 		record[storage.CompletionChunkName(c.progress.job.ID, c.chunk)] = part[:min(len(part), chunkBytes)]
 	}
 	if len(record) == 0 && w.View.CompletionPageVersion(page.id) == 0 {
-		page.dirtyAt = 0
+		page.pendingSince = 0
 		return operation, false
 	}
 	return protocol.Operation{Put: storage.CompletionPageKey(page.id), Value: storage.Encode(record)}, true
--- a/internal/coordination/reconcile/record_writer_test.go
+++ b/internal/coordination/reconcile/record_writer_test.go
@@ -11,9 +11,9 @@
 	"rockrun/internal/storage"
 )
 
-// TestPageSizeIsBounded: what a page of intents is taken to hold is never less than what
-// its value takes, however attempts come and go: a value over the limit would be refused
-// again and again, and none of its tasks could ever start.
+// TestPageSizeIsBounded guards against an estimated size of an intent page that is smaller
+// than the encoded page, however attempts are added and removed. The store would reject a
+// value over its limit on every retry, and none of the page's tasks could ever start.
 func TestPageSizeIsBounded(t *testing.T) {
 	for seed := range uint64(2) {
 		f := newFleetFixture(t, mediumFleet)
@@ -24,11 +24,11 @@
 			f.now += 200 * time.Millisecond
 			f.refreshKnowledge()
 			f.reconciler.place()
-			writer.assign()
+			writer.assignPages()
 			for _, page := range writer.intentPages {
 				size := len(writer.intentPageOperation(page).Value)
 				if size > page.bytes+2 || size > writer.pageCapacity() {
-					t.Fatalf("seed %d: a page of %d bytes is taken for %d, at most %d", seed, size, page.bytes, writer.pageCapacity())
+					t.Fatalf("seed %d: page has %d bytes, estimated %d, capacity %d", seed, size, page.bytes, writer.pageCapacity())
 				}
 			}
 			f.endQuarter(random)
@@ -36,7 +36,7 @@
 	}
 }
 
-// addRandomJobs adds jobs of small tasks, with identifiers of different lengths.
+// addRandomJobs adds jobs with small tasks and with IDs of different lengths.
 func (f *fixture) addRandomJobs(random *rand.Rand, jobs int) {
 	for i := range jobs {
 		id := fmt.Sprintf("run-%d", 700_000_000+random.IntN(1_000_000)*(i+1))
@@ -47,7 +47,7 @@
 	f.recordsChanged()
 }
 
-// endQuarter ends one attempt in four.
+// endQuarter ends a random quarter of the attempts.
 func (f *fixture) endQuarter(random *rand.Rand) {
 	for _, agent := range f.reconciler.agents.sorted {
 		for _, ref := range storage.SortedTasks(agent.attempts) {
@@ -58,11 +58,12 @@
 	}
 }
 
-// TestDrainedMachineLosesItsNames: a task had ended before its machine began to drain,
-// and its name was to be removed at leisure. That never came while all writes were
-// needed for new tasks: sixty machines drained for minutes, and as no more may drain
-// at a time the whole fleet stayed rented (repechage-next, simulated).
-func TestDrainedMachineLosesItsNames(t *testing.T) {
+// TestDrainingMachineRemovedFromIntentPages guards against drains that never complete. If a
+// task ends before its machine begins to drain, the removal from the intent page is not
+// urgent, and was never written while new tasks needed all writes. In the simulated scenario
+// repechage-next, 60 machines, the maximum that may drain at a time, drained for minutes, so
+// the cluster could not scale in.
+func TestDrainingMachineRemovedFromIntentPages(t *testing.T) {
 	f := newFleetFixture(t, mediumFleet)
 	agent := f.reconciler.agents.find(fleetMachineName(17))
 	f.reconciler.end(agent.attempts[storage.SortedTasks(agent.attempts)[0]], "stopped")
@@ -70,23 +71,23 @@
 	for range 20 {
 		f.now += time.Second
 		f.refreshKnowledge()
-		f.limitWrites(2.5) // never more than half of what there may be
+		f.limitWrites(2.5) // the budget stays below half of its rate: there are no spare writes
 		f.reconciler.evictForDrains()
 		f.reconciler.writers[0].flush()
 		f.applyTransactions()
 	}
 	if len(agent.machine.Intents) > 0 {
-		t.Error("the machine is still named")
+		t.Error("an intent page still names the machine")
 	}
 	if status := f.reconciler.MachineStatuses()[17]; status.Name != agent.machine.Name || status.Tasks > 0 {
-		t.Errorf("%+v", status)
+		t.Errorf("status of the drained machine: %+v", status)
 	}
 }
 
-// TestNewTasksAreWrittenFirst: where there are writes for one page only, it is the one
-// that new tasks wait for, not one of the many that drained machines have left to be
-// cleaned up.
-func TestNewTasksAreWrittenFirst(t *testing.T) {
+// TestPagesWithNewTasksAreWrittenFirst guards against new tasks that wait for the cleanup of
+// drained machines: if the budget allows one page only, the page with new tasks is written
+// before the many pages that still name drained machines.
+func TestPagesWithNewTasksAreWrittenFirst(t *testing.T) {
 	f := newFleetFixture(t, mediumFleet)
 	writer := f.reconciler.writers[0]
 	endOn := func(machine int, phase storage.MachinePhase) {
@@ -100,37 +101,37 @@
 		endOn(page*fleetTasksPerPage, storage.PhaseDraining)
 	}
 	for i := 1; i < fleetTasksPerPage; i++ {
-		endOn(19*fleetTasksPerPage+i, storage.PhaseDraining) // the emptiest of those pages, so new tasks are put there
+		endOn(19*fleetTasksPerPage+i, storage.PhaseDraining) // empties the page, so that new tasks are assigned to it
 		endOn(30*fleetTasksPerPage+i, storage.PhaseActive)
 	}
-	dirty := 0
+	urgent := 0
 	for _, page := range writer.intentPages {
-		if page.dirty {
-			dirty++
+		if page.urgent {
+			urgent++
 		}
 	}
-	if dirty < 10 {
-		t.Fatalf("%d pages are to be written", dirty)
+	if urgent < 10 {
+		t.Fatalf("%d pages are urgent", urgent)
 	}
 	f.waitingJob()
 	f.reconciler.place()
 	if len(writer.unassigned) == 0 {
-		t.Fatal("nothing new was placed")
+		t.Fatal("no new task was placed")
 	}
 	f.transactions = nil
 	f.limitWrites(1)
-	f.now += flushPause
+	f.now += flushInterval
 	writer.flush()
 	if len(f.transactions) != 1 || len(f.transactions[0].Operations) != 1 {
 		t.Fatalf("transactions: %v", f.transactions)
 	}
 	if page := string(f.transactions[0].Operations[0].Value); !strings.Contains(page, "run-999999") {
-		t.Errorf("written first: %s %s", f.transactions[0].Operations[0].Put, page)
+		t.Errorf("the first write has no new task: %s %s", f.transactions[0].Operations[0].Put, page)
 	}
 }
 
-// TestWritesForManyTasks: two thousand tasks that start on a fleet of four thousand
-// machines need a few tens of writes, not one each.
+// TestWritesForManyTasks guards against one write per task: the start of 2000 tasks on 4000
+// machines must need only a few dozen page writes.
 func TestWritesForManyTasks(t *testing.T) {
 	const starting = 2000
 	f := newFleetFixture(t, largeFleet)
@@ -145,7 +146,7 @@
 	f.transactions = nil
 	f.reconciler.place()
 	writer := f.reconciler.writers[0]
-	writer.assign()
+	writer.assignPages()
 	placed := 0
 	for ref := range f.reconciler.attemptsByTask {
 		if f.view.Jobs.Get(ref.Job).ID == "run-900000" {
