--- a/internal/coordination/reconcile/commands_test.go
+++ b/internal/coordination/reconcile/commands_test.go
@@ -42,7 +42,7 @@
 	}
 	f.apply(storage.CompletionPageKey(firstPage), storage.CompletionPage{storage.CompletionChunkName("run-1", 0): {1}})
 	f.reconciler.pass()
-	// The reap is delayed so that several reaps share a command request.
+	// The reap is first delayed so that several reaps share a request, and then sent alone.
 	if commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current, ended); len(commands) != 0 {
 		t.Fatalf("commands as soon as the completion is durable: %v", commands)
 	}
