--- a/internal/coordination/reconcile/allocs_test.go
+++ b/internal/coordination/reconcile/allocs_test.go
@@ -12,9 +12,9 @@
 // controller are heartbeats without changes, whose processing must allocate next to nothing,
 // regardless of the number of machines.
 func TestHeartbeatAllocations(t *testing.T) {
-	f := newFixture(t, inherited)
-	f.heartbeat(1, grantToken, running)
-	heartbeat := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: 1, FencingToken: grantToken, Tasks: []protocol.TaskStatus{running}}
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(1, grantToken, runningStatus)
+	heartbeat := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: 1, FencingToken: grantToken, Tasks: []protocol.TaskStatus{runningStatus}}
 	f.reconciler.pass() // sends the commands that follow from the first heartbeat
 	f.boundHeartbeatAllocations(heartbeat)
 }
@@ -46,7 +46,7 @@
 		before := f.view.FleetRevision
 		f.apply(key, record)
 		f.recordsChanged()
-		if f.reconciler.seen.fleet != f.view.FleetRevision {
+		if f.reconciler.synced.fleet != f.view.FleetRevision {
 			t.Fatal("the reconciler has not synced with the last change")
 		}
 		return f.view.FleetRevision != before
@@ -69,7 +69,7 @@
 	}
 	f.remove(storage.JobKey("run-50"))
 	f.recordsChanged()
-	if f.reconciler.seen.jobsEnded != f.view.JobsEnded {
+	if f.reconciler.synced.jobsEnded != f.view.JobsEnded {
 		t.Error("the end of a job was not processed")
 	}
 }
@@ -82,7 +82,7 @@
 		if n := testing.AllocsPerRun(20, f.reconciler.pass); n > 16 {
 			t.Errorf("%d machines: %v allocations for a pass with nothing to place", machines, n)
 		}
-		f.waitingJob()
+		f.addUnplaceableJob()
 		if n := testing.AllocsPerRun(20, f.reconciler.pass); n > 64 {
 			t.Errorf("%d machines: %v allocations for a pass with pending tasks that fit nowhere", machines, n)
 		}
--- a/internal/coordination/reconcile/commands.go
+++ b/internal/coordination/reconcile/commands.go
@@ -10,7 +10,7 @@
 	"rockrun/internal/storage"
 )
 
-// commandsFor returns the commands that bring a machine from the state in its agent's last
+// heartbeatCommands returns the commands that bring a machine from the state in its agent's last
 // heartbeat to the desired state.
 func (r *Reconciler) commandsFor(agent *agent) []protocol.Command {
 	if !agent.needsAttention {
--- a/internal/coordination/reconcile/commands_test.go
+++ b/internal/coordination/reconcile/commands_test.go
@@ -22,18 +22,18 @@
 	for _, a := range agent.attempts {
 		number = a.number
 	}
-	if commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current); len(commands) != 0 {
+	if commands := f.heartbeatCommands(agent.contact.sequence+1, agent.fence.current); len(commands) != 0 {
 		t.Fatalf("commands before the intent is durable: %v", commands)
 	}
 	f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {storage.IntentEntry(0, "m-1", number)}})
-	commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current)
+	commands := f.heartbeatCommands(agent.contact.sequence+1, agent.fence.current)
 	if len(commands) != 1 || commands[0].Verb != protocol.VerbStart {
 		t.Fatalf("commands once the intent is durable: %v", commands)
 	}
 	startToken := agent.fence.highestStart
 	ended := protocol.TaskStatus{Task: "run-1/0", Attempt: number, State: protocol.TaskEnded, Cause: protocol.CauseDone}
 	for range 2 {
-		for _, c := range f.commandsFor(agent.contact.sequence+1, agent.fence.current, ended) {
+		for _, c := range f.heartbeatCommands(agent.contact.sequence+1, agent.fence.current, ended) {
 			if c.Verb == protocol.VerbReap {
 				t.Fatal("task reaped before its completion is durable")
 			}
@@ -43,11 +43,11 @@
 	f.apply(storage.CompletionPageKey(firstPage), storage.CompletionPage{storage.CompletionChunkName("run-1", 0): {1}})
 	f.reconciler.pass()
 	// The reap is first delayed so that several reaps share a request, and then sent alone.
-	if commands := f.commandsFor(agent.contact.sequence+1, agent.fence.current, ended); len(commands) != 0 {
+	if commands := f.heartbeatCommands(agent.contact.sequence+1, agent.fence.current, ended); len(commands) != 0 {
 		t.Fatalf("commands as soon as the completion is durable: %v", commands)
 	}
 	f.now += reapAfter
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	answer, err := f.heartbeat(agent.contact.sequence+1, agent.fence.current, ended)
 	if err != nil || len(answer.Commands) == 0 || answer.Commands[0].Verb != protocol.VerbReap {
 		t.Fatalf("commands once the reap is due: %v, %v", answer.Commands, err)
@@ -62,14 +62,14 @@
 // fence is not confirmed yet. That answer must include the stops of cancelled jobs: the next
 // answer may never arrive, and the renewed lease would let the task run past the deadline.
 func TestLeaseRenewalCarriesStopOfCancelledJob(t *testing.T) {
-	f := newFixture(t, inherited)
+	f := newFixture(t, inheritedIntent)
 	f.remove(storage.JobKey("run-1"))
 	f.recordsChanged()
-	commands := f.commandsFor(1, grantToken-1, running)
+	commands := f.heartbeatCommands(1, grantToken-1, runningStatus)
 	if f.agent().fence.confirmed {
 		t.Fatal("the fence is confirmed, so this is not the first answer of a new holder")
 	}
-	if !stopsAtOnce(commands) {
+	if !stopsWithoutGrace(commands) {
 		t.Errorf("the answer renews the lease without a stop: %v", commands)
 	}
 	if f.liveAttempts() != 1 {
--- a/internal/coordination/reconcile/oversized_pages_test.go
+++ b/internal/coordination/reconcile/oversized_pages_test.go
@@ -20,7 +20,7 @@
 	writer := f.reconciler.writers[0]
 	for range 5 * seconds {
 		f.now += 200 * time.Millisecond
-		f.refreshKnowledge()
+		f.refreshViewAndLeases()
 		writer.flush()
 		f.applyTransactions()
 		for _, page := range writer.intentPages {
--- a/internal/coordination/reconcile/record_writer_test.go
+++ b/internal/coordination/reconcile/record_writer_test.go
@@ -22,7 +22,7 @@
 		writer := f.reconciler.writers[0]
 		for range 12 {
 			f.now += 200 * time.Millisecond
-			f.refreshKnowledge()
+			f.refreshViewAndLeases()
 			f.reconciler.place()
 			writer.assignPages()
 			for _, page := range writer.intentPages {
@@ -70,8 +70,8 @@
 	agent.machine.Phase = storage.PhaseDraining
 	for range 20 {
 		f.now += time.Second
-		f.refreshKnowledge()
-		f.limitWrites(2.5) // the budget stays below half of its rate: there are no spare writes
+		f.refreshViewAndLeases()
+		f.setWriteRate(2.5) // the budget stays below half of its rate: there are no spare writes
 		f.reconciler.evictForDrains()
 		f.reconciler.writers[0].flush()
 		f.applyTransactions()
@@ -113,13 +113,13 @@
 	if urgent < 10 {
 		t.Fatalf("%d pages are urgent", urgent)
 	}
-	f.waitingJob()
+	f.addUnplaceableJob()
 	f.reconciler.place()
 	if len(writer.unassigned) == 0 {
 		t.Fatal("no new task was placed")
 	}
 	f.transactions = nil
-	f.limitWrites(1)
+	f.setWriteRate(1)
 	f.now += flushInterval
 	writer.flush()
 	if len(f.transactions) != 1 || len(f.transactions[0].Operations) != 1 {
