--- a/internal/coordination/reconcile/agent_test.go
+++ b/internal/coordination/reconcile/agent_test.go
@@ -63,11 +63,11 @@
 	expect("not requested", time.Minute, false)
 	a.stop.request(a.saveGrace())
 	expect("requested", time.Minute, true)
-	if command := a.stopNow(time.Minute); command.Verb != protocol.VerbStop || *command.GraceSeconds != 5 {
+	if command := a.issueStop(time.Minute); command.Verb != protocol.VerbStop || *command.GraceSeconds != 5 {
 		t.Errorf("%+v", command)
 	}
-	expect("sent", time.Minute+stopRepeatPause, false)
-	expect("unheeded", time.Minute+stopRepeatPause+1, true)
+	expect("sent", time.Minute+stopRetryInterval, false)
+	expect("unheeded", time.Minute+stopRetryInterval+1, true)
 	a.state = attemptSaving
 	expect("saves", time.Hour, false)
 	a.stop.request(0)
--- a/internal/coordination/reconcile/allocs_test.go
+++ b/internal/coordination/reconcile/allocs_test.go
@@ -16,11 +16,11 @@
 	f.heartbeat(1, grantToken, runningStatus)
 	heartbeat := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: 1, FencingToken: grantToken, Tasks: []protocol.TaskStatus{runningStatus}}
 	f.reconciler.pass() // sends the commands that follow from the first heartbeat
-	f.boundHeartbeatAllocations(heartbeat)
+	f.checkHeartbeatAllocations(heartbeat)
 }
 
-// boundHeartbeatAllocations checks the allocations of a heartbeat without changes.
-func (f *fixture) boundHeartbeatAllocations(heartbeat *protocol.AgentHeartbeat) {
+// checkHeartbeatAllocations checks the allocations of a heartbeat without changes.
+func (f *fixture) checkHeartbeatAllocations(heartbeat *protocol.AgentHeartbeat) {
 	f.t.Helper()
 	_, machine := f.view.Machines.Find(heartbeat.Machine)
 	reply := func(protocol.AgentHeartbeatAnswer) {}
--- a/internal/coordination/reconcile/attempt.go
+++ b/internal/coordination/reconcile/attempt.go
@@ -44,7 +44,7 @@
 
 // stopDue reports whether a stop must be sent or repeated.
 func (a *attempt) stopDue(now time.Duration) bool {
-	return a.live() && a.stop.requested && (a.stop.sentAt == 0 || now-a.stop.sentAt > stopRepeatPause && a.state != attemptSaving)
+	return a.live() && a.stop.requested && (a.stop.sentAt == 0 || now-a.stop.sentAt > stopRetryInterval && a.state != attemptSaving)
 }
 
 // saveGrace is the time in seconds that the task needs to save its progress when stopped, or
@@ -56,8 +56,8 @@
 	return 0
 }
 
-// stopNow returns the stop command of the attempt and notes that it is sent now.
-func (a *attempt) stopNow(now time.Duration) protocol.Command {
+// issueStop returns the stop command of the attempt and notes that it is sent now.
+func (a *attempt) issueStop(now time.Duration) protocol.Command {
 	grace := a.stop.graceSeconds
 	a.stop.sentAt = now
 	return protocol.Command{Verb: protocol.VerbStop, Task: protocol.TaskName(a.job.ID, a.task), Attempt: a.number, GraceSeconds: &grace}
@@ -87,8 +87,8 @@
 	s.token, s.epoch = token, epoch
 }
 
-// stopRepeatPause is the delay after which a stop without effect is sent again.
-const stopRepeatPause = 2 * time.Second
+// stopRetryInterval is the delay after which a stop without effect is sent again.
+const stopRetryInterval = 2 * time.Second
 
 // stopCommand describes whether and how an attempt must be stopped. A requested stop is never
 // withdrawn.
--- a/internal/coordination/reconcile/attempt_state.go
+++ b/internal/coordination/reconcile/attempt_state.go
@@ -58,9 +58,9 @@
 	return nil
 }
 
-// stateOnAgent returns the attempt state for a task state in a heartbeat, or false if the
+// parseTaskState returns the attempt state for a task state in a heartbeat, or false if the
 // task state is unknown.
-func stateOnAgent(reported string) (attemptState, bool) {
+func parseTaskState(reported string) (attemptState, bool) {
 	switch reported {
 	case protocol.TaskFetching, protocol.TaskAwaitingGang:
 		return attemptFetching, true
--- a/internal/coordination/reconcile/attempt_state_test.go
+++ b/internal/coordination/reconcile/attempt_state_test.go
@@ -44,7 +44,7 @@
 		{protocol.TaskEnded, attemptEnded, true},
 		{"no-such-state", attemptPlanned, false},
 	} {
-		if state, known := stateOnAgent(c.reported); state != c.want || known != c.known {
+		if state, known := parseTaskState(c.reported); state != c.want || known != c.known {
 			t.Errorf("%s: %s, known %t", c.reported, state, known)
 		}
 	}
--- a/internal/coordination/reconcile/commands.go
+++ b/internal/coordination/reconcile/commands.go
@@ -65,7 +65,7 @@
 	commands := []protocol.Command{}
 	for _, ref := range storage.SortedTasks(agent.attempts) {
 		if attempt := agent.attempts[ref]; attempt.live() && attempt.stop.requested {
-			commands = append(commands, attempt.stopNow(r.now()))
+			commands = append(commands, attempt.issueStop(r.now()))
 			r.logCommand(attempt, protocol.VerbStop)
 		}
 	}
@@ -100,13 +100,13 @@
 		return command, false
 	case attempt.stop.requested:
 		if attempt.state == attemptPlanned && !attempt.start.sent() {
-			r.end(attempt, "not started")
+			r.endAttempt(attempt, "not started")
 			return command, false
 		}
 		if attempt.state == attemptPlanned {
 			attempt.agent.fence.raiseAbove(attempt.start.token) // so that its absence from a heartbeat proves that it does not run
 		}
-		return attempt.stopNow(r.now()), true
+		return attempt.issueStop(r.now()), true
 	case attempt.startable():
 		return attempt.issueStart(r.now()), true
 	}
--- a/internal/coordination/reconcile/completion.go
+++ b/internal/coordination/reconcile/completion.go
@@ -19,9 +19,9 @@
 	finalRecordsInFlight int
 }
 
-// end marks an attempt as confirmed terminated. A completed attempt is retained until its
+// endAttempt marks an attempt as confirmed terminated. A completed attempt is retained until its
 // completion is durable. Any other attempt is removed, which makes its task pending again.
-func (r *Reconciler) end(attempt *attempt, cause string) {
+func (r *Reconciler) endAttempt(attempt *attempt, cause string) {
 	if !attempt.live() {
 		return
 	}
@@ -48,20 +48,20 @@
 	}
 }
 
-// endAll ends all attempts on a machine that certainly runs none of them.
-func (r *Reconciler) endAll(agent *agent, reason string) {
+// endAllAttempts ends all attempts on a machine that certainly runs none of them.
+func (r *Reconciler) endAllAttempts(agent *agent, reason string) {
 	if len(agent.attempts) > 0 {
 		r.Log.Info("tasks lost", "machine", agent.machine.Name, "tasks", len(agent.attempts), "reason", reason)
 	}
 	for _, ref := range storage.SortedTasks(agent.attempts) {
-		r.end(agent.attempts[ref], "lost")
+		r.endAttempt(agent.attempts[ref], "lost")
 	}
 	agent.unexpected.list = nil
 }
 
-// writeJobEnds writes the final records of jobs whose tasks are all done, and removes
+// writeFinalRecords writes the final records of jobs whose tasks are all done, and removes
 // completed attempts from their machines once their completion is durable.
-func (r *Reconciler) writeJobEnds() {
+func (r *Reconciler) writeFinalRecords() {
 	pending := &r.completions
 	pending.jobs = slices.DeleteFunc(pending.jobs, func(progress *jobProgress) bool {
 		if progress.job.Ended() || r.jobs[progress.job] != progress {
--- a/internal/coordination/reconcile/fleet_test.go
+++ b/internal/coordination/reconcile/fleet_test.go
@@ -37,7 +37,7 @@
 	if n := len(f.transactions); n > 0 {
 		t.Errorf("%d transactions, want none", n)
 	}
-	f.boundHeartbeatAllocations(fleetHeartbeat(7, 2))
+	f.checkHeartbeatAllocations(fleetHeartbeat(7, 2))
 }
 
 // TestMachineStatusesSize bounds the encoded size per machine of a holder's statuses for the
--- a/internal/coordination/reconcile/heartbeat.go
+++ b/internal/coordination/reconcile/heartbeat.go
@@ -135,7 +135,7 @@
 
 // applyTaskStatus takes in the state of a live attempt and reports whether it has ended.
 func (r *Reconciler) applyTaskStatus(attempt *attempt, status *protocol.TaskStatus) (ended bool) {
-	state, known := stateOnAgent(status.State)
+	state, known := parseTaskState(status.State)
 	switch {
 	case !known:
 		return false
@@ -160,7 +160,7 @@
 			continue
 		}
 		if cause := causeOfAbsence(attempt, heartbeat); cause != "" {
-			r.end(attempt, cause)
+			r.endAttempt(attempt, cause)
 			ended = true
 		}
 	}
@@ -220,5 +220,5 @@
 		progress.backoffUntil = now + jobUnknownPause
 		r.Log.Warn("job unknown to agent", "machine", machine, "task", status.Task, "attempt", attempt.number)
 	}
-	r.end(attempt, status.Cause)
+	r.endAttempt(attempt, status.Cause)
 }
--- a/internal/coordination/reconcile/oversized_pages_test.go
+++ b/internal/coordination/reconcile/oversized_pages_test.go
@@ -48,9 +48,9 @@
 	}
 	draining := f.reconciler.agents.find(fleetMachineName(17))
 	draining.machine.Phase = storage.PhaseDraining
-	f.reconciler.end(draining.attempts[storage.SortedTasks(draining.attempts)[0]], "stopped")
+	f.reconciler.endAttempt(draining.attempts[storage.SortedTasks(draining.attempts)[0]], "stopped")
 	active := f.reconciler.agents.find(fleetMachineName(200)) // still gets new tasks, so the removal is not urgent
-	f.reconciler.end(active.attempts[storage.SortedTasks(active.attempts)[0]], "stopped")
+	f.reconciler.endAttempt(active.attempts[storage.SortedTasks(active.attempts)[0]], "stopped")
 	f.flushForSeconds(10, func() {
 		t.Helper()
 		for _, agent := range f.reconciler.agents.sorted {
--- a/internal/coordination/reconcile/page.go
+++ b/internal/coordination/reconcile/page.go
@@ -98,8 +98,8 @@
 	p.bytes -= p.entryBytes(a)
 }
 
-// drop removes an ended attempt from the page.
-func (p *intentPage) drop(a *attempt, now time.Duration) {
+// removeEnded removes an ended attempt from the page.
+func (p *intentPage) removeEnded(a *attempt, now time.Duration) {
 	if !p.attempts[a] {
 		return
 	}
--- a/internal/coordination/reconcile/pass.go
+++ b/internal/coordination/reconcile/pass.go
@@ -56,7 +56,7 @@
 			r.sendDueCommands(agent)
 		}
 	}
-	r.writeJobEnds()
+	r.writeFinalRecords()
 	r.OnPassEnd()
 	r.schedule.nextPassAt = r.now() + max(minPassInterval, passIntervalFactor*(r.now()-began))
 }
--- a/internal/coordination/reconcile/reconciler.go
+++ b/internal/coordination/reconcile/reconciler.go
@@ -94,7 +94,7 @@
 		delete(attempt.agent.attempts, ref)
 	}
 	if attempt.page != nil {
-		attempt.page.drop(attempt, r.now())
+		attempt.page.removeEnded(attempt, r.now())
 	}
 	if r.attemptsByTask[ref]--; r.attemptsByTask[ref] <= 0 {
 		delete(r.attemptsByTask, ref)
@@ -117,7 +117,7 @@
 			// a former holder could renew it only until its view exceeded MaxStaleness.
 			expiry := contact.lastRenewedAt(r.MaxStaleness) + lease + lease/1000 + config.LeaseMargin
 			if now > expiry && now > contact.lastHeartbeatAt+lease {
-				r.endAll(agent, "agent's lease has expired")
+				r.endAllAttempts(agent, "agent's lease has expired")
 			}
 		}
 		if !agent.fence.confirmed && now-contact.heldSince < lease && len(agent.machine.Intents) > 0 {
@@ -127,7 +127,7 @@
 	r.settleDisplacedAgents()
 	for shard := range r.View.Grants {
 		if writer := r.writers[shard]; writer != nil {
-			writer.flushSoon()
+			writer.flushIfHeld()
 		}
 	}
 	r.logSummaries(now)
--- a/internal/coordination/reconcile/record_writer.go
+++ b/internal/coordination/reconcile/record_writer.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// mayStillName reports whether a write whose outcome is unknown names a machine.
-func (w *recordWriter) mayStillName(a *agent) bool {
+// unresolvedWriteMayName reports whether a write whose outcome is unknown names a machine.
+func (w *recordWriter) unresolvedWriteMayName(a *agent) bool {
 	return slices.ContainsFunc(w.intentPages, func(page *intentPage) bool { return page.possiblyNamed[a] })
 }
 
@@ -145,8 +145,8 @@
 	}
 }
 
-// flushSoon writes the due pages outside of a pass, if the shard is still held.
-func (w *recordWriter) flushSoon() {
+// flushIfHeld writes the due pages outside of a pass, if the shard is still held.
+func (w *recordWriter) flushIfHeld() {
 	if !w.retired && !w.Generation.Ended() && w.Leases.MayActFor(w.shard) {
 		w.flush()
 	}
--- a/internal/coordination/reconcile/record_writer_test.go
+++ b/internal/coordination/reconcile/record_writer_test.go
@@ -52,7 +52,7 @@
 	for _, agent := range f.reconciler.agents.sorted {
 		for _, ref := range storage.SortedTasks(agent.attempts) {
 			if random.IntN(4) == 0 {
-				f.reconciler.end(agent.attempts[ref], "stopped")
+				f.reconciler.endAttempt(agent.attempts[ref], "stopped")
 			}
 		}
 	}
@@ -66,7 +66,7 @@
 func TestDrainingMachineRemovedFromIntentPages(t *testing.T) {
 	f := newFleetFixture(t, mediumFleet)
 	agent := f.reconciler.agents.find(fleetMachineName(17))
-	f.reconciler.end(agent.attempts[storage.SortedTasks(agent.attempts)[0]], "stopped")
+	f.reconciler.endAttempt(agent.attempts[storage.SortedTasks(agent.attempts)[0]], "stopped")
 	agent.machine.Phase = storage.PhaseDraining
 	for range 20 {
 		f.now += time.Second
@@ -94,7 +94,7 @@
 		agent := f.reconciler.agents.find(fleetMachineName(machine))
 		agent.machine.Phase = phase
 		for _, ref := range storage.SortedTasks(agent.attempts) {
-			f.reconciler.end(agent.attempts[ref], "stopped")
+			f.reconciler.endAttempt(agent.attempts[ref], "stopped")
 		}
 	}
 	for page := range 20 {
@@ -137,7 +137,7 @@
 	f := newFleetFixture(t, largeFleet)
 	for i := range starting {
 		agent := f.reconciler.agents.find(fleetMachineName(i))
-		f.reconciler.end(agent.attempts[storage.SortedTasks(agent.attempts)[0]], "stopped")
+		f.reconciler.endAttempt(agent.attempts[storage.SortedTasks(agent.attempts)[0]], "stopped")
 	}
 	f.apply(storage.JobKey("run-900000"), storage.JobRecord{Spec: protocol.JobSpec{
 		ID: "run-900000", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: starting, CPUs: 4, MemoryGB: 29, Spot: true, EstimateSeconds: 15,
--- a/internal/coordination/reconcile/sync.go
+++ b/internal/coordination/reconcile/sync.go
@@ -61,7 +61,7 @@
 	case recorded != machine:
 		r.release(agent) // neither a group nor an intent named it for a moment
 	case machine.Deleted():
-		r.endAll(agent, "machine is gone")
+		r.endAllAttempts(agent, "machine is gone")
 		r.release(agent)
 	case machine.Exists() && machine.Shard == agent.shard:
 		r.reinstate(agent)
