--- a/internal/coordination/reconcile/agent.go
+++ b/internal/coordination/reconcile/agent.go
@@ -6,10 +6,10 @@
 	"rockrun/internal/storage"
 )
 
-// agent is what the holder of a shard knows of one machine and its agent.
+// agent is the shard holder's state for one machine and the agent on it.
 type agent struct {
 	machine        *storage.Machine
-	address        string // from the record or, earlier, from the agent itself
+	address        string // from the record or, until the record has it, from a heartbeat
 	shard          int
 	fence          fence
 	contact        contact
@@ -19,17 +19,18 @@
 	commands       commandChannel
 	attempts       map[storage.TaskRef]*attempt
 	unexpected     unexpectedTasks
-	imageWantedAt  map[int]time.Duration // by image: when it was last wanted here
-	needsAttention bool                  // there may be commands to send
-	// displaced: the records have the machine elsewhere, and it was not let go.
-	displaced displacement
-	departure
+	imageWantedAt  map[int]time.Duration // by image: when an attempt that uses it was last added
+	needsAttention bool                  // commands may have to be sent
+	// detachment is set while the records place the machine in another shard, or in none,
+	// and attempts on it are not confirmed terminated.
+	detachment detachment
+	removal
 }
 
-// departure is what is known of a machine that is about to go.
-type departure struct {
-	terminationAt  time.Duration // when the cloud takes it; 0: not announced
-	namesCheckedAt time.Duration // when pages that name it were last looked for, since it drains
+// removal is the state of a machine that is about to be terminated or is draining.
+type removal struct {
+	terminationAt  time.Duration // when the cloud terminates the machine; 0: not announced
+	namesCheckedAt time.Duration // when a draining machine's name was last searched for in the intent pages
 }
 
 func newAgent(machine *storage.Machine, granted uint64, now time.Duration) *agent {
@@ -44,16 +45,16 @@
 	}
 }
 
-// hasImage reports whether a job's image was fetched here, or is being.
+// hasImage reports whether the machine has fetched a job's image or is fetching it.
 func (a *agent) hasImage(job *storage.Job) bool {
 	_, wanted := a.imageWantedAt[job.ImageIndex]
 	return wanted
 }
 
-// draining reports whether the machine is to become empty.
+// draining reports whether the machine is being emptied.
 func (a *agent) draining() bool { return a.machine.Phase == storage.PhaseDraining }
 
-// hasPendingChanges reports whether an attempt is to begin or to end on the machine.
+// hasPendingChanges reports whether any attempt on the machine is planned or being stopped.
 func (a *agent) hasPendingChanges() bool {
 	for _, attempt := range a.attempts {
 		if attempt.live() && (attempt.stop.requested || attempt.state == attemptPlanned) {
@@ -63,7 +64,7 @@
 	return false
 }
 
-// hasDueStops reports whether a stop is to be sent, or to be repeated.
+// hasDueStops reports whether any stop must be sent or repeated now.
 func (a *agent) hasDueStops(now time.Duration) bool {
 	for _, attempt := range a.attempts {
 		if attempt.stopDue(now) {
@@ -73,8 +74,8 @@
 	return false
 }
 
-// hasUnsentCommands reports whether a start waits to be sent that was not sent yet, or a
-// stop that has gone unheeded.
+// hasUnsentCommands reports whether any attempt with a durable intent has a start that was
+// never sent, or a stop that must be sent or repeated.
 func (a *agent) hasUnsentCommands(now time.Duration) bool {
 	for _, attempt := range a.attempts {
 		if !attempt.live() {
@@ -90,10 +91,10 @@
 	return false
 }
 
-// needsResolution reports whether the machine has tasks that nobody asked for, or a stop
-// that still needs its proof.
+// needsResolution reports whether the machine has unexpected live tasks, or an attempt being
+// stopped that the agent has not reported yet and that is not confirmed terminated.
 func (a *agent) needsResolution() bool {
-	// Ended ones are reaped with the next answer or start; that is soon enough.
+	// Ended unexpected tasks can wait: the next heartbeat answer or start reaps them.
 	if a.unexpected.anyLive() {
 		return true
 	}
@@ -105,15 +106,15 @@
 	return false
 }
 
-// load is what the live attempts on a machine take.
+// load is the resources that the live attempts on a machine use.
 type load struct {
 	cpus        float64
 	gpus        float64
 	memoryGB    float64
-	serviceCPUs float64 // CPUs of those that are replicas
+	serviceCPUs float64 // CPUs used by service replicas
 }
 
-// add adds what a number of tasks of a job take; a negative number takes it off.
+// add adds the resources of a number of tasks of a job; a negative number subtracts them.
 func (l *load) add(job *storage.Job, tasks float64) {
 	l.cpus += tasks * job.CPUs
 	l.gpus += tasks * job.GPUs
--- a/internal/coordination/reconcile/agent_table.go
+++ b/internal/coordination/reconcile/agent_table.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// agentTable is the agents of the machines held.
+// agentTable holds the agents of the machines held by this controller.
 type agentTable struct {
 	byName map[string]*agent
-	sorted []*agent // the same, by machine name
+	sorted []*agent // the same agents, sorted by machine name
 }
 
 // find returns the agent of a machine, or nil.
 func (t *agentTable) find(machine string) *agent { return t.byName[machine] }
 
-// contains reports whether an agent is still held, and not another in its stead.
+// contains reports whether the table holds this agent itself, not a later one of the same
+// machine.
 func (t *agentTable) contains(a *agent) bool { return t.byName[a.machine.Name] == a }
 
 func (t *agentTable) insert(a *agent) {
--- a/internal/coordination/reconcile/agent_test.go
+++ b/internal/coordination/reconcile/agent_test.go
@@ -9,8 +9,8 @@
 	"rockrun/internal/storage"
 )
 
-// TestAgentTable: agents are found by name, listed by name, and one that was dropped is not
-// taken for its successor.
+// TestAgentTable: agents are found and sorted by machine name, and a removed agent is not
+// confused with its successor.
 func TestAgentTable(t *testing.T) {
 	table := agentTable{byName: map[string]*agent{}}
 	agents := map[string]*agent{}
@@ -19,38 +19,38 @@
 		table.insert(agents[name])
 	}
 	if !slices.Equal(table.sorted, []*agent{agents["m-1"], agents["m-2"], agents["m-3"]}) {
-		t.Error("not listed by name")
+		t.Error("agents are not sorted by machine name")
 	}
 	table.remove(agents["m-2"])
 	if table.find("m-2") != nil || table.contains(agents["m-2"]) || len(table.sorted) != 2 {
-		t.Error("a dropped agent is still there")
+		t.Error("a removed agent is still in the table")
 	}
 	table.insert(newAgent(&storage.Machine{MachineEntry: storage.MachineEntry{Name: "m-2"}}, 2, 0))
 	if table.find("m-2") == nil || table.contains(agents["m-2"]) || !table.contains(agents["m-3"]) {
-		t.Error("an agent is taken for another")
+		t.Error("an agent is confused with its successor")
 	}
 }
 
-// TestContact: silence counts from when the agent was last both heard and answered; its
-// lease from the last answer, or from when a former holder can have renewed it.
+// TestContact: silence counts from the earlier of the last heartbeat and the last answer. The
+// lease counts from the last answer, or from when an earlier holder can have renewed it.
 func TestContact(t *testing.T) {
 	const maxStaleness = 20 * time.Second
 	c := newAgent(&storage.Machine{}, 1, time.Minute).contact
 	if c.lastRenewedAt(maxStaleness) != time.Minute+maxStaleness {
-		t.Errorf("renewed at %s by a former holder", c.lastRenewedAt(maxStaleness))
+		t.Errorf("latest renewal by an earlier holder: %s", c.lastRenewedAt(maxStaleness))
 	}
 	c.observe(&protocol.AgentHeartbeat{Epoch: 3, Sequence: 7}, 2*time.Minute)
 	if c.epoch != 3 || c.sequence != 7 || c.silentSince() != time.Minute {
-		t.Errorf("heard and not answered: %+v", c)
+		t.Errorf("after an unanswered heartbeat: %+v", c)
 	}
 	c.lastAnsweredAt = 3 * time.Minute
 	if c.silentSince() != 2*time.Minute || c.lastRenewedAt(maxStaleness) != 3*time.Minute {
-		t.Errorf("answered: %+v", c)
+		t.Errorf("after an answer: %+v", c)
 	}
 }
 
-// TestStopCommand: a stop is due until it is sent, again after a pause, and not while the
-// task saves its progress; a new request is sent at once.
+// TestStopCommand: a stop is due until it is sent, and again after stopRepeatPause, but not
+// while the task saves its progress. A new stop request is due at once.
 func TestStopCommand(t *testing.T) {
 	a := &attempt{job: &storage.Job{}}
 	a.job.CheckpointSeconds, a.job.SaveSeconds = 10, 5
@@ -67,16 +67,16 @@
 		t.Errorf("%+v", command)
 	}
 	expect("sent", time.Minute+stopRepeatPause, false)
-	expect("unheeded", time.Minute+stopRepeatPause+1, true)
+	expect("sent, without effect", time.Minute+stopRepeatPause+1, true)
 	a.state = attemptSaving
-	expect("saves", time.Hour, false)
+	expect("saving", time.Hour, false)
 	a.stop.request(0)
-	expect("requested anew", time.Minute, true)
+	expect("requested again", time.Minute, true)
 	a.state = attemptEnded
 	expect("ended", time.Hour, false)
 }
 
-// TestUsageLedger: what an attempt adds to the sums is gone when it is taken off.
+// TestUsageLedger: removing an attempt subtracts exactly what adding it has added.
 func TestUsageLedger(t *testing.T) {
 	u := newUsageLedger(2)
 	job := &storage.Job{TeamIndex: 1}
--- a/internal/coordination/reconcile/contact.go
+++ b/internal/coordination/reconcile/contact.go
@@ -7,38 +7,39 @@
 	"rockrun/internal/protocol"
 )
 
-// contact is when and how an agent was last heard and answered.
+// contact tracks the latest heartbeat received from an agent and the latest answer to it.
 type contact struct {
 	epoch            uint64
-	sequence         uint64        // of the last heartbeat; 0: none yet
-	heldSince        time.Duration // when the machine was taken up
-	firstHeartbeatAt time.Duration // first under this grant
+	sequence         uint64        // of the last heartbeat; 0: none received yet
+	heldSince        time.Duration // when this controller acquired the machine, or when another holder may last have held it
+	firstHeartbeatAt time.Duration // when the first heartbeat arrived since the machine was acquired
 	lastHeartbeatAt  time.Duration
-	lastAnsweredAt   time.Duration // last time a heartbeat was answered, which renews the lease
+	lastAnsweredAt   time.Duration // when a heartbeat was last answered, which renews the agent's lease
 }
 
-// observe takes in a heartbeat that is news.
-func (c *contact) observe(r *protocol.AgentHeartbeat, now time.Duration) {
-	c.epoch, c.sequence, c.lastHeartbeatAt = r.Epoch, r.Sequence, now
+// observe records a heartbeat that is newer than the last one.
+func (c *contact) observe(heartbeat *protocol.AgentHeartbeat, now time.Duration) {
+	c.epoch, c.sequence, c.lastHeartbeatAt = heartbeat.Epoch, heartbeat.Sequence, now
 }
 
-// silentSince is since when the agent has not both been heard and answered.
+// silentSince is the earlier of the last heartbeat and the last answer: up to that time,
+// messages have passed in both directions.
 func (c *contact) silentSince() time.Duration { return min(c.lastHeartbeatAt, c.lastAnsweredAt) }
 
-// lastRenewedAt is when the agent's lease may last have been renewed: by this holder or,
-// until its knowledge ran out, by a former one.
+// lastRenewedAt is the latest time at which the agent's lease can have been renewed, by this
+// holder or by an earlier one, which may renew leases until its view exceeds maxStaleness.
 func (c *contact) lastRenewedAt(maxStaleness time.Duration) time.Duration {
 	return max(c.lastAnsweredAt, c.heldSince+maxStaleness)
 }
 
-// commandChannel is the sending of commands to an agent: one request at a time.
+// commandChannel tracks command requests to an agent; at most one is in flight.
 type commandChannel struct {
 	loop.Call
-	sendAgain bool // another request is wanted after the one in flight
+	sendAgain bool // send another request after the one in flight
 	sentAt    time.Duration
 }
 
-// begin takes up a request.
+// begin marks a request as in flight.
 func (c *commandChannel) begin(now time.Duration) {
 	c.Begin()
 	c.sendAgain, c.sentAt = false, now
--- a/internal/coordination/reconcile/fence.go
+++ b/internal/coordination/reconcile/fence.go
@@ -1,22 +1,22 @@
 package reconcile
 
-// fence orders the commands of an agent's holders by fencing tokens: the agent refuses
-// commands under a lower token than it has seen.
+// fence tracks the fencing tokens that order the commands of an agent's successive holders:
+// the agent rejects commands with a lower token than the highest that it has seen.
 type fence struct {
-	granted      uint64 // token of the grant
-	current      uint64 // token in use: that of the grant plus steps of this holder
-	highestStart uint64 // highest token under which a start was sent
-	// confirmed: a heartbeat has shown the grant's token, so no command of a former holder
-	// can take effect any more.
+	granted      uint64 // the grant's token
+	current      uint64 // token in use: the grant's token plus this holder's increments
+	highestStart uint64 // highest token with which a start was sent
+	// confirmed is set once a heartbeat has reported the grant's token or a higher one:
+	// commands of earlier holders can no longer take effect.
 	confirmed bool
 }
 
-// newFence is the fence of an agent that is taken up under a grant.
+// newFence makes the fence of an agent that is acquired under a grant.
 func newFence(granted uint64) fence {
 	return fence{granted: granted, current: granted, highestStart: granted - 1}
 }
 
-// regrant takes up a new grant of the agent; a lower token than that in force is ignored.
+// regrant applies a new grant; a token that is not above the current grant's is ignored.
 func (f *fence) regrant(granted uint64) {
 	if granted <= f.granted {
 		return
@@ -26,27 +26,27 @@
 	f.confirmed = false
 }
 
-// observe takes in the token that a heartbeat shows.
-func (f *fence) observe(shown uint64) { f.confirmed = shown >= f.granted }
+// observe records the token that a heartbeat reports.
+func (f *fence) observe(reported uint64) { f.confirmed = reported >= f.granted }
 
-// raise takes the next token into use and returns it.
+// raise increments the token in use and returns it.
 func (f *fence) raise() uint64 {
 	f.current++
 	return f.current
 }
 
-// raiseAbove takes a token into use that is higher than one under which commands were sent.
+// raiseAbove raises the token in use above a token with which commands were sent.
 func (f *fence) raiseAbove(sent uint64) {
 	if f.current <= sent {
 		f.current = sent + 1
 	}
 }
 
-// useForStart returns the token in use, under which a start is about to be sent.
+// useForStart returns the token in use and records that a start is sent with it.
 func (f *fence) useForStart() uint64 {
 	f.highestStart = f.current
 	return f.current
 }
 
-// raiseAboveStarts takes a token into use that is higher than that of any start sent.
+// raiseAboveStarts raises the token in use above that of every start sent so far.
 func (f *fence) raiseAboveStarts() { f.raiseAbove(f.highestStart) }
--- a/internal/coordination/reconcile/fence_test.go
+++ b/internal/coordination/reconcile/fence_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestFence: a fence is confirmed by the grant's token alone, a new grant asks for
-// confirmation anew, and what must follow starts goes out under a higher token than any.
+// TestFence: only the grant's token or a higher one confirms a fence, a new grant must be
+// confirmed again, and commands that must supersede starts get a higher token than any start.
 func TestFence(t *testing.T) {
 	f := newFence(100)
 	for _, step := range []struct {
@@ -12,21 +12,21 @@
 		current   uint64
 		confirmed bool
 	}{
-		{"taken up", func() {}, 100, false},
-		{"a former holder's token shown", func() { f.observe(99) }, 100, false},
-		{"the grant's token shown", func() { f.observe(100) }, 100, true},
-		{"no start to rise above", f.raiseAboveStarts, 100, true},
-		{"a start sent", func() { f.useForStart() }, 100, true},
-		{"risen above the start", f.raiseAboveStarts, 101, true},
-		{"already above it", f.raiseAboveStarts, 101, true},
+		{"acquired", func() {}, 100, false},
+		{"token of an earlier holder reported", func() { f.observe(99) }, 100, false},
+		{"token of the grant reported", func() { f.observe(100) }, 100, true},
+		{"raised above starts, none sent", f.raiseAboveStarts, 100, true},
+		{"start sent", func() { f.useForStart() }, 100, true},
+		{"raised above the start", f.raiseAboveStarts, 101, true},
+		{"already above the start", f.raiseAboveStarts, 101, true},
 		{"raised", func() { f.raise() }, 102, true},
-		{"risen above a lower token", func() { f.raiseAbove(101) }, 102, true},
-		{"risen above the one in use", func() { f.raiseAbove(102) }, 103, true},
-		{"the same grant again", func() { f.regrant(100) }, 103, true},
-		{"a grant below the token in use", func() { f.regrant(102) }, 103, false},
-		{"its token shown", func() { f.observe(102) }, 103, true},
-		{"a grant above the token in use", func() { f.regrant(200) }, 200, false},
-		{"an older token shown", func() { f.observe(103) }, 200, false},
+		{"raised above a lower token", func() { f.raiseAbove(101) }, 102, true},
+		{"raised above the token in use", func() { f.raiseAbove(102) }, 103, true},
+		{"same grant again", func() { f.regrant(100) }, 103, true},
+		{"grant below the token in use", func() { f.regrant(102) }, 103, false},
+		{"token of that grant reported", func() { f.observe(102) }, 103, true},
+		{"grant above the token in use", func() { f.regrant(200) }, 200, false},
+		{"older token reported", func() { f.observe(103) }, 200, false},
 	} {
 		step.do()
 		if f.current != step.current || f.confirmed != step.confirmed {
--- a/internal/coordination/reconcile/health.go
+++ b/internal/coordination/reconcile/health.go
@@ -3,54 +3,59 @@
 import "time"
 
 const (
-	// quarantinePerError is for how long a machine takes no new tasks after each error in
-	// a row, up to maxCountedErrors of them.
+	// quarantinePerError is how long a machine gets no new tasks for each consecutive
+	// error, of which at most maxCountedErrors count.
 	quarantinePerError = 10 * time.Second
 	maxCountedErrors   = 6
-	// quarantineAfterRefusal is the same after it has refused a start.
+	// quarantineAfterRefusal is how long a machine gets no new tasks after it refused a
+	// start.
 	quarantineAfterRefusal = 2 * time.Second
-	// faultyErrors is how many errors in a row make a machine faulty.
+	// faultyErrors is the number of consecutive errors that make a machine faulty.
 	faultyErrors = 3
-	// maxMachinesBlamed is on how many machines tasks of a job may fail before the fault is
-	// taken to be the job's.
-	maxMachinesBlamed = 2
-
-	// minReferenceRuns is how many run times of a job others are compared with, and
-	// minRunTimeSamples how many comparisons a judgement rests on.
-	minReferenceRuns  = 2
+	// maxMachinesAtFault is the number of machines on which tasks of a job may fail before
+	// failures are attributed to the job.
+	maxMachinesAtFault = 2
+
+	// minReferenceRuns is the number of run times of a job needed before others are compared
+	// with their average.
+	minReferenceRuns = 2
+	// minRunTimeSamples is the number of comparisons needed before a machine can count as
+	// slow.
 	minRunTimeSamples = 4
-	// slowRunTime is the relative run time above which a machine is slow.
+	// slowRunTime is the relative run time above which a machine counts as slow.
 	slowRunTime = 1.6
-	// runTimeWeight is the weight of the newest run time in the average.
+	// runTimeWeight is the weight of the newest sample in the moving average of relative run
+	// times.
 	runTimeWeight = 0.3
 )
 
-// health is how a machine has done with its tasks.
+// health tracks the failures and run times of a machine's tasks.
 type health struct {
-	consecutiveErrors int           // failed tasks in a row
-	relativeRunTime   float64       // run times here by those of the same jobs elsewhere
-	runTimeSamples    int           // completed tasks that relativeRunTime rests on
-	quarantinedUntil  time.Duration // no new tasks before
+	consecutiveErrors int           // failed tasks since the last successful one
+	relativeRunTime   float64       // moving average of run times here, relative to those of the same jobs
+	runTimeSamples    int           // run times in relativeRunTime
+	quarantinedUntil  time.Duration // no new tasks before this time
 }
 
-// noteError takes in that a task has failed, by the machine's fault as far as is known.
-func (h *health) noteError(now time.Duration) {
+// recordError records a failed task that may be the machine's fault, and quarantines the
+// machine.
+func (h *health) recordError(now time.Duration) {
 	h.consecutiveErrors++
 	h.quarantinedUntil = now + time.Duration(min(h.consecutiveErrors, maxCountedErrors))*quarantinePerError
 }
 
-// noteDone takes in that a task is done.
-func (h *health) noteDone() { h.consecutiveErrors = 0 }
+// recordSuccess records a completed task, which resets the count of consecutive errors.
+func (h *health) recordSuccess() { h.consecutiveErrors = 0 }
 
-// noteRefusal takes in that the machine has refused a start.
-func (h *health) noteRefusal(now time.Duration) { h.quarantinedUntil = now + quarantineAfterRefusal }
+// recordRefusal quarantines the machine after it refused a start.
+func (h *health) recordRefusal(now time.Duration) { h.quarantinedUntil = now + quarantineAfterRefusal }
 
-// quarantined reports whether the machine takes no new tasks for now.
+// quarantined reports whether the machine gets no new tasks at present.
 func (h *health) quarantined(now time.Duration) bool { return now < h.quarantinedUntil }
 
-// noteRunTime compares a completed task's run time with those of its own job: the owners'
-// estimates are too often wrong to tell a slow machine by.
-func (h *health) noteRunTime(job *runTimes, seconds float64) {
+// recordRunTime compares a completed task's run time with the average of its job. Users'
+// estimates are wrong too often to detect slow machines with.
+func (h *health) recordRunTime(job *runTimes, seconds float64) {
 	if job.count >= minReferenceRuns && job.seconds > 0 {
 		ratio := seconds / (job.seconds / float64(job.count))
 		if h.runTimeSamples == 0 {
@@ -63,46 +68,47 @@
 	job.seconds += seconds
 }
 
-// slow reports whether the machine has shown to be much slower than others.
+// slow reports whether the machine has proved much slower than others.
 func (h *health) slow() bool {
 	return h.runTimeSamples >= minRunTimeSamples && h.relativeRunTime > slowRunTime
 }
 
-// faulty reports whether the machine had better be replaced.
+// faulty reports whether the machine should be replaced.
 func (h *health) faulty() bool { return h.consecutiveErrors >= faultyErrors || h.slow() }
 
-// runTimes sums up the run times of a job's completed tasks, as far as they are known.
+// runTimes sums the known run times of a job's completed tasks.
 type runTimes struct {
 	count   int
 	seconds float64
 }
 
-// failureRecord is how tasks of a job have failed since one was last done.
+// failureRecord tracks the failures of a job's tasks since one last completed.
 type failureRecord struct {
 	count    int
-	machines map[string]bool // on which they failed
+	machines map[string]bool // machines on which tasks failed
 }
 
-// note takes in a failure and reports whether it may be the machine's fault. A faulty
-// machine fails whatever it is given; a faulty job fails wherever it is, and after the
-// second machine the fault is taken to be the job's.
-func (f *failureRecord) note(machine string) (blamesMachine bool) {
+// add records a failure and reports whether it may be the machine's fault. A faulty machine
+// fails tasks of any job, a faulty job fails on any machine. Once a job has failed on more
+// than maxMachinesAtFault machines, its failures are attributed to the job.
+func (f *failureRecord) add(machine string) (machineAtFault bool) {
 	f.count++
 	if f.machines == nil {
 		f.machines = map[string]bool{}
 	}
 	f.machines[machine] = true
-	return len(f.machines) <= maxMachinesBlamed
+	return len(f.machines) <= maxMachinesAtFault
 }
 
 const (
-	// firstBackoff is the pause after a job's first failure, which doubles with each.
+	// firstBackoff is doubled with each failure of a job, the first included, at most
+	// maxDoublings times and up to maxBackoff.
 	firstBackoff = 250 * time.Millisecond
 	maxBackoff   = 20 * time.Second
 	maxDoublings = 6
 )
 
-// backoff is how long the job is not started again.
+// backoff is how long tasks of the job are not started after the last failure.
 func (f *failureRecord) backoff() time.Duration {
 	return min(time.Duration(1<<min(f.count, maxDoublings))*firstBackoff, maxBackoff)
 }
--- a/internal/coordination/reconcile/heartbeat.go
+++ b/internal/coordination/reconcile/heartbeat.go
@@ -10,18 +10,19 @@
 	"rockrun/internal/storage"
 )
 
-// OnHeartbeat takes in the heartbeat of a machine of a shard held. It calls reply with the
-// answer, which renews the agent's lease, or returns an api.RetryLaterError.
+// OnHeartbeat processes a heartbeat from a machine of a shard that this controller holds. It
+// calls reply with the answer, which renews the agent's lease, or returns an
+// api.RetryLaterError.
 func (r *Reconciler) OnHeartbeat(machine *storage.Machine, heartbeat *protocol.AgentHeartbeat, reply func(protocol.AgentHeartbeatAnswer)) error {
 	agent := r.agents.find(machine.Name)
 	if agent == nil || !r.Leases.MayActFor(machine.Shard) || heartbeat.FencingToken > agent.fence.current {
 		return &api.RetryLaterError{Reason: api.ErrNotEntitled, Machine: machine.Name}
 	}
 	contact := &agent.contact
-	news := heartbeat.NewerThan(contact.epoch, contact.sequence)
-	if !news && r.now()-contact.lastHeartbeatAt > membership.AgentAnswerTimeout {
-		// A copy that was held back on its way. Nobody waits for its answer,
-		// and it must not count as the renewal of a lease.
+	newer := heartbeat.NewerThan(contact.epoch, contact.sequence)
+	if !newer && r.now()-contact.lastHeartbeatAt > membership.AgentAnswerTimeout {
+		// A delayed duplicate: the agent no longer waits for the answer, so the answer
+		// must not count as a renewal of the lease.
 		return &api.RetryLaterError{Reason: api.ErrOldHeartbeat, Machine: machine.Name}
 	}
 	r.observeHeartbeat(agent, heartbeat, true)
@@ -35,10 +36,10 @@
 	return nil
 }
 
-// observeHeartbeat takes in what an agent says. Old news is ignored: packets that were
-// held back can bring heartbeats minutes late. awaitsAnswer is set where the agent waits
-// for an answer; otherwise the heartbeat itself answers a command and shows that those get
-// through.
+// observeHeartbeat applies a heartbeat to the agent's state. Heartbeats that are not newer
+// than the last one are ignored, since delayed packets can deliver them minutes late.
+// awaitsAnswer is set if the agent waits for an answer. Otherwise the heartbeat is itself the
+// answer to a command request, which shows that commands reach the agent.
 func (r *Reconciler) observeHeartbeat(agent *agent, heartbeat *protocol.AgentHeartbeat, awaitsAnswer bool) {
 	now := r.now()
 	contact := &agent.contact
@@ -48,7 +49,7 @@
 	if contact.sequence == 0 {
 		contact.firstHeartbeatAt = now
 	}
-	r.judgeReachability(agent, heartbeat, awaitsAnswer)
+	r.updateReachability(agent, heartbeat, awaitsAnswer)
 	contact.observe(heartbeat, now)
 	agent.fence.observe(heartbeat.FencingToken)
 	if heartbeat.Address != "" {
@@ -69,33 +70,34 @@
 	}
 }
 
-// judgeReachability judges from a heartbeat whether answers and commands reach the agent.
-func (r *Reconciler) judgeReachability(agent *agent, heartbeat *protocol.AgentHeartbeat, awaitsAnswer bool) {
+// updateReachability determines from a heartbeat whether answers and commands reach the
+// agent.
+func (r *Reconciler) updateReachability(agent *agent, heartbeat *protocol.AgentHeartbeat, awaitsAnswer bool) {
 	now := r.now()
-	patience := 2*r.AgentSettings.HeartbeatInterval() + membership.AgentAnswerTimeout
-	shown := heartbeat.FencingToken
+	timeout := 2*r.AgentSettings.HeartbeatInterval() + membership.AgentAnswerTimeout
+	reportedToken := heartbeat.FencingToken
 	reachability, fence := &agent.reachability, &agent.fence
-	reachability.begin(fence, agent.contact.heldSince)
-	if r.seemsUnheard(agent, heartbeat, patience) {
-		reachability.probe(fence, shown, now, r.AgentSettings.Lease())
+	reachability.ensureGrantChallenge(fence, agent.contact.heldSince)
+	if r.answersSeemLost(agent, heartbeat, timeout) {
+		reachability.challenge(fence, reportedToken, now, r.AgentSettings.Lease())
 	}
-	heardFor := now - agent.contact.firstHeartbeatAt
-	if reachability.observe(fence, shown, awaitsAnswer, now, heardFor, patience) {
-		r.Log.Info("machine hears nothing", "machine", agent.machine.Name, "epoch", heartbeat.Epoch, "token", shown)
+	sinceFirstHeartbeat := now - agent.contact.firstHeartbeatAt
+	if reachability.observe(fence, reportedToken, awaitsAnswer, now, sinceFirstHeartbeat, timeout) {
+		r.Log.Info("machine unresponsive", "machine", agent.machine.Name, "epoch", heartbeat.Epoch, "token", reportedToken)
 	}
 }
 
-// seemsUnheard reports whether a heartbeat gives reason to think that the agent hears
-// nothing. One that hears lists new tasks in its next heartbeat, and its epoch stays as
-// long as its heartbeats are answered.
-func (r *Reconciler) seemsUnheard(agent *agent, heartbeat *protocol.AgentHeartbeat, patience time.Duration) bool {
+// answersSeemLost reports whether a heartbeat suggests that neither answers nor commands
+// reach the agent. An agent that receives them lists new tasks in its next heartbeat, and
+// its epoch does not change while its heartbeats are answered.
+func (r *Reconciler) answersSeemLost(agent *agent, heartbeat *protocol.AgentHeartbeat, timeout time.Duration) bool {
 	now := r.now()
 	contact := &agent.contact
 	if heartbeat.Epoch > contact.epoch && contact.sequence > 0 && now-contact.lastAnsweredAt < r.AgentSettings.Lease()/2 {
 		return true
 	}
 	for _, attempt := range agent.attempts {
-		startOverdue := attempt.state == attemptPlanned && attempt.start.sent() && !attempt.inherited && now-attempt.start.sentAt > patience
+		startOverdue := attempt.state == attemptPlanned && attempt.start.sent() && !attempt.inherited && now-attempt.start.sentAt > timeout
 		if startOverdue && !listsAttempt(heartbeat, attempt.number) {
 			return true
 		}
@@ -107,15 +109,15 @@
 	return slices.ContainsFunc(heartbeat.Tasks, func(t protocol.TaskStatus) bool { return t.Attempt == number })
 }
 
-// applyTaskStatuses takes in the tasks that a heartbeat lists. It returns how many of the
-// attempts here it lists and whether any has ended.
+// applyTaskStatuses applies the task statuses of a heartbeat to the agent's attempts. It
+// returns the number of known attempts that the heartbeat lists, and whether any has ended.
 func (r *Reconciler) applyTaskStatuses(agent *agent, heartbeat *protocol.AgentHeartbeat) (listed int, ended bool) {
 	agent.unexpected.reset()
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
 		id, task, err := protocol.ParseTaskName(status.Task)
 		if err != nil {
-			r.Log.Warn("heartbeat lists what is no task", "machine", heartbeat.Machine, "task", status.Task)
+			r.Log.Warn("heartbeat task name rejected", "machine", heartbeat.Machine, "task", status.Task)
 			continue
 		}
 		job, _ := r.View.Jobs.Find(id)
@@ -133,7 +135,8 @@
 	return listed, ended
 }
 
-// applyTaskStatus takes in the state of a live attempt and reports whether it has ended.
+// applyTaskStatus applies the reported state of a live attempt and reports whether the
+// attempt has ended.
 func (r *Reconciler) applyTaskStatus(attempt *attempt, status *protocol.TaskStatus) (ended bool) {
 	state, known := stateOnAgent(status.State)
 	switch {
@@ -146,20 +149,20 @@
 		attempt.runningSince = r.now()
 	}
 	if err := attempt.state.advance(state); err != nil {
-		r.Log.Warn("attempt went back", "machine", attempt.agent.machine.Name, "task", status.Task, "attempt", attempt.number, "err", err)
+		r.Log.Warn("attempt state regressed", "machine", attempt.agent.machine.Name, "task", status.Task, "attempt", attempt.number, "err", err)
 	}
 	return false
 }
 
-// endMissingAttempts ends the attempts whose absence from a heartbeat proves that they are
-// over, and reports whether there were any.
+// endMissingAttempts ends the attempts whose absence from a heartbeat proves that they have
+// terminated, and reports whether there were any.
 func (r *Reconciler) endMissingAttempts(agent *agent, heartbeat *protocol.AgentHeartbeat) (ended bool) {
 	for _, ref := range storage.SortedTasks(agent.attempts) {
 		attempt := agent.attempts[ref]
 		if attempt.listedInSequence == heartbeat.Sequence || !attempt.live() {
 			continue
 		}
-		if cause := causeOfAbsence(attempt, heartbeat); cause != "" {
+		if cause := terminationCause(attempt, heartbeat); cause != "" {
 			r.end(attempt, cause)
 			ended = true
 		}
@@ -167,57 +170,60 @@
 	return ended
 }
 
-// causeOfAbsence is why an attempt that a heartbeat does not list is over, or "" where its
-// absence proves nothing.
-func causeOfAbsence(attempt *attempt, heartbeat *protocol.AgentHeartbeat) string {
+// terminationCause is why an attempt that a heartbeat does not list has certainly terminated,
+// or "" if its absence proves nothing.
+func terminationCause(attempt *attempt, heartbeat *protocol.AgentHeartbeat) string {
 	start, fence := &attempt.start, &attempt.agent.fence
 	switch {
 	case start.epoch != 0 && heartbeat.Epoch > start.epoch:
 		return "epoch over"
 	case attempt.state != attemptPlanned:
-		// Seen before and not any more: it is over. Only a new epoch or a reap of ours
-		// does this, and both come after its end.
+		// The agent has reported the attempt before. It drops an attempt only with a new
+		// epoch or when told to reap it, and either comes after the attempt has ended.
 		return "vanished"
-	case attempt.inherited && fence.confirmed, awaitsFence(attempt) && start.sent() && heartbeat.FencingToken > start.token:
-		// Not there, and every start that was ever sent for it is fenced.
+	case attempt.inherited && fence.confirmed, terminatesWhenFenced(attempt) && start.sent() && heartbeat.FencingToken > start.token:
+		// The agent does not have the attempt, and rejects every start that was ever sent
+		// for it.
 		return "never started"
 	}
 	return ""
 }
 
-// awaitsFence reports whether an attempt that was not seen is given up once its start is
-// fenced: it is to stop, or its machine is not held here any more, so that no grant of this
-// holder's proves anything there.
-func awaitsFence(a *attempt) bool { return a.stop.requested || a.agent.isDisplaced() }
+// terminatesWhenFenced reports whether an attempt that no heartbeat has listed counts as
+// terminated once the agent rejects its start. That holds for an attempt being stopped, and on
+// a detached machine, where a confirmed fence of this holder can no longer prove the attempt
+// terminated.
+func terminatesWhenFenced(a *attempt) bool { return a.stop.requested || a.agent.isDisplaced() }
 
-// jobUnknownPause is for how long a job is not started again that an agent did not know.
-const jobUnknownPause = 2 * time.Second
+// jobUnknownBackoff is how long tasks of a job are not started after an agent reported the job
+// as unknown.
+const jobUnknownBackoff = 2 * time.Second
 
-// applyOutcome takes in how a task was reported to have ended.
+// applyOutcome ends an attempt with the cause that its agent reported.
 func (r *Reconciler) applyOutcome(attempt *attempt, status *protocol.TaskStatus) {
 	now := r.now()
 	health, progress := &attempt.agent.health, attempt.progress
 	machine := attempt.agent.machine.Name
 	switch status.Cause {
 	case protocol.CauseDone:
-		health.noteDone()
+		health.recordSuccess()
 		progress.failures = failureRecord{}
 		if attempt.runningSince > 0 {
-			health.noteRunTime(&progress.runTimes, (now - attempt.runningSince).Seconds())
+			health.recordRunTime(&progress.runTimes, (now - attempt.runningSince).Seconds())
 		}
 	case protocol.CauseError:
-		// Faulty machines and faulty jobs are tried again ever more slowly.
-		if progress.failures.note(machine) {
-			health.noteError(now)
+		// The machine's quarantine and the job's backoff grow with each failure.
+		if progress.failures.add(machine) {
+			health.recordError(now)
 		}
 		progress.backoffUntil = now + progress.failures.backoff()
 		r.Log.Info("task failed", "machine", machine, "task", status.Task, "attempt", attempt.number,
 			"errors", health.consecutiveErrors, "fails", progress.failures.count)
 	case protocol.CauseNoCapacity, protocol.CauseAlreadyPresent:
-		health.noteRefusal(now)
+		health.recordRefusal(now)
 		r.Log.Warn("start refused", "machine", machine, "task", status.Task, "attempt", attempt.number, "cause", status.Cause)
 	case protocol.CauseJobUnknown:
-		progress.backoffUntil = now + jobUnknownPause
+		progress.backoffUntil = now + jobUnknownBackoff
 		r.Log.Warn("job unknown to agent", "machine", machine, "task", status.Task, "attempt", attempt.number)
 	}
 	r.end(attempt, status.Cause)
--- a/internal/coordination/reconcile/heartbeat_test.go
+++ b/internal/coordination/reconcile/heartbeat_test.go
@@ -14,22 +14,22 @@
 	"rockrun/internal/storage"
 )
 
-// TestFenceBeforeDeciding: absence from a heartbeat proves nothing while a command of a
-// former holder may still take effect; it does once the agent has seen this holder's
-// fencing token.
-func TestFenceBeforeDeciding(t *testing.T) {
+// TestAbsenceNeedsConfirmedFence: an attempt that is absent from a heartbeat may still be started
+// by a delayed command of an earlier holder. Its absence proves that it has terminated only once
+// the agent has reported this holder's fencing token.
+func TestAbsenceNeedsConfirmedFence(t *testing.T) {
 	f := newFixture(t, inherited)
 	f.heartbeat(1, grantToken-1)
 	if f.liveAttempts() != 1 {
-		t.Fatal("an unfenced heartbeat ended what a former holder may have started")
+		t.Fatal("a heartbeat without a confirmed fence ended an attempt that an earlier holder may have started")
 	}
 	f.heartbeat(2, grantToken)
 	if f.liveAttempts() != 0 {
-		t.Error("a fenced heartbeat did not end it")
+		t.Error("a heartbeat with a confirmed fence did not end the attempt")
 	}
 }
 
-// TestOldHeartbeatsAreIgnored: a heartbeat that was held back on its way is not news.
+// TestOldHeartbeatsAreIgnored: a heartbeat that is delivered after a newer one changes nothing.
 func TestOldHeartbeatsAreIgnored(t *testing.T) {
 	f := newFixture(t, inherited)
 	f.heartbeat(7, grantToken, running)
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestLostOnlyWhenLeaseExpired: silence alone proves nothing; the end of the agent's lease
-// does, counted from when a former holder may last have renewed it.
+// TestLostOnlyWhenLeaseExpired: missing heartbeats alone do not make an attempt lost. The expiry
+// of the agent's lease does, counted from when an earlier holder may last have renewed it.
 func TestLostOnlyWhenLeaseExpired(t *testing.T) {
 	f := newFixture(t, inherited)
 	lease, maxStaleness := f.reconciler.AgentSettings.Lease(), f.reconciler.MaxStaleness
@@ -57,26 +57,26 @@
 		f.refreshKnowledge()
 		f.reconciler.Tick()
 		if f.liveAttempts() != c.live {
-			t.Errorf("after %s, %d attempts count", c.after, f.liveAttempts())
+			t.Errorf("after %s: %d live attempts", c.after, f.liveAttempts())
 		}
 	}
 }
 
-// TestUnprovenAttemptsCount: whatever may be on a machine counts against the team's quota,
-// seen or not.
-func TestUnprovenAttemptsCount(t *testing.T) {
+// TestUnconfirmedAttemptsUseQuota: every attempt that may be on a machine counts against the
+// team's quota, also one that no heartbeat has listed.
+func TestUnconfirmedAttemptsUseQuota(t *testing.T) {
 	f := newFixture(t, inherited)
 	if got := f.reconciler.usage.ofShard(0)[0].CPUs; got != 4 {
-		t.Errorf("an inherited attempt counts as %v CPUs", got)
+		t.Errorf("inherited attempt: %v CPUs in use", got)
 	}
 	f.heartbeat(1, grantToken)
 	if got := f.reconciler.usage.ofShard(0)[0].CPUs; got != 0 {
-		t.Errorf("once it has ended it counts as %v CPUs", got)
+		t.Errorf("after the attempt ended: %v CPUs in use", got)
 	}
 }
 
-// TestNotEntitled: a holder whose knowledge is too old, or whose shard lease has expired,
-// does not renew agents' leases.
+// TestNotEntitled: a holder whose view is too stale, or whose shard lease has expired, does not
+// renew agents' leases. Nor does one whose agent has seen a higher fencing token.
 func TestNotEntitled(t *testing.T) {
 	f := newFixture(t)
 	expect := func(sequence, token uint64, want error, when string) {
@@ -88,37 +88,38 @@
 	expect(1, grantToken, nil, "while entitled")
 	f.now += f.reconciler.MaxStaleness + time.Second
 	f.extendLeases(testLease)
-	expect(2, grantToken, api.ErrNotEntitled, "with old knowledge")
+	expect(2, grantToken, api.ErrNotEntitled, "with a stale view")
 	f.refreshKnowledge()
-	expect(3, grantToken, nil, "with fresh knowledge")
+	expect(3, grantToken, nil, "with a fresh view")
 	f.now += testLease
 	f.refreshView()
 	expect(4, grantToken, api.ErrNotEntitled, "without a shard lease")
 	f.refreshKnowledge()
-	expect(5, grantToken+1<<24, api.ErrNotEntitled, "to an agent that has seen a higher token")
+	expect(5, grantToken+1<<24, api.ErrNotEntitled, "for an agent that has seen a higher token")
 }
 
-// TestCopiesRenewNothing: a copy of a heartbeat that comes long after it was sent renews
-// no lease: nobody waits for the answer, and the machine may be gone.
-func TestCopiesRenewNothing(t *testing.T) {
+// TestDelayedDuplicatesRenewNoLease: a duplicate of a heartbeat that arrives long after the
+// original renews no lease, since no agent waits for the answer and the machine may be gone.
+func TestDelayedDuplicatesRenewNoLease(t *testing.T) {
 	f := newFixture(t)
 	f.heartbeat(5, grantToken)
 	answeredAt := f.agent().contact.lastAnsweredAt
 	f.now += membership.AgentAnswerTimeout + time.Second
 	f.refreshKnowledge()
 	if _, err := f.heartbeat(5, grantToken); !errors.Is(err, api.ErrOldHeartbeat) {
-		t.Errorf("a late copy: %v", err)
+		t.Errorf("delayed duplicate: %v", err)
 	}
 	if _, err := f.heartbeat(3, grantToken); !errors.Is(err, api.ErrOldHeartbeat) || f.agent().contact.lastAnsweredAt != answeredAt {
-		t.Errorf("an older one: %v, answered at %s", err, f.agent().contact.lastAnsweredAt)
+		t.Errorf("older heartbeat: %v, last answered at %s", err, f.agent().contact.lastAnsweredAt)
 	}
 	if _, err := f.heartbeat(6, grantToken); err != nil || f.agent().contact.lastAnsweredAt != f.now {
-		t.Errorf("a new one: %v", err)
+		t.Errorf("new heartbeat: %v", err)
 	}
 }
 
-// TestNewEpochEndsStarts: a start that was sent and never seen is over once the agent's
-// epoch has moved on: its lease has ended everything, and commands name their epoch.
+// TestNewEpochEndsStarts: an attempt whose start was sent and that no heartbeat has listed has
+// terminated once the agent reports a new epoch. The expiry of the agent's lease has ended all
+// its tasks, and the agent rejects commands of an earlier epoch.
 func TestNewEpochEndsStarts(t *testing.T) {
 	f := newFixture(t)
 	f.heartbeat(1, grantToken)
@@ -131,37 +132,37 @@
 	}
 	f.heartbeat(3, grantToken)
 	if f.liveAttempts() != 1 {
-		t.Fatal("absence alone ended a start that may be on its way")
+		t.Fatal("absence alone ended an attempt whose start may still be in flight")
 	}
-	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 2, Sequence: 4, FencingToken: grantToken}
-	f.reconciler.observeHeartbeat(f.agent(), r, true)
+	heartbeat := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 2, Sequence: 4, FencingToken: grantToken}
+	f.reconciler.observeHeartbeat(f.agent(), heartbeat, true)
 	if f.liveAttempts() != 0 {
-		t.Error("a new epoch did not end it")
+		t.Error("a new epoch did not end the attempt")
 	}
 }
 
-// TestOutboundPartition: a machine whose heartbeats reach nobody is not given tasks,
-// although commands reach it: its lease runs out under them.
+// TestOutboundPartition: a machine whose heartbeats do not arrive gets no new tasks, although
+// commands reach it, since its lease will expire while they run.
 func TestOutboundPartition(t *testing.T) {
 	f := newFixture(t)
 	f.heartbeat(1, grantToken)
 	if !f.reconciler.schedulable(f.agent(), f.now) {
-		t.Fatal("it takes no tasks at all")
+		t.Fatal("the machine is not schedulable before the partition")
 	}
 	f.now += 8 * time.Second
 	f.refreshKnowledge()
-	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", Epoch: 1, Sequence: 9, FencingToken: grantToken}
-	f.reconciler.observeHeartbeat(f.agent(), r, false)
+	heartbeat := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", Epoch: 1, Sequence: 9, FencingToken: grantToken}
+	f.reconciler.observeHeartbeat(f.agent(), heartbeat, false)
 	if f.reconciler.schedulable(f.agent(), f.now) {
-		t.Error("it takes tasks on the strength of an answer to a command")
+		t.Error("the machine is schedulable because it answered a command request")
 	}
 	if silent := f.reconciler.MachineStatuses()[0].Silent; silent != 8*time.Second {
 		t.Errorf("silent for %s", silent)
 	}
 }
 
-// TestGrantsWithinQuota: a holder vouches for the grants under which nothing takes more
-// than the quota split allows, whatever may be on the machines counted in.
+// TestGrantsWithinQuota: a holder reports the grants whose job shards use no more than the quota
+// split allows. Attempts that only may be on the machines count as well.
 func TestGrantsWithinQuota(t *testing.T) {
 	f := newFixture(t, inherited, storage.IntentEntry(1, "m-1", 10))
 	if tokens := f.reconciler.GrantsWithinQuota(); !slices.Equal(tokens, []uint64{grantToken}) {
@@ -173,25 +174,25 @@
 	}
 }
 
-// TestLastAttemptNumber: attempt numbers of one grant rise up to the last; the holder that
-// has used them up must start over instead of beginning anew below those that the records
-// name, where an attempt that is over would be taken for the later one.
-func TestLastAttemptNumber(t *testing.T) {
+// TestAttemptNumbersExhausted: attempt numbers increase up to the last one of a grant. A holder
+// that has used them all must restart under another grant. If the numbers wrapped around below
+// those in the records, a terminated attempt would be taken for a later one.
+func TestAttemptNumbersExhausted(t *testing.T) {
 	f := newFixture(t)
 	f.reconciler.attemptCounter = maxAttempts - 1
 	if f.reconciler.AttemptsExhausted() {
-		t.Error("used up with a number left")
+		t.Error("exhausted with one number left")
 	}
 	last := f.reconciler.nextAttemptNumber(f.agent())
 	if election.TokenSerial(last) != election.TokenSerial(grantToken) || last&(election.HolderSteps-1) != maxAttempts {
 		t.Errorf("attempt %x under grant %x", last, uint64(grantToken))
 	}
 	if !f.reconciler.AttemptsExhausted() {
-		t.Error("not used up after the last number")
+		t.Error("not exhausted after the last number")
 	}
 }
 
-// TestPendingJobs: a job that waits for another has nothing to place until that is done.
+// TestPendingJobs: a blocked job is not pending until its dependency is done.
 func TestPendingJobs(t *testing.T) {
 	f := newFixture(t)
 	f.remove(storage.JobKey("run-1"))
@@ -201,10 +202,10 @@
 		}})
 	}
 	if list := f.reconciler.pendingJobs(f.now); len(list) > 0 {
-		t.Errorf("while they wait: %d jobs to place", len(list))
+		t.Errorf("blocked: %d pending jobs", len(list))
 	}
 	f.view.SetOutcome("run-7", storage.FinalRecord{Stage: protocol.StageDone})
 	if list := f.reconciler.pendingJobs(f.now); len(list) != 2 {
-		t.Errorf("released: %d jobs to place", len(list))
+		t.Errorf("dependency done: %d pending jobs", len(list))
 	}
 }
--- a/internal/coordination/reconcile/reachability.go
+++ b/internal/coordination/reconcile/reachability.go
@@ -2,46 +2,49 @@
 
 import "time"
 
-// reachability tells whether answers and commands reach an agent whose heartbeats arrive.
-// Where the heartbeats give reason for doubt, the agent is answered under a higher token,
-// the probe, which its next heartbeats must show. If they don't for long, what the agent
-// runs ends with its lease, and it must not be counted on.
+// reachability tracks whether answers and commands reach an agent whose heartbeats arrive. If
+// a heartbeat suggests that they do not, the agent is challenged: it is answered with a higher
+// fencing token, which its next heartbeats must report. If they do not report it within the
+// timeout, the agent is unresponsive: its tasks end when its lease expires, so they must not be
+// relied on.
 type reachability struct {
-	probeToken   uint64 // token that heartbeats must show
-	probedAt     time.Duration
-	suspect      bool // the last heartbeat did not show it
-	unresponsive bool // nor did others long after
+	challengeToken uint64 // token that heartbeats must report
+	challengedAt   time.Duration
+	suspect        bool // the last heartbeat reported a lower token
+	unresponsive   bool // a heartbeat after the timeout still did
 }
 
-// begin makes the grant's token the probe, once for each grant.
-func (r *reachability) begin(f *fence, heldSince time.Duration) {
-	if r.probeToken < f.granted {
-		r.probeToken, r.probedAt = f.granted, heldSince
+// ensureGrantChallenge makes the grant's token the challenge, once for each grant.
+func (r *reachability) ensureGrantChallenge(f *fence, heldSince time.Duration) {
+	if r.challengeToken < f.granted {
+		r.challengeToken, r.challengedAt = f.granted, heldSince
 	}
 }
 
-// probe raises the token of an agent that is in doubt, unless a probe is under way or was
-// a short time ago.
-func (r *reachability) probe(f *fence, shown uint64, now, pause time.Duration) {
-	if !f.confirmed || shown < r.probeToken {
+// challenge raises the agent's token, which its next heartbeats must report, unless a
+// challenge is pending or the last one above the grant's token was made less than minInterval
+// ago.
+func (r *reachability) challenge(f *fence, reportedToken uint64, now, minInterval time.Duration) {
+	if !f.confirmed || reportedToken < r.challengeToken {
 		return
 	}
-	if r.probeToken == f.granted || now-r.probedAt > pause {
-		r.probeToken, r.probedAt = f.raise(), now
+	if r.challengeToken == f.granted || now-r.challengedAt > minInterval {
+		r.challengeToken, r.challengedAt = f.raise(), now
 	}
 }
 
-// observe takes in the token that a heartbeat shows and reports whether the agent has
-// become unresponsive. Only a heartbeat that waits for its answer can show that, not one
-// that answers a command. heardFor is the time since the agent's first heartbeat: it may
-// have come up long after it was taken up, and has not been answered before.
-func (r *reachability) observe(f *fence, shown uint64, awaitsAnswer bool, now, heardFor, patience time.Duration) (became bool) {
-	r.suspect = shown < r.probeToken
-	unresponsive := r.suspect && awaitsAnswer && now-r.probedAt > patience
-	if unresponsive && !r.unresponsive && r.probeToken == f.granted {
-		unresponsive = heardFor > patience
+// observe records the token that a heartbeat reports, and returns whether the agent has become
+// unresponsive. Only a heartbeat whose sender waits for an answer can show that, not one that
+// answers a command request. The timeout of the grant's challenge also counts from the first
+// heartbeat, because an agent may start long after its machine was acquired, and nobody has
+// answered it before.
+func (r *reachability) observe(f *fence, reportedToken uint64, awaitsAnswer bool, now, sinceFirstHeartbeat, timeout time.Duration) (becameUnresponsive bool) {
+	r.suspect = reportedToken < r.challengeToken
+	unresponsive := r.suspect && awaitsAnswer && now-r.challengedAt > timeout
+	if unresponsive && !r.unresponsive && r.challengeToken == f.granted {
+		unresponsive = sinceFirstHeartbeat > timeout
 	}
-	became = unresponsive && !r.unresponsive
+	becameUnresponsive = unresponsive && !r.unresponsive
 	r.unresponsive = unresponsive
-	return became
+	return becameUnresponsive
 }
--- a/internal/coordination/reconcile/statuses.go
+++ b/internal/coordination/reconcile/statuses.go
@@ -4,7 +4,7 @@
 	"rockrun/internal/protocol"
 )
 
-// MachineStatuses tells the leader about the machines held.
+// MachineStatuses returns the statuses of the machines held, as reported to the leader.
 func (r *Reconciler) MachineStatuses() []protocol.MachineStatus {
 	statuses := make([]protocol.MachineStatus, 0, len(r.agents.sorted))
 	for _, agent := range r.agents.sorted {
@@ -36,10 +36,10 @@
 	return status
 }
 
-// GrantsWithinQuota lists the grants under which this controller holds job shards of which
-// nothing takes more than the quota split allows. It names the grants, not itself: a
-// controller that has just been granted a shard may not know yet what is on the machines
-// there, and what it said before says nothing of them.
+// GrantsWithinQuota returns the fencing tokens of the grants whose job shards use no more than
+// the quota split allows. It identifies grants rather than the controller: a controller that
+// was just granted a shard may not know yet what runs on its machines, and its earlier
+// statements do not cover them.
 func (r *Reconciler) GrantsWithinQuota() []uint64 {
 	var tokens []uint64
 	for shard := range r.writers {
--- a/internal/coordination/reconcile/sync.go
+++ b/internal/coordination/reconcile/sync.go
@@ -6,12 +6,12 @@
 	"rockrun/internal/storage"
 )
 
-// What is held follows the records: shards by their grants, machines by their groups, and the
-// attempts of former holders by the intents.
+// The records determine what this controller holds: grants the shards, machine groups the
+// machines, and intents the attempts inherited from earlier holders.
 
-// SyncWithRecords makes what is held match the grants and the records. Changes come many
-// times a second, and nearly all are of pages of intents and of jobs: the machines are
-// gone through only for those that change what there is to hold.
+// SyncWithRecords acquires and releases shards and machines to match the records. Records
+// change many times a second, but most changes are to intent pages and jobs. The machines are
+// therefore scanned only after a change to the fleet.
 func (r *Reconciler) SyncWithRecords() {
 	now := seenRevisions{fleet: r.View.FleetRevision, jobsEnded: r.View.JobsEnded}
 	if r.seen == now {
@@ -30,9 +30,9 @@
 	}
 }
 
-// syncMachines takes up the machines that are granted and lets go of the others.
+// syncMachines acquires the machines of the shards held and releases or detaches the others.
 func (r *Reconciler) syncMachines() {
-	takenUp := r.syncWriters()
+	acquired := r.syncWriters()
 	for _, agent := range slices.Clone(r.agents.sorted) {
 		r.syncAgent(agent)
 	}
@@ -45,57 +45,58 @@
 		if agent := r.agents.find(machine.Name); agent != nil {
 			agent.fence.regrant(granted)
 		} else {
-			r.adopt(newAgent(machine, granted, now))
+			r.acquire(newAgent(machine, granted, now))
 		}
 	})
-	for _, shard := range takenUp {
-		r.adoptDisplaced(shard)
+	for _, shard := range acquired {
+		r.acquireDetached(shard)
 	}
 }
 
-// syncAgent keeps an agent whose machine is still of its shard, and lets go of another.
+// syncAgent retains an agent whose machine is still in its shard, and releases or detaches any
+// other.
 func (r *Reconciler) syncAgent(agent *agent) {
 	machine := agent.machine
 	_, recorded := r.View.Machines.Find(machine.Name)
 	switch {
 	case recorded != machine:
-		r.release(agent) // neither a group nor an intent named it for a moment
+		r.release(agent) // the view forgot the machine in between, while no group or intent named it
 	case machine.Deleted():
 		r.endAll(agent, "machine is gone")
 		r.release(agent)
 	case machine.Exists() && machine.Shard == agent.shard:
-		r.reinstate(agent)
+		r.reattach(agent)
 	case machine.Exists() && r.writers[machine.Shard] != nil:
-		r.release(agent) // and taken up again, with its intents
+		r.release(agent) // syncMachines acquires it again, with its intents
 	default:
-		r.keepOrRelease(agent)
+		r.detachOrRelease(agent)
 	}
 }
 
-// syncWriters makes a record writer for each job shard that is newly held, and drops those
-// of shards that are not held any more, or that another held since they were taken up. It
-// returns those that are newly held.
-func (r *Reconciler) syncWriters() (takenUp []int) {
+// syncWriters creates a record writer for each newly acquired job shard. It releases the shards
+// that are no longer held, or that another controller has held since they were acquired. It
+// returns the shards newly acquired.
+func (r *Reconciler) syncWriters() (acquired []int) {
 	for shard := range r.View.Grants {
 		holds := r.Leases.Holds(shard)
 		if writer := r.writers[shard]; writer != nil && (!holds || writer.heldSince != r.View.HeldSince(shard)) {
 			writer.retired = true
 			delete(r.writers, shard)
-			r.logLetGo(shard)
-			r.forgetShard(shard)
+			r.logShardReleased(shard)
+			r.releaseShard(shard)
 		}
 		if r.writers[shard] == nil && holds && shard < r.View.JobShards {
 			r.addWriter(shard)
-			r.logTakenUp(shard)
-			takenUp = append(takenUp, shard)
+			r.logShardAcquired(shard)
+			acquired = append(acquired, shard)
 		}
 	}
-	return takenUp
+	return acquired
 }
 
-// forgetShard drops all that is known of a shard. It may be held again by now: what another
-// holder did in between is in the records alone.
-func (r *Reconciler) forgetShard(shard int) {
+// releaseShard discards the in-memory state of a shard, also if the shard is held again
+// already: only the records tell what another holder did in between.
+func (r *Reconciler) releaseShard(shard int) {
 	for _, agent := range slices.Clone(r.agents.sorted) {
 		if agent.shard == shard {
 			r.release(agent)
@@ -108,7 +109,7 @@
 	}
 }
 
-// addWriter makes the record writer of a shard and gives it what the records say.
+// addWriter creates the record writer of a shard and loads the shard's records into it.
 func (r *Reconciler) addWriter(shard int) {
 	writer := newRecordWriter(&r.Config, shard)
 	writer.tracks = func(progress *jobProgress) bool { return r.jobs[progress.job] == progress }
@@ -118,7 +119,7 @@
 			r.progressOf(job)
 		}
 	})
-	// Jobs known before the record writer was there are read again, with their pages.
+	// Reload the completions of jobs that were tracked before the record writer existed.
 	for job, progress := range r.jobs {
 		if job.Shard == shard {
 			writer.loadCompleted(progress)
@@ -127,11 +128,12 @@
 	r.writers[shard] = writer
 }
 
-// adopt takes up an agent. Every recorded intent counts as a task that may be on its
-// machine, for quota as for duplicates, until a fenced heartbeat shows otherwise.
-func (r *Reconciler) adopt(agent *agent) {
+// acquire starts to manage an agent. Each recorded intent counts as an attempt that may be on
+// the machine, both for quota and to prevent duplicates, until a heartbeat with a confirmed
+// fencing token shows otherwise.
+func (r *Reconciler) acquire(agent *agent) {
 	r.agents.insert(agent)
-	r.logMachineTakenUp(agent)
+	r.logMachineAcquired(agent)
 	for _, ref := range storage.SortedTasks(agent.machine.Intents) {
 		r.inherit(agent, ref)
 	}
@@ -141,7 +143,8 @@
 	}
 }
 
-// inherit counts a recorded intent as an attempt that may be on its machine.
+// inherit adds an attempt for a recorded intent of an earlier holder; the attempt may be on
+// the machine.
 func (r *Reconciler) inherit(agent *agent, ref storage.TaskRef) {
 	intent := agent.machine.Intents[ref]
 	former := &attempt{
@@ -158,10 +161,10 @@
 	r.writers[agent.shard].intentPageAt(intent.Page).add(former)
 }
 
-// release drops an agent that is no longer held, without deciding anything about its
-// tasks.
+// release removes an agent and its attempts from this controller's state, without deciding
+// whether the attempts have ended.
 func (r *Reconciler) release(agent *agent) {
-	r.logMachineLetGo(agent)
+	r.logMachineReleased(agent)
 	for _, ref := range storage.SortedTasks(agent.attempts) {
 		r.removeAttempt(agent.attempts[ref])
 	}
--- a/internal/coordination/reconcile/sync_test.go
+++ b/internal/coordination/reconcile/sync_test.go
@@ -7,51 +7,50 @@
 	"rockrun/internal/storage"
 )
 
-// Found on a day of random faults. A controller that the store refused had held a job shard, and
-// was granted it again before it could read the records; in between another controller had held
-// it, taken an attempt of the first for over (`reason="never started"`) and started the task on
-// m-1 under an attempt of its own. The first read both grants at once (`staleness=25.28s`), found
-// that it held the shard as before, and went on with what it knew: it took its own old attempt
-// for over, the other's for none of its business, and started the task on a second machine 3 s
-// after the grant.
-func TestShardLostAndRegainedUnseen(t *testing.T) {
+// TestShardLostAndReacquiredBetweenReads: a controller whose requests the store rejects loses a
+// job shard and is granted it again before it can read the records. In between, another controller
+// ends an attempt of the first (reason "never started") and starts the task on m-1 under a new
+// attempt. The first then reads both grants at once. Found with random faults: at a staleness of
+// 25.28 s the first controller retained its in-memory state, ended its old attempt, ignored the
+// other controller's, and started the task on a second machine 3 s after the grant.
+func TestShardLostAndReacquiredBetweenReads(t *testing.T) {
 	f := newFixture(t, inherited)
 	f.heartbeat(1, grantToken, running)
-	others := storage.IntentEntry(0, "m-1", 20)
+	otherIntent := storage.IntentEntry(0, "m-1", 20)
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 1, FencingToken: grantToken + 1<<24})
-	f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {others}})
+	f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {otherIntent}})
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: f.replica.Incarnation, FencingToken: grantToken + 2<<24})
-	f.recordsChanged() // once, after all three
+	f.recordsChanged() // once, after all three records
 	f.refreshKnowledge()
 
-	theirs := protocol.TaskStatus{Task: "run-1/0", Attempt: 20, State: protocol.TaskRunning}
-	for _, command := range f.commandsFor(2, grantToken+2<<24, theirs) {
+	otherStatus := protocol.TaskStatus{Task: "run-1/0", Attempt: 20, State: protocol.TaskRunning}
+	for _, command := range f.commandsFor(2, grantToken+2<<24, otherStatus) {
 		if command.Verb == protocol.VerbStop {
-			t.Errorf("the other holder's attempt is stopped: %+v", command)
+			t.Errorf("the attempt of the other holder is stopped: %+v", command)
 		}
 	}
-	if f.attemptsAt(0) != 1 {
-		t.Fatalf("%d attempts count", f.attemptsAt(0))
+	if f.attemptsOf(0) != 1 {
+		t.Fatalf("%d attempts of the task, want 1", f.attemptsOf(0))
 	}
 	for _, attempt := range f.agent().attempts {
 		if attempt.task == 0 && attempt.number != 20 {
-			t.Errorf("attempt %d counts", attempt.number)
+			t.Errorf("attempt %d counts, want only 20", attempt.number)
 		}
 	}
 }
 
-// TestRegrantKeepsWhatIsKnown: a grant that only raises the token of the present holder, as a
-// new leader makes, leaves what it knows of its machines.
-func TestRegrantKeepsWhatIsKnown(t *testing.T) {
+// TestRegrantRetainsState: a grant that only raises the token of the current holder, as made
+// by a new leader, retains the holder's in-memory state of its machines.
+func TestRegrantRetainsState(t *testing.T) {
 	f := newFixture(t, inherited)
 	f.heartbeat(1, grantToken, running)
 	before, writer := f.agent(), f.reconciler.writers[0]
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: f.replica.Incarnation, FencingToken: grantToken + 1<<24})
 	f.recordsChanged()
 	if f.agent() != before || f.reconciler.writers[0] != writer || f.liveAttempts() != 1 {
-		t.Error("it was taken up anew")
+		t.Error("the shard was acquired again")
 	}
 	if before.fence.confirmed {
-		t.Error("the new token counts as shown")
+		t.Error("the fence counts as confirmed for the new token")
 	}
 }
--- a/internal/coordination/reconcile/unexpected.go
+++ b/internal/coordination/reconcile/unexpected.go
@@ -8,27 +8,28 @@
 	"rockrun/internal/storage"
 )
 
-// Completed tasks stay on their machine's list until they are reaped. Each reap is a change
-// that the agent reports at once, so they wait for a command that goes there anyway, for
-// company, or for so long.
+// An agent lists completed tasks until they are reaped, and reports each reap at once. To save
+// these heartbeats, completed tasks are reaped with the next command that is sent anyway, or as
+// soon as one of these limits is reached.
 const (
-	reapAfter = 10 * time.Second
-	reapBatch = 8
+	reapAfter = 10 * time.Second // time since the agent first listed an unexpected task
+	reapBatch = 8                // unexpected tasks of an agent
 )
 
-// unexpectedTasks are the tasks of an agent's last heartbeat that nobody asks for any more.
+// unexpectedTasks are the tasks in an agent's last heartbeat that match no attempt of this
+// holder: completed tasks whose completion is durable, or attempts that are no longer wanted.
 type unexpectedTasks struct {
 	list  []protocol.TaskStatus
-	since time.Duration // since when there have been any; 0: there are none
+	since time.Duration // when the list last became non-empty; 0: it is empty
 }
 
-// reset forgets the tasks of the heartbeat before.
+// reset clears the tasks of the previous heartbeat.
 func (u *unexpectedTasks) reset() { u.list = u.list[:0] }
 
-// add takes in a task of the heartbeat.
+// add adds a task of the heartbeat.
 func (u *unexpectedTasks) add(task *protocol.TaskStatus) { u.list = append(u.list, *task) }
 
-// observe keeps since when there have been any.
+// observe updates the time since when there have been unexpected tasks.
 func (u *unexpectedTasks) observe(now time.Duration) {
 	if len(u.list) == 0 {
 		u.since = 0
@@ -37,8 +38,8 @@
 	}
 }
 
-// reapDue reports whether they must go now: anything but a few tasks that completed a
-// moment ago.
+// reapDue reports whether commands for the tasks must be sent now. Only a few recently
+// completed tasks may wait: see reapAfter and reapBatch.
 func (u *unexpectedTasks) reapDue(now time.Duration) bool {
 	if len(u.list) == 0 {
 		return false
@@ -49,12 +50,12 @@
 		})
 }
 
-// anyLive reports whether any has not ended.
+// anyLive reports whether any of the tasks has not ended.
 func (u *unexpectedTasks) anyLive() bool {
 	return slices.ContainsFunc(u.list, func(t protocol.TaskStatus) bool { return t.State != protocol.TaskEnded })
 }
 
-// lists reports whether an attempt at a task of a job is among them.
+// lists reports whether any attempt of a task is among the unexpected tasks.
 func (u *unexpectedTasks) lists(job *storage.Job, task int) bool {
 	if len(u.list) == 0 {
 		return false
--- a/internal/coordination/reconcile/unexpected_test.go
+++ b/internal/coordination/reconcile/unexpected_test.go
@@ -7,8 +7,8 @@
 	"rockrun/internal/protocol"
 )
 
-// TestReapDue: a few tasks that completed a moment ago wait for company or for ten seconds;
-// whatever else nobody asks for must go at once.
+// TestReapDue: a few recently completed tasks wait until there are reapBatch of them or reapAfter
+// has passed. All other unexpected tasks are due at once.
 func TestReapDue(t *testing.T) {
 	done := protocol.TaskStatus{Task: "run-1/0", State: protocol.TaskEnded, Cause: protocol.CauseDone}
 	failed := protocol.TaskStatus{Task: "run-1/1", State: protocol.TaskEnded, Cause: protocol.CauseError}
@@ -19,26 +19,26 @@
 		due   bool
 		live  bool
 	}{
-		{"nothing", nil, time.Hour, false, false},
-		{"one done just now", []protocol.TaskStatus{done}, reapAfter - 1, false, false},
-		{"one done a while ago", []protocol.TaskStatus{done}, reapAfter, true, false},
-		{"company", []protocol.TaskStatus{done, done, done, done, done, done, done, done}, 0, true, false},
-		{"one short of company", []protocol.TaskStatus{done, done, done, done, done, done, done}, 0, false, false},
+		{"none", nil, time.Hour, false, false},
+		{"one done recently", []protocol.TaskStatus{done}, reapAfter - 1, false, false},
+		{"one done reapAfter ago", []protocol.TaskStatus{done}, reapAfter, true, false},
+		{"full batch", []protocol.TaskStatus{done, done, done, done, done, done, done, done}, 0, true, false},
+		{"one short of a batch", []protocol.TaskStatus{done, done, done, done, done, done, done}, 0, false, false},
 		{"one failed", []protocol.TaskStatus{done, failed}, 0, true, false},
-		{"one runs", []protocol.TaskStatus{done, running}, 0, true, true},
+		{"one running", []protocol.TaskStatus{done, running}, 0, true, true},
 	} {
 		u := unexpectedTasks{}
 		for i := range c.tasks {
 			u.add(&c.tasks[i])
 		}
 		u.observe(time.Minute)
-		u.observe(time.Minute + time.Second) // counts from when there were any first
+		u.observe(time.Minute + time.Second) // must not restart the time
 		if due := u.reapDue(time.Minute + c.after); due != c.due || u.anyLive() != c.live {
 			t.Errorf("%s: due %t, live %t", c.name, due, u.anyLive())
 		}
 		u.reset()
 		if u.observe(time.Hour); u.since != 0 || u.reapDue(2*time.Hour) {
-			t.Errorf("%s: %+v after none were left", c.name, u)
+			t.Errorf("%s: after a heartbeat without unexpected tasks: %+v", c.name, u)
 		}
 	}
 }
