--- a/internal/coordination/reconcile/agent_test.go
+++ b/internal/coordination/reconcile/agent_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestStopCommand: a stop is due until it is sent, and again after stopRepeatPause, but not
+// TestStopCommand: a stop is due until it is sent, and again after stopRetryInterval, but not
 // while the task saves its progress. A new stop request is due at once.
 func TestStopCommand(t *testing.T) {
 	a := &attempt{job: &storage.Job{}}
@@ -63,11 +63,11 @@
 	expect("not requested", time.Minute, false)
 	a.stop.request(a.saveGrace())
 	expect("requested", time.Minute, true)
-	if command := a.stopNow(time.Minute); command.Verb != protocol.VerbStop || *command.GraceSeconds != 5 {
+	if command := a.issueStop(time.Minute); command.Verb != protocol.VerbStop || *command.GraceSeconds != 5 {
 		t.Errorf("%+v", command)
 	}
-	expect("sent", time.Minute+stopRepeatPause, false)
-	expect("sent, without effect", time.Minute+stopRepeatPause+1, true)
+	expect("sent", time.Minute+stopRetryInterval, false)
+	expect("sent, without effect", time.Minute+stopRetryInterval+1, true)
 	a.state = attemptSaving
 	expect("saving", time.Hour, false)
 	a.stop.request(0)
@@ -94,7 +94,7 @@
 		if load.cpus != 2*want || load.gpus != want || load.memoryGB != 8*want || load.serviceCPUs != 2*want || u.serviceCPUs != 2*want {
 			t.Errorf("%d attempts: load %+v", count, load)
 		}
-		if u.anyBelow(job.Rank()-1) != (count > 0) || u.anyBelow(job.Rank()) {
+		if u.anyLowerPriority(job.Rank()-1) != (count > 0) || u.anyLowerPriority(job.Rank()) {
 			t.Errorf("%d attempts: by rank %v", count, u.countByRank)
 		}
 		if zones := a.progress.attemptsByZone; len(zones) != 2 || zones[1] != count {
--- a/internal/coordination/reconcile/detached.go
+++ b/internal/coordination/reconcile/detached.go
@@ -39,7 +39,7 @@
 func (r *Reconciler) detachOrRelease(agent *agent) {
 	for _, ref := range storage.SortedTasks(agent.attempts) {
 		if attempt := agent.attempts[ref]; attempt.live() && !attempt.start.sent() {
-			r.end(attempt, "not started")
+			r.endAttempt(attempt, "not started")
 		}
 	}
 	if !agent.anyLive() {
@@ -125,7 +125,7 @@
 func (r *Reconciler) resolveDetached(agent *agent) {
 	for _, ref := range storage.SortedTasks(agent.attempts) {
 		if attempt := agent.attempts[ref]; attempt.job.Completed.Has(ref.Task) {
-			r.end(attempt, protocol.CauseDone)
+			r.endAttempt(attempt, protocol.CauseDone)
 		}
 	}
 	if !agent.anyLive() {
--- a/internal/coordination/reconcile/detached_test.go
+++ b/internal/coordination/reconcile/detached_test.go
@@ -15,8 +15,8 @@
 // in a group of another shard. m-2 has capacity for the task.
 func newDetachedFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := newFixture(t, inherited)
-	f.heartbeat(1, grantToken, running)
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(1, grantToken, runningStatus)
 	f.apply(storage.MachineGroupKey("second"), storage.MachineGroupRecord{
 		Type: "small", Zone: "z", Shard: unheldShard, FencingToken: grantToken + 1<<24, Machines: []storage.MachineEntry{{Name: "m-1", Address: "w"}},
 	})
@@ -91,7 +91,7 @@
 		heartbeat protocol.AgentHeartbeat
 		attempts  int
 	}{
-		{"still listed", protocol.AgentHeartbeat{Epoch: 1, Sequence: 2, FencingToken: higher, Tasks: []protocol.TaskStatus{running}}, 1},
+		{"still listed", protocol.AgentHeartbeat{Epoch: 1, Sequence: 2, FencingToken: higher, Tasks: []protocol.TaskStatus{runningStatus}}, 1},
 		{"absent from an old heartbeat", protocol.AgentHeartbeat{Epoch: 1, Sequence: 1, FencingToken: higher}, 1},
 		{"absent from a new heartbeat", protocol.AgentHeartbeat{Epoch: 1, Sequence: 2, FencingToken: higher}, 0},
 		{"listed as stopped", protocol.AgentHeartbeat{Epoch: 1, Sequence: 2, FencingToken: higher, Tasks: []protocol.TaskStatus{
@@ -115,7 +115,7 @@
 // machine until the machine reports a higher token than the start's.
 func TestDetachedStartNeedsFence(t *testing.T) {
 	for token, attempts := range map[uint64]int{grantToken - 2: 1, grantToken - 1: 1, grantToken: 0} {
-		f := newFixture(t, inherited) // never listed: it may have been started with tokens below the grant's
+		f := newFixture(t, inheritedIntent) // never listed: it may have been started with tokens below the grant's
 		f.apply(storage.MachineGroupKey("second"), storage.MachineGroupRecord{
 			Type: "small", Zone: "z", Shard: unheldShard, Machines: []storage.MachineEntry{{Name: "m-1", Address: "w"}},
 		})
@@ -136,7 +136,7 @@
 	f.commandRequests = nil
 	f.agent().commands.Finish() // of the request sent before the machine was detached
 	f.now += 5 * time.Minute
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	f.reconciler.Tick()
 	if f.liveAttempts() != 1 {
 		t.Error("missing answers ended an attempt whose lease another holder may renew")
@@ -159,21 +159,21 @@
 // deleted. No controller answers its heartbeats, so its attempts count until the agent's lease
 // has expired, counted from when a group last named the machine.
 func TestMachineWithoutGroupEndsByLease(t *testing.T) {
-	f := newFixture(t, inherited)
-	f.heartbeat(1, grantToken, running)
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(1, grantToken, runningStatus)
 	f.remove(storage.MachineGroupKey("b"))
 	f.recordsChanged()
 	if f.agent() == nil || f.liveAttempts() != 1 {
 		t.Fatal("the task is no longer counted")
 	}
 	f.now += f.reconciler.AgentSettings.Lease()
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	f.reconciler.Tick()
 	if f.liveAttempts() != 1 {
 		t.Error("the attempt ended before the lease has certainly expired")
 	}
 	f.now += f.reconciler.MaxStaleness + time.Minute
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	f.reconciler.Tick()
 	if f.attemptsOf(0) != 0 {
 		t.Error("the attempt still counts after the lease has expired")
--- a/internal/coordination/reconcile/heartbeat.go
+++ b/internal/coordination/reconcile/heartbeat.go
@@ -138,7 +138,7 @@
 // applyTaskStatus applies the reported state of a live attempt and reports whether the
 // attempt has ended.
 func (r *Reconciler) applyTaskStatus(attempt *attempt, status *protocol.TaskStatus) (ended bool) {
-	state, known := stateOnAgent(status.State)
+	state, known := parseTaskState(status.State)
 	switch {
 	case !known:
 		return false
@@ -163,7 +163,7 @@
 			continue
 		}
 		if cause := terminationCause(attempt, heartbeat); cause != "" {
-			r.end(attempt, cause)
+			r.endAttempt(attempt, cause)
 			ended = true
 		}
 	}
@@ -226,5 +226,5 @@
 		progress.backoffUntil = now + jobUnknownBackoff
 		r.Log.Warn("job unknown to agent", "machine", machine, "task", status.Task, "attempt", attempt.number)
 	}
-	r.end(attempt, status.Cause)
+	r.endAttempt(attempt, status.Cause)
 }
--- a/internal/coordination/reconcile/heartbeat_test.go
+++ b/internal/coordination/reconcile/heartbeat_test.go
@@ -18,7 +18,7 @@
 // by a delayed command of an earlier holder. Its absence proves that it has terminated only once
 // the agent has reported this holder's fencing token.
 func TestAbsenceNeedsConfirmedFence(t *testing.T) {
-	f := newFixture(t, inherited)
+	f := newFixture(t, inheritedIntent)
 	f.heartbeat(1, grantToken-1)
 	if f.liveAttempts() != 1 {
 		t.Fatal("a heartbeat without a confirmed fence ended an attempt that an earlier holder may have started")
@@ -31,8 +31,8 @@
 
 // TestOldHeartbeatsAreIgnored: a heartbeat that is delivered after a newer one changes nothing.
 func TestOldHeartbeatsAreIgnored(t *testing.T) {
-	f := newFixture(t, inherited)
-	f.heartbeat(7, grantToken, running)
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(7, grantToken, runningStatus)
 	f.heartbeat(3, grantToken)
 	if f.liveAttempts() != 1 {
 		t.Error("an older heartbeat ended a running task")
@@ -42,7 +42,7 @@
 // TestLostOnlyWhenLeaseExpired: missing heartbeats alone do not make an attempt lost. The expiry
 // of the agent's lease does, counted from when an earlier holder may last have renewed it.
 func TestLostOnlyWhenLeaseExpired(t *testing.T) {
-	f := newFixture(t, inherited)
+	f := newFixture(t, inheritedIntent)
 	lease, maxStaleness := f.reconciler.AgentSettings.Lease(), f.reconciler.MaxStaleness
 	heldSince := f.now
 	for _, c := range []struct {
@@ -54,7 +54,7 @@
 		{maxStaleness + lease + config.LeaseMargin + time.Second, 0},
 	} {
 		f.now = heldSince + c.after
-		f.refreshKnowledge()
+		f.refreshViewAndLeases()
 		f.reconciler.Tick()
 		if f.liveAttempts() != c.live {
 			t.Errorf("after %s: %d live attempts", c.after, f.liveAttempts())
@@ -65,7 +65,7 @@
 // TestUnconfirmedAttemptsUseQuota: every attempt that may be on a machine counts against the
 // team's quota, also one that no heartbeat has listed.
 func TestUnconfirmedAttemptsUseQuota(t *testing.T) {
-	f := newFixture(t, inherited)
+	f := newFixture(t, inheritedIntent)
 	if got := f.reconciler.usage.ofShard(0)[0].CPUs; got != 4 {
 		t.Errorf("inherited attempt: %v CPUs in use", got)
 	}
@@ -87,14 +87,14 @@
 	}
 	expect(1, grantToken, nil, "while entitled")
 	f.now += f.reconciler.MaxStaleness + time.Second
-	f.extendLeases(testLease)
+	f.extendLeases(leaseExtension)
 	expect(2, grantToken, api.ErrNotEntitled, "with a stale view")
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	expect(3, grantToken, nil, "with a fresh view")
-	f.now += testLease
+	f.now += leaseExtension
 	f.refreshView()
 	expect(4, grantToken, api.ErrNotEntitled, "without a shard lease")
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	expect(5, grantToken+1<<24, api.ErrNotEntitled, "for an agent that has seen a higher token")
 }
 
@@ -105,7 +105,7 @@
 	f.heartbeat(5, grantToken)
 	answeredAt := f.agent().contact.lastAnsweredAt
 	f.now += membership.AgentAnswerTimeout + time.Second
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	if _, err := f.heartbeat(5, grantToken); !errors.Is(err, api.ErrOldHeartbeat) {
 		t.Errorf("delayed duplicate: %v", err)
 	}
@@ -127,7 +127,7 @@
 	for _, a := range f.agent().attempts {
 		f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {storage.IntentEntry(0, "m-1", a.number)}})
 	}
-	if commands := f.commandsFor(2, grantToken); len(commands) != 1 {
+	if commands := f.heartbeatCommands(2, grantToken); len(commands) != 1 {
 		t.Fatalf("commands: %v", commands)
 	}
 	f.heartbeat(3, grantToken)
@@ -150,7 +150,7 @@
 		t.Fatal("the machine is not schedulable before the partition")
 	}
 	f.now += 8 * time.Second
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	heartbeat := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", Epoch: 1, Sequence: 9, FencingToken: grantToken}
 	f.reconciler.observeHeartbeat(f.agent(), heartbeat, false)
 	if f.reconciler.schedulable(f.agent(), f.now) {
@@ -164,7 +164,7 @@
 // TestGrantsWithinQuota: a holder reports the grants whose job shards use no more than the quota
 // split allows. Attempts that only may be on the machines count as well.
 func TestGrantsWithinQuota(t *testing.T) {
-	f := newFixture(t, inherited, storage.IntentEntry(1, "m-1", 10))
+	f := newFixture(t, inheritedIntent, storage.IntentEntry(1, "m-1", 10))
 	if tokens := f.reconciler.GrantsWithinQuota(); !slices.Equal(tokens, []uint64{grantToken}) {
 		t.Fatalf("8 of 8 CPUs: %v", tokens)
 	}
@@ -179,15 +179,15 @@
 // those in the records, a terminated attempt would be taken for a later one.
 func TestAttemptNumbersExhausted(t *testing.T) {
 	f := newFixture(t)
-	f.reconciler.attemptCounter = maxAttempts - 1
-	if f.reconciler.AttemptsExhausted() {
+	f.reconciler.attemptCounter = defaultMaxAttemptNumbers - 1
+	if f.reconciler.AttemptNumbersExhausted() {
 		t.Error("exhausted with one number left")
 	}
 	last := f.reconciler.nextAttemptNumber(f.agent())
-	if election.TokenSerial(last) != election.TokenSerial(grantToken) || last&(election.HolderSteps-1) != maxAttempts {
+	if election.TokenSerial(last) != election.TokenSerial(grantToken) || last&(election.HolderSteps-1) != defaultMaxAttemptNumbers {
 		t.Errorf("attempt %x under grant %x", last, uint64(grantToken))
 	}
-	if !f.reconciler.AttemptsExhausted() {
+	if !f.reconciler.AttemptNumbersExhausted() {
 		t.Error("not exhausted after the last number")
 	}
 }
--- a/internal/coordination/reconcile/statuses.go
+++ b/internal/coordination/reconcile/statuses.go
@@ -30,7 +30,7 @@
 		status.Addr = agent.address
 	}
 	empty := len(agent.attempts) == 0 && len(machine.Intents) == 0
-	if agent.draining() && empty && !r.writers[agent.shard].mayStillName(agent) {
+	if agent.draining() && empty && !r.writers[agent.shard].unresolvedWriteMayName(agent) {
 		status.Empty = machine.DrainStamp
 	}
 	return status
--- a/internal/coordination/reconcile/sync.go
+++ b/internal/coordination/reconcile/sync.go
@@ -13,12 +13,12 @@
 // change many times a second, but most changes are to intent pages and jobs. The machines are
 // therefore scanned only after a change to the fleet.
 func (r *Reconciler) SyncWithRecords() {
-	now := seenRevisions{fleet: r.View.FleetRevision, jobsEnded: r.View.JobsEnded}
-	if r.seen == now {
+	now := syncedRevisions{fleet: r.View.FleetRevision, jobsEnded: r.View.JobsEnded}
+	if r.synced == now {
 		return
 	}
-	fleetChanged := r.seen.fleet != now.fleet
-	r.seen = now
+	fleetChanged := r.synced.fleet != now.fleet
+	r.synced = now
 	if fleetChanged {
 		r.syncMachines()
 	}
@@ -62,7 +62,7 @@
 	case recorded != machine:
 		r.release(agent) // the view forgot the machine in between, while no group or intent named it
 	case machine.Deleted():
-		r.endAll(agent, "machine is gone")
+		r.endAllAttempts(agent, "machine is gone")
 		r.release(agent)
 	case machine.Exists() && machine.Shard == agent.shard:
 		r.reattach(agent)
--- a/internal/coordination/reconcile/sync_test.go
+++ b/internal/coordination/reconcile/sync_test.go
@@ -14,17 +14,17 @@
 // 25.28 s the first controller retained its in-memory state, ended its old attempt, ignored the
 // other controller's, and started the task on a second machine 3 s after the grant.
 func TestShardLostAndReacquiredBetweenReads(t *testing.T) {
-	f := newFixture(t, inherited)
-	f.heartbeat(1, grantToken, running)
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(1, grantToken, runningStatus)
 	otherIntent := storage.IntentEntry(0, "m-1", 20)
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 1, FencingToken: grantToken + 1<<24})
 	f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": {otherIntent}})
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: f.replica.Incarnation, FencingToken: grantToken + 2<<24})
 	f.recordsChanged() // once, after all three records
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 
 	otherStatus := protocol.TaskStatus{Task: "run-1/0", Attempt: 20, State: protocol.TaskRunning}
-	for _, command := range f.commandsFor(2, grantToken+2<<24, otherStatus) {
+	for _, command := range f.heartbeatCommands(2, grantToken+2<<24, otherStatus) {
 		if command.Verb == protocol.VerbStop {
 			t.Errorf("the attempt of the other holder is stopped: %+v", command)
 		}
@@ -42,8 +42,8 @@
 // TestRegrantRetainsState: a grant that only raises the token of the current holder, as made
 // by a new leader, retains the holder's in-memory state of its machines.
 func TestRegrantRetainsState(t *testing.T) {
-	f := newFixture(t, inherited)
-	f.heartbeat(1, grantToken, running)
+	f := newFixture(t, inheritedIntent)
+	f.heartbeat(1, grantToken, runningStatus)
 	before, writer := f.agent(), f.reconciler.writers[0]
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: f.replica.Incarnation, FencingToken: grantToken + 1<<24})
 	f.recordsChanged()
--- a/internal/coordination/reconcile/unexpected_test.go
+++ b/internal/coordination/reconcile/unexpected_test.go
@@ -25,7 +25,7 @@
 		{"full batch", []protocol.TaskStatus{done, done, done, done, done, done, done, done}, 0, true, false},
 		{"one short of a batch", []protocol.TaskStatus{done, done, done, done, done, done, done}, 0, false, false},
 		{"one failed", []protocol.TaskStatus{done, failed}, 0, true, false},
-		{"one running", []protocol.TaskStatus{done, running}, 0, true, true},
+		{"one running", []protocol.TaskStatus{done, runningStatus}, 0, true, true},
 	} {
 		u := unexpectedTasks{}
 		for i := range c.tasks {
