--- a/internal/coordination/reconcile/agent.go
+++ b/internal/coordination/reconcile/agent.go
@@ -8,19 +8,19 @@
 
 // agent is the shard holder's state for one machine and the agent on it.
 type agent struct {
-	machine        *storage.Machine
-	address        string // from the record or, until the record has it, from a heartbeat
-	shard          int
-	fence          fence
-	contact        contact
-	reachability   reachability
-	health         health
-	load           load
-	commands       commandChannel
-	attempts       map[storage.TaskRef]*attempt
-	unexpected     unexpectedTasks
-	imageWantedAt  map[int]time.Duration // by image: when an attempt that uses it was last added
-	needsAttention bool                  // commands may have to be sent
+	machine          *storage.Machine
+	address          string // from the record or, until the record has it, from a heartbeat
+	shard            int
+	fence            fence
+	contact          contact
+	reachability     reachability
+	health           health
+	load             load
+	commands         commandChannel
+	attempts         map[storage.TaskRef]*attempt
+	unexpected       unexpectedTasks
+	imageRequestedAt map[int]time.Duration // by image: when an attempt that uses it was last added
+	needsAttention   bool                  // commands may have to be sent
 	// detachment is set while the records place the machine in another shard, or in none,
 	// and attempts on it are not confirmed terminated.
 	detachment detachment
@@ -29,25 +29,25 @@
 
 // removal is the state of a machine that is about to be terminated or is draining.
 type removal struct {
-	terminationAt  time.Duration // when the cloud terminates the machine; 0: not announced
-	namesCheckedAt time.Duration // when a draining machine's name was last searched for in the intent pages
+	terminationAt        time.Duration // when the cloud terminates the machine; 0: not announced
+	intentPagesCheckedAt time.Duration // when a draining machine's name was last searched for in the intent pages
 }
 
 func newAgent(machine *storage.Machine, granted uint64, now time.Duration) *agent {
 	return &agent{
-		machine:       machine,
-		address:       machine.Address,
-		shard:         machine.Shard,
-		fence:         newFence(granted),
-		contact:       contact{epoch: 1, heldSince: now, lastHeartbeatAt: now, lastAnsweredAt: now},
-		attempts:      map[storage.TaskRef]*attempt{},
-		imageWantedAt: map[int]time.Duration{},
+		machine:          machine,
+		address:          machine.Address,
+		shard:            machine.Shard,
+		fence:            newFence(granted),
+		contact:          contact{epoch: 1, heldSince: now, lastHeartbeatAt: now, lastAnsweredAt: now},
+		attempts:         map[storage.TaskRef]*attempt{},
+		imageRequestedAt: map[int]time.Duration{},
 	}
 }
 
 // hasImage reports whether the machine has fetched a job's image or is fetching it.
 func (a *agent) hasImage(job *storage.Job) bool {
-	_, wanted := a.imageWantedAt[job.ImageIndex]
+	_, wanted := a.imageRequestedAt[job.ImageIndex]
 	return wanted
 }
 
--- a/internal/coordination/reconcile/agent_test.go
+++ b/internal/coordination/reconcile/agent_test.go
@@ -40,11 +40,11 @@
 		t.Errorf("latest renewal by an earlier holder: %s", c.lastRenewedAt(maxStaleness))
 	}
 	c.observe(&protocol.AgentHeartbeat{Epoch: 3, Sequence: 7}, 2*time.Minute)
-	if c.epoch != 3 || c.sequence != 7 || c.silentSince() != time.Minute {
+	if c.epoch != 3 || c.sequence != 7 || c.lastExchangeAt() != time.Minute {
 		t.Errorf("after an unanswered heartbeat: %+v", c)
 	}
 	c.lastAnsweredAt = 3 * time.Minute
-	if c.silentSince() != 2*time.Minute || c.lastRenewedAt(maxStaleness) != 3*time.Minute {
+	if c.lastExchangeAt() != 2*time.Minute || c.lastRenewedAt(maxStaleness) != 3*time.Minute {
 		t.Errorf("after an answer: %+v", c)
 	}
 }
--- a/internal/coordination/reconcile/attempt.go
+++ b/internal/coordination/reconcile/attempt.go
@@ -65,7 +65,7 @@
 
 // issueStart returns the start command of the attempt and notes that it is sent now.
 func (a *attempt) issueStart(now time.Duration) protocol.Command {
-	a.start.record(a.agent.fence.useForStart(), a.agent.contact.epoch, now)
+	a.start.record(a.agent.fence.tokenForStart(), a.agent.contact.epoch, now)
 	return protocol.Command{Verb: protocol.VerbStart, Task: protocol.TaskName(a.job.ID, a.task), Attempt: a.number}
 }
 
--- a/internal/coordination/reconcile/commands.go
+++ b/internal/coordination/reconcile/commands.go
@@ -125,7 +125,7 @@
 		return
 	}
 	now := r.now()
-	if now < channel.NotBefore() || agent.address == "" || !agent.machine.Exists() || agent.isDisplaced() {
+	if now < channel.NotBefore() || agent.address == "" || !agent.machine.Exists() || agent.isDetached() {
 		return
 	}
 	commands := r.commandsFor(agent)
--- a/internal/coordination/reconcile/commands_test.go
+++ b/internal/coordination/reconcile/commands_test.go
@@ -30,7 +30,7 @@
 	if len(commands) != 1 || commands[0].Verb != protocol.VerbStart {
 		t.Fatalf("commands once the intent is durable: %v", commands)
 	}
-	startToken := agent.fence.highestStart
+	startToken := agent.fence.highestStartToken
 	ended := protocol.TaskStatus{Task: "run-1/0", Attempt: number, State: protocol.TaskEnded, Cause: protocol.CauseDone}
 	for range 2 {
 		for _, c := range f.heartbeatCommands(agent.contact.sequence+1, agent.fence.current, ended) {
--- a/internal/coordination/reconcile/completion.go
+++ b/internal/coordination/reconcile/completion.go
@@ -25,7 +25,7 @@
 	if !attempt.live() {
 		return
 	}
-	r.logOver(attempt, cause)
+	r.logAttemptEnded(attempt, cause)
 	r.usage.charge(attempt, -1)
 	attempt.state = attemptEnded
 	if cause != protocol.CauseDone || attempt.job.Ended() || attempt.job.IsService() {
--- a/internal/coordination/reconcile/contact.go
+++ b/internal/coordination/reconcile/contact.go
@@ -22,9 +22,9 @@
 	c.epoch, c.sequence, c.lastHeartbeatAt = heartbeat.Epoch, heartbeat.Sequence, now
 }
 
-// silentSince is the earlier of the last heartbeat and the last answer: up to that time,
+// lastExchangeAt is the earlier of the last heartbeat and the last answer: up to that time,
 // messages have passed in both directions.
-func (c *contact) silentSince() time.Duration { return min(c.lastHeartbeatAt, c.lastAnsweredAt) }
+func (c *contact) lastExchangeAt() time.Duration { return min(c.lastHeartbeatAt, c.lastAnsweredAt) }
 
 // lastRenewedAt is the latest time at which the agent's lease can have been renewed, by this
 // holder or by an earlier one, which may renew leases until its view exceeds maxStaleness.
--- a/internal/coordination/reconcile/decision_log.go
+++ b/internal/coordination/reconcile/decision_log.go
@@ -10,10 +10,10 @@
 // The log lines in this file state what a decision was based on: the fencing token, and the
 // revision and staleness of the view.
 
-// debugs reports whether debug lines are written. Callers that log for every heartbeat or task
+// debugEnabled reports whether debug lines are written. Callers that log for every heartbeat or task
 // check it first, because building the values of a line costs more than handling the
 // heartbeat or task.
-func (r *Reconciler) debugs() bool { return r.Log.Enabled(context.Background(), slog.LevelDebug) }
+func (r *Reconciler) debugEnabled() bool { return r.Log.Enabled(context.Background(), slog.LevelDebug) }
 
 // shardAttrs returns the log attributes that decisions about a shard are based on.
 func (r *Reconciler) shardAttrs(shard int) slog.Attr {
@@ -35,7 +35,7 @@
 // logMachineAcquired logs that a machine was acquired, with the number of its recorded
 // intents.
 func (r *Reconciler) logMachineAcquired(agent *agent) {
-	if r.debugs() {
+	if r.debugEnabled() {
 		r.Log.Debug("machine acquired", "machine", agent.machine.Name, "group", agent.machine.Group, "token", agent.fence.current,
 			"attempts", len(agent.machine.Intents), r.shardAttrs(agent.shard))
 	}
@@ -44,16 +44,16 @@
 // logMachineReleased logs that a machine is released, with its group, phase and shard in the
 // records and the number of attempts that still count on it.
 func (r *Reconciler) logMachineReleased(agent *agent) {
-	if r.debugs() {
+	if r.debugEnabled() {
 		machine := agent.machine
 		r.Log.Debug("machine released", "machine", machine.Name, "group", machine.Group, "phase", machine.Phase, "to", machine.Shard,
 			"attempts", len(agent.attempts), r.shardAttrs(agent.shard))
 	}
 }
 
-// logOver logs that an attempt has ended, and what proves it.
-func (r *Reconciler) logOver(attempt *attempt, cause string) {
-	if r.debugs() {
+// logAttemptEnded logs that an attempt has ended, and what proves it.
+func (r *Reconciler) logAttemptEnded(attempt *attempt, cause string) {
+	if r.debugEnabled() {
 		agent := attempt.agent
 		r.Log.Debug("attempt ended", "machine", agent.machine.Name, "job", attempt.job.ID, "task", attempt.task, "attempt", attempt.number,
 			"state", attempt.state, "reason", cause, "epoch", agent.contact.epoch, "sequence", agent.contact.sequence, r.shardAttrs(agent.shard))
@@ -62,7 +62,7 @@
 
 // logCommand logs a command that is sent for an attempt.
 func (r *Reconciler) logCommand(attempt *attempt, verb protocol.CommandVerb) {
-	if !r.debugs() {
+	if !r.debugEnabled() {
 		return
 	}
 	agent := attempt.agent
@@ -77,7 +77,7 @@
 
 // logHeartbeatAnswer logs the answer to a heartbeat, which renews the agent's lease.
 func (r *Reconciler) logHeartbeatAnswer(agent *agent, commands int) {
-	if r.debugs() {
+	if r.debugEnabled() {
 		r.Log.Debug("agent lease renewed", "machine", agent.machine.Name, "token", agent.fence.current, "confirmed", agent.fence.confirmed,
 			"epoch", agent.contact.epoch, "sequence", agent.contact.sequence, "commands", commands, r.shardAttrs(agent.shard))
 	}
--- a/internal/coordination/reconcile/detached.go
+++ b/internal/coordination/reconcile/detached.go
@@ -26,12 +26,12 @@
 	probeToken = 1
 )
 
-// isDisplaced reports whether the machine is detached.
-func (a *agent) isDisplaced() bool { return a.detachment.sinceRevision > 0 }
+// isDetached reports whether the machine is detached.
+func (a *agent) isDetached() bool { return a.detachment.sinceRevision > 0 }
 
 // heldByAnother reports whether another controller may hold the machine and renew its agent's
 // lease.
-func (a *agent) heldByAnother() bool { return a.isDisplaced() && a.machine.Exists() }
+func (a *agent) heldByAnother() bool { return a.isDetached() && a.machine.Exists() }
 
 // detachOrRelease releases a machine that has left its shard. If attempts on it are not
 // confirmed terminated, it detaches the machine instead: a record that moves the machine does
@@ -46,7 +46,7 @@
 		r.release(agent)
 		return
 	}
-	if !agent.isDisplaced() {
+	if !agent.isDetached() {
 		r.detach(agent)
 	}
 	if agent.heldByAnother() {
@@ -76,7 +76,7 @@
 
 // reattach ends the detachment of a machine that the records place in its shard again.
 func (r *Reconciler) reattach(agent *agent) {
-	if agent.isDisplaced() {
+	if agent.isDetached() {
 		agent.detachment = detachment{}
 		agent.contact.heldSince = r.now()
 		agent.needsAttention = true
@@ -106,12 +106,12 @@
 	})
 }
 
-// settleDisplacedAgents resolves the attempts on all detached machines as far as possible and
+// resolveDetachedAgents resolves the attempts on all detached machines as far as possible and
 // releases the machines that run none any more.
-func (r *Reconciler) settleDisplacedAgents() {
+func (r *Reconciler) resolveDetachedAgents() {
 	var detached []*agent
 	for _, agent := range r.agents.sorted {
-		if agent.isDisplaced() {
+		if agent.isDetached() {
 			detached = append(detached, agent)
 		}
 	}
@@ -143,7 +143,7 @@
 	request := protocol.CommandRequest{FencingToken: probeToken, Epoch: agent.contact.epoch, Commands: []protocol.Command{}}
 	r.Agents.Execute(agent.address, request, func(heartbeat *protocol.AgentHeartbeat, _ bool, err error) {
 		channel.Finish()
-		if err == nil && !r.Generation.Ended() && r.agents.contains(agent) && agent.isDisplaced() {
+		if err == nil && !r.Generation.Ended() && r.agents.contains(agent) && agent.isDetached() {
 			r.observeDetached(agent, heartbeat)
 		}
 	})
--- a/internal/coordination/reconcile/detached_test.go
+++ b/internal/coordination/reconcile/detached_test.go
@@ -49,7 +49,7 @@
 func (f *fixture) answerProbe(heartbeat protocol.AgentHeartbeat) {
 	f.t.Helper()
 	agent := f.agent()
-	if agent == nil || !agent.isDisplaced() {
+	if agent == nil || !agent.isDetached() {
 		f.t.Fatal("m-1 is not detached")
 	}
 	heartbeat.Machine = "m-1"
@@ -205,7 +205,7 @@
 	if f.attemptsOf(0) != 1 {
 		t.Error("the attempt on a machine of another shard is not counted")
 	}
-	if agent := f.reconciler.agents.find("m-3"); agent == nil || !agent.isDisplaced() || len(agent.attempts) != 1 {
+	if agent := f.reconciler.agents.find("m-3"); agent == nil || !agent.isDetached() || len(agent.attempts) != 1 {
 		t.Errorf("m-3: %+v", agent)
 	}
 }
--- a/internal/coordination/reconcile/fence.go
+++ b/internal/coordination/reconcile/fence.go
@@ -3,9 +3,9 @@
 // fence tracks the fencing tokens that order the commands of an agent's successive holders:
 // the agent rejects commands with a lower token than the highest that it has seen.
 type fence struct {
-	granted      uint64 // the grant's token
-	current      uint64 // token in use: the grant's token plus this holder's increments
-	highestStart uint64 // highest token with which a start was sent
+	granted           uint64 // the grant's token
+	current           uint64 // token in use: the grant's token plus this holder's increments
+	highestStartToken uint64 // highest token with which a start was sent
 	// confirmed is set once a heartbeat has reported the grant's token or a higher one:
 	// commands of earlier holders can no longer take effect.
 	confirmed bool
@@ -13,7 +13,7 @@
 
 // newFence makes the fence of an agent that is acquired under a grant.
 func newFence(granted uint64) fence {
-	return fence{granted: granted, current: granted, highestStart: granted - 1}
+	return fence{granted: granted, current: granted, highestStartToken: granted - 1}
 }
 
 // regrant applies a new grant; a token that is not above the current grant's is ignored.
@@ -42,11 +42,11 @@
 	}
 }
 
-// useForStart returns the token in use and records that a start is sent with it.
-func (f *fence) useForStart() uint64 {
-	f.highestStart = f.current
+// tokenForStart returns the token in use and records that a start is sent with it.
+func (f *fence) tokenForStart() uint64 {
+	f.highestStartToken = f.current
 	return f.current
 }
 
 // raiseAboveStarts raises the token in use above that of every start sent so far.
-func (f *fence) raiseAboveStarts() { f.raiseAbove(f.highestStart) }
+func (f *fence) raiseAboveStarts() { f.raiseAbove(f.highestStartToken) }
--- a/internal/coordination/reconcile/fence_test.go
+++ b/internal/coordination/reconcile/fence_test.go
@@ -16,7 +16,7 @@
 		{"token of an earlier holder reported", func() { f.observe(99) }, 100, false},
 		{"token of the grant reported", func() { f.observe(100) }, 100, true},
 		{"raised above starts, none sent", f.raiseAboveStarts, 100, true},
-		{"start sent", func() { f.useForStart() }, 100, true},
+		{"start sent", func() { f.tokenForStart() }, 100, true},
 		{"raised above the start", f.raiseAboveStarts, 101, true},
 		{"already above the start", f.raiseAboveStarts, 101, true},
 		{"raised", func() { f.raise() }, 102, true},
--- a/internal/coordination/reconcile/heartbeat.go
+++ b/internal/coordination/reconcile/heartbeat.go
@@ -193,7 +193,7 @@
 // terminated once the agent rejects its start. That holds for an attempt being stopped, and on
 // a detached machine, where a confirmed fence of this holder can no longer prove the attempt
 // terminated.
-func terminatesWhenFenced(a *attempt) bool { return a.stop.requested || a.agent.isDisplaced() }
+func terminatesWhenFenced(a *attempt) bool { return a.stop.requested || a.agent.isDetached() }
 
 // jobUnknownBackoff is how long tasks of a job are not started after an agent reported the job
 // as unknown.
--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -39,8 +39,8 @@
 // commands but whose own heartbeats reach no controller gets none, because its lease is
 // not renewed and will expire.
 func (r *Reconciler) schedulable(agent *agent, now time.Duration) bool {
-	sinceContact := now - agent.contact.silentSince()
-	return r.Leases.MayActFor(agent.shard) && !agent.isDisplaced() && agent.fence.confirmed && !agent.reachability.suspect &&
+	sinceContact := now - agent.contact.lastExchangeAt()
+	return r.Leases.MayActFor(agent.shard) && !agent.isDetached() && agent.fence.confirmed && !agent.reachability.suspect &&
 		agent.machine.Phase == storage.PhaseActive && agent.terminationAt == 0 && !agent.health.quarantined(now) &&
 		sinceContact < 2*r.AgentSettings.HeartbeatInterval()+heartbeatMargin
 }
@@ -189,7 +189,7 @@
 	r.addAttempt(a)
 	writer := r.writers[agent.shard]
 	writer.unassigned = append(writer.unassigned, a)
-	if r.debugs() {
+	if r.debugEnabled() {
 		r.Log.Debug("task placed", "machine", agent.machine.Name, "job", job.ID, "task", task, "attempt", number, "cached", cached,
 			"image", job.Image, "waited_ms", r.Generation.Wall().UnixMilli()-job.ReadyAtMS())
 	}
--- a/internal/coordination/reconcile/reconciler.go
+++ b/internal/coordination/reconcile/reconciler.go
@@ -78,7 +78,7 @@
 	r.attemptsByTask[attempt.ref()]++
 	r.usage.charge(attempt, 1)
 	if attempt.job.Image != "" {
-		attempt.agent.imageWantedAt[attempt.job.ImageIndex] = r.now()
+		attempt.agent.imageRequestedAt[attempt.job.ImageIndex] = r.now()
 	}
 }
 
@@ -124,7 +124,7 @@
 			r.sendCommands(agent)
 		}
 	}
-	r.settleDisplacedAgents()
+	r.resolveDetachedAgents()
 	for shard := range r.View.Grants {
 		if writer := r.writers[shard]; writer != nil {
 			writer.flushIfHeld()
--- a/internal/coordination/reconcile/record_writer.go
+++ b/internal/coordination/reconcile/record_writer.go
@@ -122,10 +122,10 @@
 // urgent and may never be written while new tasks need all writes.
 func (w *recordWriter) markPagesNaming(a *agent) {
 	now := w.now()
-	if len(a.attempts) > 0 || len(a.machine.Intents) == 0 || now < a.namesCheckedAt+drainPageCheckInterval {
+	if len(a.attempts) > 0 || len(a.machine.Intents) == 0 || now < a.intentPagesCheckedAt+drainPageCheckInterval {
 		return
 	}
-	a.namesCheckedAt = now
+	a.intentPagesCheckedAt = now
 	for _, number := range w.View.IntentPagesNaming(w.shard, a.machine) {
 		w.intentPageAt(number).urgent = true
 	}
--- a/internal/coordination/reconcile/statuses.go
+++ b/internal/coordination/reconcile/statuses.go
@@ -8,7 +8,7 @@
 func (r *Reconciler) MachineStatuses() []protocol.MachineStatus {
 	statuses := make([]protocol.MachineStatus, 0, len(r.agents.sorted))
 	for _, agent := range r.agents.sorted {
-		if r.Leases.Holds(agent.shard) && !agent.isDisplaced() {
+		if r.Leases.Holds(agent.shard) && !agent.isDetached() {
 			statuses = append(statuses, r.machineStatus(agent))
 		}
 	}
@@ -20,7 +20,7 @@
 	status := protocol.MachineStatus{
 		Name:         machine.Name,
 		Seen:         agent.fence.confirmed,
-		Silent:       r.now() - agent.contact.silentSince(),
+		Silent:       r.now() - agent.contact.lastExchangeAt(),
 		Tasks:        len(agent.attempts),
 		Faulty:       agent.health.faulty(),
 		Leaves:       agent.terminationAt > 0,
--- a/internal/coordination/reconcile/sync.go
+++ b/internal/coordination/reconcile/sync.go
@@ -152,7 +152,7 @@
 		task:      ref.Task,
 		number:    intent.Attempt,
 		agent:     agent,
-		start:     startCommand{token: agent.fence.highestStart},
+		start:     startCommand{token: agent.fence.highestStartToken},
 		inherited: true,
 		plannedAt: agent.contact.heldSince,
 	}
