--- a/internal/coordination/autoscaler/catalogue.go
+++ b/internal/coordination/autoscaler/catalogue.go
@@ -8,28 +8,30 @@
 	"rockrun/internal/storage"
 )
 
-// Pool is a kind of machine in a zone, spot or on demand.
+// Pool identifies the machines that are interchangeable for the autoscaler: machine type,
+// zone and market (spot or on-demand).
 type Pool struct {
-	MachineType int // index in the view
-	Zone        int // index in the view
+	MachineType int // index into the machine types of the view
+	Zone        int // index into the zones of the view
 	Spot        bool
 }
 
-// Catalogue is what can be rented.
+// Catalogue describes the machine types and zones that the cloud offers.
 type Catalogue struct {
-	MachineTypes []protocol.MachineType // by index; no CPUs where only the name is known
-	// ZoneIndex is the index of the zone with a name.
+	MachineTypes []protocol.MachineType // by index; CPUs is 0 for a type of which only the name is known
+	// ZoneIndex returns the index of the named zone.
 	ZoneIndex func(name string) int
-	// Fits reports whether a machine type may be used for a job and holds a task of it.
+	// Fits reports whether a job allows a machine type and a task of the job fits on an empty
+	// machine of the type.
 	Fits func(j *storage.Job, machineType int) bool
 }
 
-// CatalogueOf is the catalogue that the records name.
+// CatalogueOf returns the catalogue of the machine types and zones in a view.
 func CatalogueOf(view *storage.View) Catalogue {
 	return Catalogue{MachineTypes: view.MachineTypes, ZoneIndex: view.ZoneNames.ID, Fits: view.FitsMachineType}
 }
 
-// hourlyPrice is what a machine of a type costs an hour.
+// hourlyPrice returns the price of a machine of a type per hour.
 func hourlyPrice(t *protocol.MachineType, spot bool) float64 {
 	if spot {
 		return t.HourlySpotPrice
@@ -37,8 +39,8 @@
 	return t.HourlyPrice
 }
 
-// TasksPerMachine is for how many tasks of a job an empty machine of a type has room; 0 for
-// tasks that take nothing.
+// TasksPerMachine returns how many tasks of a job fit on an empty machine of a type; 0 for
+// tasks that need no resources.
 func TasksPerMachine(t *protocol.MachineType, j *storage.Job) int {
 	count := math.Inf(1)
 	for _, resource := range []struct{ offered, needed float64 }{{t.CPUs, j.CPUs}, {t.GPUs, j.GPUs}, {t.MemoryGB, j.MemoryGB}} {
@@ -52,7 +54,7 @@
 	return int(count)
 }
 
-// machineShare is the part of a machine of a type that one task takes.
+// machineShare returns the fraction of a machine of a type that one task occupies.
 func machineShare(t *protocol.MachineType, j *storage.Job) float64 {
 	if count := TasksPerMachine(t, j); count > 0 {
 		return 1 / float64(count)
@@ -60,8 +62,8 @@
 	return 1
 }
 
-// machineSeconds is the time that one task of a job takes on a machine of a type, as if it
-// had the whole machine.
+// machineSeconds returns the expected run time of one task of a job multiplied by the
+// fraction of a machine of a type that the task occupies.
 func machineSeconds(t *protocol.MachineType, j *storage.Job) float64 {
 	return machineShare(t, j) * placement.ExpectedRunSeconds(j)
 }
--- a/internal/coordination/autoscaler/consolidation.go
+++ b/internal/coordination/autoscaler/consolidation.go
@@ -7,24 +7,25 @@
 	"rockrun/internal/storage"
 )
 
-// consolidate is the machine whose services fit beside others and have done so for the
-// whole window, and which saves most for each replica that has to move; nil for none.
+// consolidate returns the machine to drain whose services have fitted on other machines for
+// the whole window. Of several machines it is the one that saves the most per replica that
+// has to move; nil if there is none.
 func (s *ScaleIn) consolidate(input *ScaleInInput) *storage.Machine {
 	candidates := consolidationCandidates(input)
 	var best *storage.Machine
 	bestSaving := 0.0
-	for _, x := range candidates {
-		fits := input.Planner.canConsolidate(x.Machine, input.View, input.Spares)
-		if !s.consolidatable.Observe(x.Machine.Name, fits, input.Now, s.Window) {
+	for _, supply := range candidates {
+		fits := input.Planner.canConsolidate(supply.Machine, input.View, input.Spares)
+		if !s.consolidatable.Observe(supply.Machine.Name, fits, input.Now, s.Window) {
 			continue
 		}
-		saving := input.View.MachineTypes[x.MachineType].HourlyPrice / float64(len(x.Machine.Intents))
+		saving := input.View.MachineTypes[supply.MachineType].HourlyPrice / float64(len(supply.Machine.Intents))
 		if best == nil || saving > bestSaving {
-			best, bestSaving = x.Machine, saving
+			best, bestSaving = supply.Machine, saving
 		}
 	}
 	for name := range s.consolidatable {
-		if !slices.ContainsFunc(candidates, func(x *Supply) bool { return x.Machine.Name == name }) {
+		if !slices.ContainsFunc(candidates, func(supply *Supply) bool { return supply.Machine.Name == name }) {
 			delete(s.consolidatable, name)
 		}
 	}
@@ -34,13 +35,14 @@
 	return best
 }
 
-// consolidationCandidates lists the machines with services that could all be moved. Looking
-// at one costs a look at all, so only the few with the fewest replicas are looked at.
+// consolidationCandidates lists machines whose tasks are all movable services. Examining one
+// machine means a pass over all machines, so only the machines with the fewest replicas are
+// returned, at most maxConsolidationCandidates.
 func consolidationCandidates(in *ScaleInInput) []*Supply {
 	var candidates []*Supply
-	for _, x := range in.Supplies {
-		if !in.isBlocked(x) && x.Ready && x.Schedulable && x.HostsService && onlyMovableTasks(x.Machine, in.View) {
-			candidates = append(candidates, x)
+	for _, supply := range in.Supplies {
+		if !in.isBlocked(supply) && supply.Ready && supply.Schedulable && supply.HostsService && onlyMovableTasks(supply.Machine, in.View) {
+			candidates = append(candidates, supply)
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b *Supply) int {
@@ -49,7 +51,8 @@
 	return candidates[:min(len(candidates), maxConsolidationCandidates)]
 }
 
-// onlyMovableTasks reports whether everything on a machine could be moved, room aside.
+// onlyMovableTasks reports whether all tasks on a machine may be moved, regardless of free
+// resources elsewhere.
 func onlyMovableTasks(m *storage.Machine, view *storage.View) bool {
 	for ref := range m.Intents {
 		j := view.Jobs.Get(ref.Job)
@@ -60,18 +63,18 @@
 	return true
 }
 
-// canConsolidate reports whether everything on a machine that does not end by itself finds
-// room on others, with the spare capacity that is kept still there.
+// canConsolidate reports whether all tasks on a machine whose jobs have not ended fit on
+// other machines of its shard while the spare capacity for services is preserved.
 func (p *Planner) canConsolidate(machine *storage.Machine, view *storage.View, spares []Demand) bool {
-	after := &Planner{Catalogue: p.Catalogue, Supplies: p.suppliesBeside(machine)}
+	after := &Planner{Catalogue: p.Catalogue, Supplies: p.otherSupplies(machine)}
 	for _, ref := range storage.SortedTasks(machine.Intents) {
 		j := view.Jobs.Get(ref.Job)
 		if j.Ended() {
 			continue
 		}
 		d := Demand{Job: j, Shard: machine.Shard, Count: 1}
-		for _, x := range after.Supplies {
-			after.Fill(x, &d)
+		for _, supply := range after.Supplies {
+			after.Fill(supply, &d)
 		}
 		if d.Count > 0 {
 			return false
@@ -82,13 +85,13 @@
 	})
 }
 
-// suppliesBeside are copies of what the other machines of a machine's shard that are up
-// have to offer.
-func (p *Planner) suppliesBeside(m *storage.Machine) []*Supply {
+// otherSupplies returns copies of the supplies of the other machines in the shard of a
+// machine that are ready and schedulable.
+func (p *Planner) otherSupplies(m *storage.Machine) []*Supply {
 	var others []*Supply
-	for _, x := range p.Supplies {
-		if x.Schedulable && x.Machine != nil && x.Machine != m && x.Ready && x.Shard == m.Shard {
-			other := *x
+	for _, supply := range p.Supplies {
+		if supply.Schedulable && supply.Machine != nil && supply.Machine != m && supply.Ready && supply.Shard == m.Shard {
+			other := *supply
 			others = append(others, &other)
 		}
 	}
--- a/internal/coordination/autoscaler/demand.go
+++ b/internal/coordination/autoscaler/demand.go
@@ -7,26 +7,26 @@
 	"rockrun/internal/storage"
 )
 
-// Demand is a number of equal tasks of one job shard that wait for machines.
+// Demand is a number of pending tasks in one job shard that need the same resources.
 type Demand struct {
 	Job   *storage.Job
 	Shard int
 	Count int
-	// Spare marks room that is kept for tasks which have not come yet.
+	// Spare marks capacity that is reserved for tasks not submitted yet.
 	Spare bool
-	// InPartitionedZone is how many of the tasks are replicas in a partitioned zone: their
-	// agents' leases run out.
+	// InPartitionedZone is how many of the tasks are replicas in a partitioned zone, where
+	// the leases of the agents are running out.
 	InPartitionedZone int
 
-	zoneCapacity []int // how many more may be in a zone, by index; nil: no bound
+	zoneCapacity []int // how many more tasks each zone may receive, by index; nil: no limit
 }
 
-// AllowedIn is how many of the tasks may go to a zone.
+// AllowedIn returns how many of the tasks may be placed in a zone.
 func (d *Demand) AllowedIn(zone int) int {
 	if d.zoneCapacity == nil {
 		return d.Count
 	}
-	if zone >= len(d.zoneCapacity) { // a zone that was not known when they were counted
+	if zone >= len(d.zoneCapacity) { // the zone was added after the tasks were counted
 		if d.Job.OneZone {
 			return 0
 		}
@@ -35,27 +35,27 @@
 	return min(d.Count, d.zoneCapacity[zone])
 }
 
-// Clone is a copy that can be served without a change of the original.
+// Clone returns a copy that can be reduced without changing the original.
 func (d Demand) Clone() Demand {
 	d.zoneCapacity = slices.Clone(d.zoneCapacity)
 	return d
 }
 
-// take takes off one task that goes to a zone.
-func (d *Demand) take(zone int) {
+// assignTo removes one task from the demand that is assigned to a zone.
+func (d *Demand) assignTo(zone int) {
 	d.Count--
 	if zone < len(d.zoneCapacity) {
 		d.zoneCapacity[zone]--
 	}
 }
 
-// restrictTo lets the tasks go to no other zone.
+// restrictTo restricts the tasks to one zone.
 func (d *Demand) restrictTo(zone int) {
 	d.zoneCapacity = make([]int, max(zone+1, len(d.zoneCapacity)))
 	d.zoneCapacity[zone] = d.Count
 }
 
-// spread lets at most half of the tasks, rounded up, go to each of a number of zones.
+// spread allows at most half of the tasks, rounded up, in each of the given number of zones.
 func (d *Demand) spread(zones int) {
 	d.zoneCapacity = make([]int, zones)
 	for zone := range d.zoneCapacity {
@@ -63,10 +63,10 @@
 	}
 }
 
-// Unmet is the demand for which there are no machines, in the order in which it is served.
+// Unmet is the demand that exceeds the supply, in the order in which it is served.
 type Unmet []Demand
 
-// Shards are the job shards whose work waits.
+// Shards returns the job shards that have unmet demand.
 func (u Unmet) Shards() map[int]bool {
 	shards := map[int]bool{}
 	for i := range u {
@@ -75,8 +75,8 @@
 	return shards
 }
 
-// TakeShardFor is the job shard whose work waits for the like of a machine of another
-// shard, or -1. What the machine would serve is taken off that work.
+// TakeShardFor returns the first job shard with unmet demand that a machine of another shard
+// could serve, or -1. It subtracts from that demand the tasks that fit on the machine.
 func (u Unmet) TakeShardFor(m *storage.Machine, view *storage.View) int {
 	for i := range u {
 		d := &u[i]
@@ -89,7 +89,7 @@
 	return -1
 }
 
-// taskShape is what makes demands alike.
+// taskShape holds the properties of a demand that determine which machines can serve it.
 type taskShape struct {
 	shard, zone        int
 	spot, spread       bool
@@ -97,7 +97,7 @@
 	types              string
 }
 
-// shapeOf is the shape of a demand's tasks.
+// shapeOf returns the shape of a demand's tasks.
 func shapeOf(d *Demand) taskShape {
 	j := d.Job
 	return taskShape{
@@ -106,7 +106,7 @@
 	}
 }
 
-// mergeEqual joins demands of the same shape, in the place of the first.
+// mergeEqual merges demands of the same shape into the first demand of that shape.
 func mergeEqual(list []Demand) []Demand {
 	index := map[taskShape]int{}
 	var merged []Demand
--- a/internal/coordination/autoscaler/doc.go
+++ b/internal/coordination/autoscaler/doc.go
@@ -1,9 +1,10 @@
-// Package autoscaler decides how many machines there should be, of what kind and where. It
-// compares the demand, tasks that wait for a machine, with the supply, what the machines
-// have to offer: scale-out is planned for what is left over, and machines that are idle or
-// whose services fit elsewhere are chosen to drain.
+// Package autoscaler decides how many machines the cluster needs, and from which pools. It
+// compares the demand (pending tasks) with the supply (the resources that machines offer),
+// plans scale-out for the unmet demand, and selects machines to drain that are idle or whose
+// services fit on other machines.
 //
-// Everything here is pure. Decisions follow from what the functions are given, without a
-// clock, a network, a log or a store; package provisioning carries them out. The only state
-// kept between two decisions is since when machines have been idle, in ScaleIn.
+// The package has no side effects. Decisions depend only on the arguments, not on a clock, a
+// network, a log or a store; package provisioning carries the decisions out. The only state
+// retained between two decisions is in ScaleIn: how long machines have been idle,
+// consolidatable or draining.
 package autoscaler
--- a/internal/coordination/autoscaler/fleet.go
+++ b/internal/coordination/autoscaler/fleet.go
@@ -12,38 +12,41 @@
 	"rockrun/internal/storage"
 )
 
-// Fleet is what is known of jobs and machines at one moment.
+// Fleet is a snapshot of jobs and machines.
 type Fleet struct {
 	View *storage.View
-	Now  time.Time // time of day
-	// MachineStatus is what the holder of a machine last said of it.
+	Now  time.Time // wall clock time
+	// MachineStatus returns the last status that the holder of a machine has reported.
 	MachineStatus func(*storage.Machine) (status protocol.MachineStatus, known bool)
-	// HeartbeatInterval is the time between two heartbeats of an agent.
+	// HeartbeatInterval is the interval at which an agent sends heartbeats.
 	HeartbeatInterval time.Duration
-	// HeartbeatTolerance is how long an agent that is well is silent at most.
+	// HeartbeatTolerance is the longest gap between two heartbeats of a healthy agent.
 	HeartbeatTolerance time.Duration
-	// PartitionedZones are the zones most of whose machines are silent.
+	// PartitionedZones are the zones in which most machines send no heartbeats.
 	PartitionedZones map[int]bool
 	Objectives       []config.Objective
-	// BootPatience is after how many of its boot times a machine counts as failed.
+	// BootPatience is the multiple of a machine type's boot time after which a boot counts as
+	// failed.
 	BootPatience float64
-	// SpareReplicas is for how many replicas of each kind of service room is kept.
+	// SpareReplicas is the number of replicas of each shape of service for which spare
+	// capacity is reserved.
 	SpareReplicas int
 }
 
-// MachineAge is the time from a machine's creation to a time of day.
+// MachineAge returns the time from a machine's creation to now, by the wall clock.
 func MachineAge(m *storage.Machine, now time.Time) time.Duration {
 	return time.Duration(now.UnixMilli()-m.RentedAtMS) * time.Millisecond
 }
 
-// BootOverdue reports whether a machine should have come up long ago.
+// BootOverdue reports whether a machine's age exceeds the boot timeout of its type.
 func (f *Fleet) BootOverdue(m *storage.Machine) bool {
 	const graceSeconds = 5
 	bootSeconds := f.View.MachineTypes[m.TypeIndex].BootSeconds
 	return MachineAge(m, f.Now).Seconds() > bootSeconds*f.BootPatience+graceSeconds
 }
 
-// Supplies lists the machines that there are, by name.
+// Supplies returns the supplies of all machines that exist and are not being
+// decommissioned, sorted by name.
 func (f *Fleet) Supplies() []*Supply {
 	var supplies []*Supply
 	f.View.Machines.All(func(_ int, m *storage.Machine) {
@@ -55,7 +58,7 @@
 	return supplies
 }
 
-// supplyOf is what a machine that is there will offer.
+// supplyOf returns the supply of an existing machine.
 func (f *Fleet) supplyOf(m *storage.Machine) *Supply {
 	machineType := &f.View.MachineTypes[m.TypeIndex]
 	supply := NewSupply(machineType, Pool{MachineType: m.TypeIndex, Zone: m.ZoneIndex, Spot: m.Spot}, m.Shard)
@@ -64,15 +67,15 @@
 	supply.bootSecondsLeft = 0
 	for ref := range m.Intents {
 		j := f.View.Jobs.Get(ref.Job)
-		if !j.Ended() && !j.Completed.Has(ref.Task) { // else it is about to leave
-			supply.host(machineType, j)
+		if !j.Ended() && !j.Completed.Has(ref.Task) { // a completed task will release its resources soon
+			supply.addTask(machineType, j)
 		}
 	}
 	f.applyStatus(supply)
 	return supply
 }
 
-// applyStatus takes in what the holder of a machine says of it.
+// applyStatus applies the status that the holder of a machine has reported.
 func (f *Fleet) applyStatus(supply *Supply) {
 	machine := supply.Machine
 	status, known := f.MachineStatus(machine)
@@ -80,28 +83,29 @@
 	if !supply.Ready {
 		supply.bootSecondsLeft = max(0, f.View.MachineTypes[machine.TypeIndex].BootSeconds-MachineAge(machine, f.Now).Seconds())
 	}
-	supply.MustLeave = known && (status.Faulty || status.Leaves)
-	silent := known && (status.Seen || status.Tasks > 0) && status.Silent > f.silencePatience(machine)
-	if supply.MustLeave || known && status.Unresponsive || silent {
+	supply.MustDrain = known && (status.Faulty || status.Leaves)
+	silent := known && (status.Seen || status.Tasks > 0) && status.Silent > f.heartbeatTimeout(machine)
+	if supply.MustDrain || known && status.Unresponsive || silent {
 		supply.Schedulable = false
 		supply.Suspect = true
 	}
-	// What no holder has spoken of may well be up: a leader that can't hear the holder must
-	// not rent the whole fleet anew.
+	// A machine without a reported status may be up: a leader that cannot reach the holder
+	// must not replace the whole fleet.
 	if known && !supply.Ready && f.BootOverdue(machine) {
 		supply.Schedulable = false
 	}
 }
 
-// silencePatience is how long a machine's agent may be silent before the machine is suspect.
-func (f *Fleet) silencePatience(m *storage.Machine) time.Duration {
+// heartbeatTimeout returns the time without heartbeats after which a machine is suspect.
+func (f *Fleet) heartbeatTimeout(m *storage.Machine) time.Duration {
 	if f.PartitionedZones[m.ZoneIndex] {
 		return f.HeartbeatTolerance
 	}
 	return 3 * f.HeartbeatInterval
 }
 
-// SoleMachineTypes are the machine types that are the only ones for some unfinished work.
+// SoleMachineTypes returns the machine types that are the only fitting type of some runnable
+// job.
 func (f *Fleet) SoleMachineTypes() map[int]bool {
 	sole := map[int]bool{}
 	f.View.Jobs.All(func(_ int, j *storage.Job) {
@@ -122,8 +126,8 @@
 	return sole
 }
 
-// StartSlackSeconds is how much time is left until a task of a job must start if the job is
-// to meet its deadline; infinite for a job that has none.
+// StartSlackSeconds returns the time left until a task of a job must start for the job to
+// meet its deadline; infinite for a job without a deadline.
 func (f *Fleet) StartSlackSeconds(j *storage.Job) float64 {
 	if j.DeadlineSeconds <= 0 {
 		return math.Inf(1)
--- a/internal/coordination/autoscaler/waiting.go
+++ b/internal/coordination/autoscaler/pending.go
@@ -6,8 +6,8 @@
 	"rockrun/internal/storage"
 )
 
-// Demands lists what waits, in the order in which the job shards serve it, within the
-// teams' maximums.
+// Demands lists the pending tasks that the teams' maximums allow to start, in the order in
+// which the job shards place them.
 func (f *Fleet) Demands() []Demand {
 	jobs, used := f.runnableJobs()
 	tasksByZone := f.tasksByZone(jobs)
@@ -20,15 +20,15 @@
 			continue
 		}
 		zones := tasksByZone[j.Index]
-		for zone, there := range zones {
-			zones[zone] = tasksAllowedInZone(j, count, there)
+		for zone, placed := range zones {
+			zones[zone] = tasksAllowedInZone(j, count, placed)
 		}
 		demands = append(demands, Demand{Job: j, Shard: j.Shard, Count: count, zoneCapacity: zones})
 	}
 	return demands
 }
 
-// runnableJobs lists the jobs with tasks to place, and what each team uses already.
+// runnableJobs lists the jobs with tasks to place, and the current usage of each team.
 func (f *Fleet) runnableJobs() (jobs []placement.Candidate, used []quota.Usage) {
 	used = make([]quota.Usage, len(f.View.Teams))
 	f.View.Jobs.All(func(_ int, j *storage.Job) {
@@ -44,8 +44,8 @@
 	return jobs, used
 }
 
-// tasksByZone counts, for each job of a list to which it matters, the tasks that may be in
-// each zone.
+// tasksByZone counts the tasks that may be running in each zone, for each listed job whose
+// placement depends on the zones of its other tasks.
 func (f *Fleet) tasksByZone(jobs []placement.Candidate) map[int][]int {
 	counts := map[int][]int{}
 	for i := range jobs {
@@ -66,11 +66,12 @@
 	return counts
 }
 
-// isSpread reports whether no zone may have much more than half of a job's tasks.
+// isSpread reports whether a job's tasks are spread over zones: at most half of the tasks,
+// rounded up, may be in one zone.
 func isSpread(j *storage.Job) bool { return j.Spread && j.Tasks > 1 }
 
-// tasksWithinMaximum is how many of a job's open tasks the team's maximum lets start, beside
-// what it uses; it is added to that.
+// tasksWithinMaximum returns how many of a job's open tasks the team's maximum allows to
+// start in addition to the team's usage, and adds these tasks to the usage.
 func tasksWithinMaximum(j *storage.Job, team *storage.Team, used *quota.Usage) int {
 	count := j.OpenTasks()
 	for _, amount := range []struct{ used, perTask, maximum float64 }{{used.CPUs, j.CPUs, team.MaxCPUs}, {used.GPUs, j.GPUs, team.MaxGPUs}} {
@@ -84,16 +85,17 @@
 	return count
 }
 
-// tasksAllowedInZone is how many of a job's tasks may use room in a zone where some are
-// already.
-func tasksAllowedInZone(j *storage.Job, count, there int) int {
-	// Tasks that share a zone can't use room in any other: counted as supply, or rented
-	// anew each time it is given back, they would never get theirs.
-	if j.OneZone && j.RunningTasks() > 0 && there == 0 {
+// tasksAllowedInZone returns how many of a job's open tasks may use resources in a zone that
+// already has some of the job's tasks.
+func tasksAllowedInZone(j *storage.Job, count, placed int) int {
+	// Tasks that share a zone cannot use another zone's resources. If those resources counted
+	// as supply, or machines were created there again after each scale-in, the tasks would
+	// never get machines in their own zone.
+	if j.OneZone && j.RunningTasks() > 0 && placed == 0 {
 		return 0
 	}
 	if isSpread(j) {
-		return max(0, (j.Tasks+1)/2-there)
+		return max(0, (j.Tasks+1)/2-placed)
 	}
 	return count
 }
--- a/internal/coordination/autoscaler/planner.go
+++ b/internal/coordination/autoscaler/planner.go
@@ -5,38 +5,39 @@
 	"rockrun/internal/storage"
 )
 
-// Planner weighs demand against supply for one decision on scale-out. Serving demands uses
-// up what the supplies have to offer, and planning uses up what is allowed.
+// Planner matches demand with supply for one scale-out decision. Serving demands reduces the
+// supplies, and planning reduces MachinesAllowed.
 type Planner struct {
 	Catalogue
 	Supplies []*Supply
-	// Unavailable reports whether a pool is not to be asked for machines now.
+	// Unavailable reports whether no machines can be created in a pool at present.
 	Unavailable     func(Pool) bool
 	MachinesByPool  map[Pool]int
-	SoleTypes       map[int]bool // machine types that are the only ones for some work
-	MachinesAllowed int          // machines that may still be rented
-	CallsAllowed    int          // calls to the cloud that may still be made
-	// ScaleOutPatience is how many boot times of a new machine arrays wait for those that
-	// are there.
+	SoleTypes       map[int]bool // machine types that are the only fitting type of some job
+	MachinesAllowed int          // machines that may still be created
+	CallsAllowed    int          // create calls that may still be sent to the cloud
+	// ScaleOutPatience is the multiple of a new machine's boot time that arrays wait for
+	// existing machines before scale-out.
 	ScaleOutPatience float64
-	// StartSlackSeconds is how long a task of a job may wait to be in time; nil: for ever.
+	// StartSlackSeconds returns how long a task of a job may wait without missing the job's
+	// deadline; nil: no limit.
 	StartSlackSeconds func(j *storage.Job) float64
 
-	waitingServices map[taskShape]int // services of a shape that wait, all together
+	unmetReplicas map[taskShape]int // unmet replicas, summed over the services of a shape
 }
 
-// Unmet serves demands in their order from the supply and returns what is left over.
-// Machines that boot count as supply.
+// Unmet serves demands in order from the supply and returns the remaining demand. Booting
+// machines count as supply.
 func (p *Planner) Unmet(demands []Demand) Unmet {
 	var unmet Unmet
 	for i := range demands {
 		demand := demands[i].Clone()
-		p.settleZone(&demand)
-		for _, x := range p.Supplies {
+		p.chooseZone(&demand)
+		for _, supply := range p.Supplies {
 			if demand.Count == 0 {
 				break
 			}
-			p.Fill(x, &demand)
+			p.Fill(supply, &demand)
 		}
 		if demand.Count > 0 {
 			p.subtractTurnover(&demand)
@@ -48,53 +49,56 @@
 	return unmet
 }
 
-// Fill gives a machine as much of a demand as it takes.
-func (p *Planner) Fill(x *Supply, d *Demand) {
-	const wholeRun = 1
-	for x.Schedulable && x.Shard == d.Shard && d.AllowedIn(x.Zone) > 0 && p.hasRoomFor(x, d.Job) {
-		x.take(d.Job)
-		x.reserve(&p.MachineTypes[x.MachineType], d.Job, wholeRun)
-		d.take(x.Zone)
+// Fill assigns as many tasks of a demand to a machine as fit.
+func (p *Planner) Fill(supply *Supply, d *Demand) {
+	const wholeRun = 1 // fraction of a task's run that remains
+	for supply.Schedulable && supply.Shard == d.Shard && d.AllowedIn(supply.Zone) > 0 && p.hasRoomFor(supply, d.Job) {
+		supply.allocate(d.Job)
+		supply.reserveTime(&p.MachineTypes[supply.MachineType], d.Job, wholeRun)
+		d.assignTo(supply.Zone)
 	}
 }
 
-// hasRoomFor reports whether a task of a job fits on a machine.
-func (p *Planner) hasRoomFor(x *Supply, j *storage.Job) bool {
-	room := x.free
+// hasRoomFor reports whether a machine is eligible for a job and has free resources for a
+// task. Services may use resources that other tasks occupy, since they preempt them.
+func (p *Planner) hasRoomFor(supply *Supply, j *storage.Job) bool {
+	room := supply.free
 	if j.IsService() {
-		room = x.freeBesideServices
+		room = supply.freeBesideServices
 	}
-	return room.Fits(j) && p.eligible(x, j)
+	return room.Fits(j) && p.eligible(supply, j)
 }
 
-// eligible reports whether a job's tasks may be on a machine, room aside.
-func (p *Planner) eligible(x *Supply, j *storage.Job) bool {
-	return (!x.Spot || j.Spot) && (j.ZoneIndex < 0 || j.ZoneIndex == x.Zone) && p.Fits(j, x.MachineType)
+// eligible reports whether a job allows a machine's type, zone and market, regardless of free
+// resources.
+func (p *Planner) eligible(supply *Supply, j *storage.Job) bool {
+	return (!supply.Spot || j.Spot) && (j.ZoneIndex < 0 || j.ZoneIndex == supply.Zone) && p.Fits(j, supply.MachineType)
 }
 
-// settleZone settles on a zone for tasks that must share one and of which none has been
-// placed yet: the one with most room, where that is worth waiting for more.
-func (p *Planner) settleZone(demand *Demand) {
-	const worthWaitingFor = 4 // room for one in so many
+// chooseZone restricts tasks that must share a zone, and of which none has been placed yet,
+// to the zone where most of them fit, if at least a quarter of them fit there. Otherwise the
+// demand stays unrestricted.
+func (p *Planner) chooseZone(demand *Demand) {
+	const minRoomDivisor = 4 // waiting for more capacity in a zone pays off if a quarter of the tasks fit already
 	if !demand.Job.OneZone || demand.zoneCapacity != nil {
 		return
 	}
 	room := map[int]int{}
 	best := -1
-	for _, x := range p.Supplies {
-		room[x.Zone] += p.replicasThatFitOn(x, demand)
-		if best < 0 || room[x.Zone] > room[best] || room[x.Zone] == room[best] && x.Zone < best {
-			best = x.Zone
+	for _, supply := range p.Supplies {
+		room[supply.Zone] += p.replicasThatFitOn(supply, demand)
+		if best < 0 || room[supply.Zone] > room[best] || room[supply.Zone] == room[best] && supply.Zone < best {
+			best = supply.Zone
 		}
 	}
-	if best >= 0 && room[best]*worthWaitingFor >= demand.Count {
+	if best >= 0 && room[best]*minRoomDivisor >= demand.Count {
 		demand.restrictTo(best)
 	}
 }
 
-// subtractTurnover takes off a demand what machines that are there will have served by the
-// time a new one could start on it: renting for that would only add machines that come up
-// to an empty queue.
+// subtractTurnover subtracts from the demand of an array the tasks that existing machines
+// will serve before a new machine could start them. Machines created for those tasks would
+// boot to an empty queue.
 func (p *Planner) subtractTurnover(demand *Demand) {
 	if demand.Job.Kind != protocol.KindArray {
 		return
@@ -103,9 +107,9 @@
 	if !ok {
 		return
 	}
-	fraction := 0.0 // of a task that a machine has time for beyond whole ones: few have time for just whole ones
+	fraction := 0.0 // of a task, carried over to the next machine: few machines have time for a whole number of tasks
 	for _, supply := range p.Supplies {
-		if !p.servesInTurns(supply, demand) {
+		if !p.countsForTurnover(supply, demand) {
 			continue
 		}
 		perTask := machineSeconds(&p.MachineTypes[supply.MachineType], demand.Job)
@@ -124,10 +128,10 @@
 	}
 }
 
-// turnoverHorizonSeconds is how long a demand may wait for the machines that are there. It
-// is false where no new machine is to be had at all.
+// turnoverHorizonSeconds returns how long a demand may wait for existing machines. ok is
+// false if no pool can supply a new machine.
 func (p *Planner) turnoverHorizonSeconds(demand *Demand) (seconds float64, ok bool) {
-	const slackShare = 0.6 // the rest is for what takes longer than estimated
+	const slackShare = 0.6 // the rest of the slack covers tasks that run longer than estimated
 	pool, _, ok := p.CheapestPool(demand, nil)
 	if !ok {
 		return 0, false
@@ -140,22 +144,22 @@
 	return seconds, true
 }
 
-// servesInTurns reports whether a machine serves tasks of an array one after the other.
-// Beside the services there must be room for one: a machine that always has a replica on
-// it never serves a task that takes all of it.
-func (p *Planner) servesInTurns(x *Supply, d *Demand) bool {
-	return x.Schedulable && x.Shard == d.Shard && d.AllowedIn(x.Zone) >= 1 && p.eligible(x, d.Job) && x.freeBesideServices.Fits(d.Job)
+// countsForTurnover reports whether a machine will serve tasks of an array one after
+// another. A task must fit beside the machine's services: a machine that always runs a
+// replica never serves a task that needs the whole machine.
+func (p *Planner) countsForTurnover(supply *Supply, d *Demand) bool {
+	return supply.Schedulable && supply.Shard == d.Shard && d.AllowedIn(supply.Zone) >= 1 && p.eligible(supply, d.Job) && supply.freeBesideServices.Fits(d.Job)
 }
 
-// SubtractSupply takes off demands for spare replicas what there is room for, and returns
-// those that are left.
+// SubtractSupply subtracts from the demands for spare replicas the replicas that fit on the
+// supply, and returns the remaining demands.
 func (p *Planner) SubtractSupply(spares []Demand) []Demand {
 	var left []Demand
 	for i := range spares {
 		d := spares[i].Clone()
-		for _, x := range p.Supplies {
-			for range min(p.replicasThatFitOn(x, &d), d.AllowedIn(x.Zone)) {
-				d.take(x.Zone)
+		for _, supply := range p.Supplies {
+			for range min(p.replicasThatFitOn(supply, &d), d.AllowedIn(supply.Zone)) {
+				d.assignTo(supply.Zone)
 			}
 		}
 		if d.Count > 0 {
@@ -165,22 +169,23 @@
 	return left
 }
 
-// replicasThatFit is for how many more replicas of a service its job shard has room.
+// replicasThatFit returns how many more replicas of a service fit on the machines of its job
+// shard.
 func (p *Planner) replicasThatFit(d *Demand) int {
 	count := 0
-	for _, x := range p.Supplies {
-		count += p.replicasThatFitOn(x, d)
+	for _, supply := range p.Supplies {
+		count += p.replicasThatFitOn(supply, d)
 	}
 	return count
 }
 
-// replicasThatFitOn is for how many more replicas of a service a machine has room.
-func (p *Planner) replicasThatFitOn(x *Supply, d *Demand) int {
-	if !x.Schedulable || x.Shard != d.Shard || !p.eligible(x, d.Job) {
+// replicasThatFitOn returns how many more replicas of a service fit on a machine.
+func (p *Planner) replicasThatFitOn(supply *Supply, d *Demand) int {
+	if !supply.Schedulable || supply.Shard != d.Shard || !p.eligible(supply, d.Job) {
 		return 0
 	}
 	count := 0
-	for room := x.freeBesideServices; room.Fits(d.Job); count++ {
+	for room := supply.freeBesideServices; room.Fits(d.Job); count++ {
 		room.Subtract(d.Job)
 	}
 	return count
--- a/internal/coordination/autoscaler/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -12,80 +12,86 @@
 )
 
 const (
-	// machinesPerDrain is for how many machines of the fleet one may drain at a time.
+	// machinesPerDrain is the number of machines in the fleet per additional machine that may
+	// drain at the same time.
 	machinesPerDrain = 32
-	// drainStuckAfter is how long replicas may stay on a draining machine: then they find
-	// no place elsewhere after all.
+	// drainStuckAfter is the time after which replicas still on a draining machine show that
+	// they cannot be placed elsewhere.
 	drainStuckAfter = 30 * time.Second
-	// maxConsolidationCandidates is how many machines with services are examined in a cycle.
+	// maxConsolidationCandidates is the maximum number of machines with services that are
+	// examined per cycle.
 	maxConsolidationCandidates = 32
 )
 
-// ScaleIn chooses machines to drain. It remembers since when each has been idle, or its
-// services have fitted elsewhere. Make it with NewScaleIn.
+// ScaleIn selects machines to drain. It tracks how long each machine has been idle, how long
+// its services have fitted elsewhere, and how long it has been draining with replicas on it.
+// Create it with NewScaleIn.
 type ScaleIn struct {
 	ScaleInConfig
-	idle           loop.Windows
-	consolidatable loop.Windows
-	draining       loop.Windows // with replicas still on them
+	idle               loop.Windows
+	consolidatable     loop.Windows
+	drainsWithReplicas loop.Windows // draining machines that still run replicas
 }
 
-// ScaleInConfig is when machines drain.
+// ScaleInConfig holds the settings of scale-in.
 type ScaleInConfig struct {
-	// Window is how long the cheapest kind of machine is idle before it drains.
+	// Window is how long a machine with the cheapest CPUs must be idle before it drains, and
+	// how long the services of a machine must have fitted elsewhere.
 	Window time.Duration
-	// Below is the booked share of its CPUs below which a machine is idle.
+	// Below is the booked share of a machine's CPUs below which the machine is idle.
 	Below float64
-	// MinMachines never drain.
+	// MinMachines is the minimum size of the fleet; scale-in does not go below it.
 	MinMachines int
 }
 
-// NewScaleIn makes a ScaleIn that has seen no machine idle.
+// NewScaleIn returns a ScaleIn that has not observed any machine yet.
 func NewScaleIn(c ScaleInConfig) *ScaleIn {
-	return &ScaleIn{ScaleInConfig: c, idle: loop.Windows{}, consolidatable: loop.Windows{}, draining: loop.Windows{}}
+	return &ScaleIn{ScaleInConfig: c, idle: loop.Windows{}, consolidatable: loop.Windows{}, drainsWithReplicas: loop.Windows{}}
 }
 
-// ScaleInInput is all that one decision on scale-in depends on, beside what is remembered.
+// ScaleInInput holds the input of one scale-in decision, apart from the state in ScaleIn.
 type ScaleInInput struct {
 	Now      time.Duration
 	View     *storage.View
-	Supplies []*Supply // recorded machines as they are, by name
+	Supplies []*Supply // recorded machines, not reduced by the planner, sorted by name
 	Spares   []Demand
-	// Planner holds what the machines offer once the demand was served.
+	// Planner holds the supplies that remain after the demand has been served.
 	Planner *Planner
-	// Blocked are the job shards whose work waits for machines.
+	// Blocked holds the job shards that have unmet demand.
 	Blocked map[int]bool
-	// Claimed reports whether a machine drains for the work of another job shard.
+	// Claimed reports whether a machine drains to serve another job shard.
 	Claimed func(*storage.Machine) bool
-	// Changing reports whether a machine's record is being changed already.
+	// Changing reports whether a change of a machine's record is in progress.
 	Changing func(*storage.Machine) bool
-	// TakeShardFor is the job shard whose work waits for the like of a machine, or -1; what
-	// the machine would serve is taken off that work.
+	// TakeShardFor returns another job shard with unmet demand that a machine could serve, or
+	// -1, and subtracts from that demand the tasks that fit on the machine.
 	TakeShardFor func(*storage.Machine) int
 }
 
-// isBlocked reports whether work of a machine's shard waits for machines.
-func (in *ScaleInInput) isBlocked(x *Supply) bool { return in.Blocked[x.Shard] }
+// isBlocked reports whether a machine's shard has unmet demand.
+func (in *ScaleInInput) isBlocked(supply *Supply) bool { return in.Blocked[supply.Shard] }
 
-// ScaleInDecision is what is to become of machines.
+// ScaleInDecision lists the machines whose phase is to change.
 type ScaleInDecision struct {
-	Reactivate  []*storage.Machine // draining ones that are needed after all
-	Idle        []*storage.Machine // to be drained, since they are idle
-	Consolidate *storage.Machine   // to be drained, since its services fit elsewhere; nil for none
+	Reactivate  []*storage.Machine // draining machines that are needed again
+	Idle        []*storage.Machine // machines to drain because they are idle
+	Consolidate *storage.Machine   // machine to drain because its services fit elsewhere; nil for none
 }
 
-// Decide gives back slowly: after a machine has been idle enough for the whole window, one
-// machine at a time for every thirty-two of the fleet, and work that is blocked in a job
-// shard ends its drains. Idle machines of one job shard drain at once when another waits
-// for their like; they go there once empty.
+// Decide selects the machines to drain and to reactivate. Scale-in is slow on purpose: a
+// machine must be idle for its whole window, and only one machine plus one for every
+// machinesPerDrain machines of the fleet may drain at the same time. Unmet demand in a job
+// shard ends the drains of the shard. An empty idle machine drains without waiting for its
+// window if another job shard has unmet demand that the machine could serve; it moves to
+// that shard once drained.
 func (s *ScaleIn) Decide(input *ScaleInInput) ScaleInDecision {
 	var decision ScaleInDecision
 	var draining int
 	decision.Reactivate, draining = s.endDrains(input)
 	var idle []*Supply
-	for _, x := range input.Supplies {
-		if s.idleLongEnough(input, x) {
-			idle = append(idle, x)
+	for _, supply := range input.Supplies {
+		if s.idleLongEnough(input, supply) {
+			idle = append(idle, supply)
 		}
 	}
 	sortForScaleIn(idle, input.Planner.Catalogue)
@@ -96,7 +102,7 @@
 		if draining >= maxDraining || machines <= s.MinMachines {
 			break
 		}
-		if input.Changing(supply.Machine) || !capacity.take(supply) {
+		if input.Changing(supply.Machine) || !capacity.tryRemove(supply) {
 			continue
 		}
 		draining++
@@ -109,19 +115,19 @@
 	return decision
 }
 
-// endDrains lists draining machines that are needed after all, and counts those that go on
-// draining.
+// endDrains lists the draining machines that are needed again, and counts the machines that
+// continue to drain, except claimed ones.
 func (s *ScaleIn) endDrains(input *ScaleInInput) (reactivate []*storage.Machine, draining int) {
 	for _, supply := range input.Supplies {
 		if supply.Machine.Phase != storage.PhaseDraining {
 			continue
 		}
-		stuck := s.draining.Observe(supply.Machine.Name, supply.HostsService, input.Now, drainStuckAfter)
+		stuck := s.drainsWithReplicas.Observe(supply.Machine.Name, supply.HostsService, input.Now, drainStuckAfter)
 		if input.Claimed(supply.Machine) {
 			continue
 		}
-		if (input.isBlocked(supply) || stuck) && !supply.MustLeave && !input.Changing(supply.Machine) {
-			delete(s.draining, supply.Machine.Name)
+		if (input.isBlocked(supply) || stuck) && !supply.MustDrain && !input.Changing(supply.Machine) {
+			delete(s.drainsWithReplicas, supply.Machine.Name)
 			reactivate = append(reactivate, supply.Machine)
 			continue
 		}
@@ -130,43 +136,44 @@
 	return reactivate, draining
 }
 
-// idleLongEnough reports whether a machine has been idle for its whole window, by its own
-// booked share: services keep the fleet's share up while whole machines beside them stand
-// empty. An empty one that another job shard waits for need not have been.
-func (s *ScaleIn) idleLongEnough(in *ScaleInInput, x *Supply) bool {
-	idle := !in.isBlocked(x) && x.Ready && x.Schedulable && !x.HostsService && x.BookedShare(in.View.MachineTypes) < s.Below
-	if s.idle.Observe(x.Machine.Name, idle, in.Now, s.idleWindow(x, in.View.MachineTypes)) {
+// idleLongEnough reports whether a machine has been idle for its whole window. It uses the
+// booked share of the machine rather than of the fleet, because services keep the fleet's
+// share high while other machines are empty. An empty idle machine qualifies at once if
+// another job shard has unmet demand that the machine could serve.
+func (s *ScaleIn) idleLongEnough(in *ScaleInInput, supply *Supply) bool {
+	idle := !in.isBlocked(supply) && supply.Ready && supply.Schedulable && !supply.HostsService && supply.BookedShare(in.View.MachineTypes) < s.Below
+	if s.idle.Observe(supply.Machine.Name, idle, in.Now, s.idleWindow(supply, in.View.MachineTypes)) {
 		return true
 	}
-	return idle && len(x.Machine.Intents) == 0 && in.TakeShardFor(x.Machine) >= 0
+	return idle && len(supply.Machine.Intents) == 0 && in.TakeShardFor(supply.Machine) >= 0
 }
 
-// idleWindow is how long a machine must be idle before it drains: the window for the
-// cheapest CPUs there are, less for dearer ones, so that waiting for work costs the same
-// whatever waits.
-func (s *ScaleIn) idleWindow(x *Supply, types []protocol.MachineType) time.Duration {
-	cheapest := math.Inf(1) // a CPU and hour
+// idleWindow returns how long a machine must be idle before it drains: the configured window
+// for the cheapest CPUs in the catalogue, and proportionally less for more expensive CPUs,
+// so that an idle CPU costs the same on every machine before it drains.
+func (s *ScaleIn) idleWindow(supply *Supply, types []protocol.MachineType) time.Duration {
+	cheapest := math.Inf(1) // price of a CPU per hour
 	for i := range types {
 		if t := &types[i]; t.CPUs > 0 {
 			cheapest = min(cheapest, t.HourlyPrice/t.CPUs, t.HourlySpotPrice/t.CPUs)
 		}
 	}
-	t := &types[x.MachineType]
-	hourly := hourlyPrice(t, x.Spot)
+	t := &types[supply.MachineType]
+	hourly := hourlyPrice(t, supply.Spot)
 	if hourly <= 0 || t.CPUs <= 0 {
 		return s.Window
 	}
 	return time.Duration(float64(s.Window) * min(1, cheapest*t.CPUs/hourly))
 }
 
-// sortForScaleIn puts idle machines into the order in which they drain: the least booked
-// first, of equal ones the dearest, and those of a machine group together, whose changes
-// then share their writes.
+// sortForScaleIn sorts idle machines into the order in which they drain: by ascending booked
+// share, then by descending price of a CPU, then by machine group, because changes to the
+// machines of one group share a write.
 func sortForScaleIn(idle []*Supply, catalogue Catalogue) {
 	slices.SortFunc(idle, func(a, b *Supply) int {
 		return cmp.Or(
 			cmp.Compare(a.BookedShare(catalogue.MachineTypes), b.BookedShare(catalogue.MachineTypes)),
-			cmp.Compare(catalogue.priceOfCPU(b.Pool), catalogue.priceOfCPU(a.Pool)),
+			cmp.Compare(catalogue.hourlyPricePerCPU(b.Pool), catalogue.hourlyPricePerCPU(a.Pool)),
 			cmp.Compare(a.Machine.Group, b.Machine.Group),
 			cmp.Compare(a.Machine.Name, b.Machine.Name),
 		)
--- a/internal/coordination/autoscaler/scaleout.go
+++ b/internal/coordination/autoscaler/scaleout.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// maxMachinesPerCall is for how many machines one call to the cloud asks at most.
+// maxMachinesPerCall is the maximum number of machines that one create call requests.
 const maxMachinesPerCall = 50
 
-// ScaleOut is a decision to rent machines.
+// ScaleOut is a decision to create machines of one pool for one job shard.
 type ScaleOut struct {
 	Pool
 	Shard int
 	Count int
 }
 
-// extends reports whether machines of a pool for a shard are asked for with the same call.
-func (s *ScaleOut) extends(pool Pool, shard int) bool { return s.Pool == pool && s.Shard == shard }
+// matches reports whether machines of a pool for a shard can be created with the same call.
+func (s *ScaleOut) matches(pool Pool, shard int) bool { return s.Pool == pool && s.Shard == shard }
 
-// ScaleOuts rents the cheapest machines for the unmet demand: for every job the pool in
-// which a task costs least once the machine is filled as far as the job fills it. What a
-// machine has left over is used by the jobs that follow, and machines of one pool are asked
-// for together.
+// ScaleOuts plans the cheapest machines for the unmet demand. Each job gets the pool with the
+// lowest cost per task, given how far the job fills a machine of the pool. Later jobs use the
+// resources that remain on planned machines, and machines of one pool for one shard are
+// created with one call.
 func (p *Planner) ScaleOuts(unmet []Demand) []ScaleOut {
-	p.countWaitingServices(unmet)
+	p.countUnmetReplicas(unmet)
 	var plan scaleOutPlan
 	for i := range unmet {
 		d := unmet[i].Clone()
-		for _, x := range plan.machines {
-			p.Fill(x, &d)
+		for _, supply := range plan.machines {
+			p.Fill(supply, &d)
 		}
 		for d.Count > 0 && p.MachinesAllowed > 0 {
-			if !p.extend(&plan, &d) {
+			if !p.extendPlan(&plan, &d) {
 				break
 			}
 		}
@@ -39,29 +39,30 @@
 	return plan.scaleOuts
 }
 
-// scaleOutPlan is what has been decided so far.
+// scaleOutPlan holds the decisions made so far.
 type scaleOutPlan struct {
 	scaleOuts []ScaleOut
-	machines  []*Supply // what they will offer
+	machines  []*Supply // supplies of the planned machines
 }
 
-// countWaitingServices sums the services that wait by their shape.
-func (p *Planner) countWaitingServices(unmet []Demand) {
-	p.waitingServices = map[taskShape]int{}
+// countUnmetReplicas sums the unmet replicas of services by shape.
+func (p *Planner) countUnmetReplicas(unmet []Demand) {
+	p.unmetReplicas = map[taskShape]int{}
 	for i := range unmet {
 		if d := &unmet[i]; d.Job.IsService() {
-			p.waitingServices[shapeOf(d)] += d.Count
+			p.unmetReplicas[shapeOf(d)] += d.Count
 		}
 	}
 }
 
-// extend rents machines of the cheapest pool for a demand, and reports whether it did.
-func (p *Planner) extend(plan *scaleOutPlan, demand *Demand) bool {
+// extendPlan adds machines of the cheapest pool for a demand to the plan. It returns false if
+// no pool is available or a limit is reached.
+func (p *Planner) extendPlan(plan *scaleOutPlan, demand *Demand) bool {
 	pool, perMachine, ok := p.CheapestPool(demand, plan.scaleOuts)
 	if !ok {
 		return false
 	}
-	i := slices.IndexFunc(plan.scaleOuts, func(s ScaleOut) bool { return s.extends(pool, demand.Shard) })
+	i := slices.IndexFunc(plan.scaleOuts, func(s ScaleOut) bool { return s.matches(pool, demand.Shard) })
 	if i < 0 {
 		if len(plan.scaleOuts) >= p.CallsAllowed {
 			return false
@@ -69,7 +70,7 @@
 		i = len(plan.scaleOuts)
 		plan.scaleOuts = append(plan.scaleOuts, ScaleOut{Pool: pool, Shard: demand.Shard})
 	}
-	// Whole machines first; the rest may be cheaper elsewhere.
+	// Plan only machines that the demand fills; another pool may be cheaper for the remainder.
 	count := min(max(demand.AllowedIn(pool.Zone)/perMachine, 1), p.MachinesAllowed, maxMachinesPerCall-plan.scaleOuts[i].Count)
 	if count <= 0 {
 		return false
@@ -80,9 +81,9 @@
 		demand.restrictTo(pool.Zone)
 	}
 	for range count {
-		x := NewSupply(&p.MachineTypes[pool.MachineType], pool, demand.Shard)
-		plan.machines = append(plan.machines, x)
-		p.Fill(x, demand)
+		supply := NewSupply(&p.MachineTypes[pool.MachineType], pool, demand.Shard)
+		plan.machines = append(plan.machines, supply)
+		p.Fill(supply, demand)
 	}
 	return true
 }
@@ -90,14 +91,14 @@
 // poolChoice is the best pool found so far.
 type poolChoice struct {
 	pool       Pool
-	perMachine int     // tasks that a machine there holds
-	cost       float64 // of a task
-	preference int     // among equal costs the least wins
+	perMachine int     // tasks that fit on a machine
+	cost       float64 // per task
+	preference int     // at equal cost the lowest preference wins
 	found      bool
 }
 
-// offer takes a pool that is better.
-func (c *poolChoice) offer(pool Pool, perMachine int, cost float64, preference int) {
+// consider replaces the choice if a pool is better.
+func (c *poolChoice) consider(pool Pool, perMachine int, cost float64, preference int) {
 	const tolerance = 1e-9 // costs that differ by less are equal
 	cheaper := cost < c.cost*(1-tolerance)
 	preferred := cost <= c.cost*(1+tolerance) && preference < c.preference
@@ -106,10 +107,11 @@
 	}
 }
 
-// CheapestPool is the pool in which a task of a demand costs least, and how many a machine
-// there holds. Of equal ones it is the one that is asked for already, then the one with the
-// larger machines, which need fewer heartbeats and share images, then the zone with the
-// fewest machines, so that no zone holds too much.
+// CheapestPool returns the pool with the lowest cost per task for a demand, and how many
+// tasks fit on a machine of the pool. Pools of equal cost are ranked by whether a planned
+// call already requests machines of the pool, then by machine size, because larger
+// machines need fewer heartbeats and share images, then by the lowest number of machines in
+// the pool, which keeps machines from concentrating in one zone.
 func (p *Planner) CheapestPool(d *Demand, planned []ScaleOut) (pool Pool, perMachine int, found bool) {
 	choice := poolChoice{cost: math.Inf(1)}
 	for machineType := range p.MachineTypes {
@@ -117,14 +119,14 @@
 			continue
 		}
 		if perMachine := TasksPerMachine(&p.MachineTypes[machineType], d.Job); perMachine >= 1 {
-			p.offerPools(&choice, d, machineType, perMachine, planned)
+			p.considerPools(&choice, d, machineType, perMachine, planned)
 		}
 	}
 	return choice.pool, choice.perMachine, choice.found
 }
 
-// offerPools offers the pools of a machine type that a demand may use.
-func (p *Planner) offerPools(choice *poolChoice, demand *Demand, machineType, perMachine int, planned []ScaleOut) {
+// considerPools considers the pools of a machine type that a demand may use.
+func (p *Planner) considerPools(choice *poolChoice, demand *Demand, machineType, perMachine int, planned []ScaleOut) {
 	for _, name := range p.MachineTypes[machineType].Zones {
 		zone := p.ZoneIndex(name)
 		if demand.Job.ZoneIndex >= 0 && demand.Job.ZoneIndex != zone || demand.AllowedIn(zone) < 1 {
@@ -135,20 +137,21 @@
 			if spot && !demand.Job.Spot || p.Unavailable(pool) {
 				continue
 			}
-			choice.offer(pool, perMachine, p.costPerTask(demand, pool, perMachine), p.preference(demand, pool, perMachine, planned))
+			choice.consider(pool, perMachine, p.costPerTask(demand, pool, perMachine), p.preference(demand, pool, perMachine, planned))
 		}
 	}
 }
 
-// costPerTask is what a task of a demand costs an hour in a pool, with what makes the pool
-// less or more suitable added.
+// costPerTask returns the cost of a task of a demand per hour in a pool, adjusted for how
+// suitable the pool is.
 func (p *Planner) costPerTask(demand *Demand, pool Pool, perMachine int) float64 {
 	const (
-		imageFactor = 0.1 // a machine with room for many is likelier to have the next one's image
-		soleFactor  = 1.3 // other work has no other machines
+		imageFactor = 0.1 // a machine that holds more replicas is likelier to have the image of the next replica
+		soleFactor  = 1.3 // penalty for a machine type that is the only fitting type of some job
 	)
-	// A machine far larger than what waits is paid for idle.
-	used := min(perMachine, max(demand.AllowedIn(pool.Zone), p.waitingServices[shapeOf(demand)]))
+	// A machine much larger than the unmet demand would be paid for while partly idle, so only
+	// the tasks that would use the machine share its price.
+	used := min(perMachine, max(demand.AllowedIn(pool.Zone), p.unmetReplicas[shapeOf(demand)]))
 	cost := hourlyPrice(&p.MachineTypes[pool.MachineType], pool.Spot) / float64(used)
 	if demand.Job.IsService() {
 		cost *= 1 + imageFactor/float64(perMachine)
@@ -159,28 +162,28 @@
 	return cost
 }
 
-// preference orders pools of equal cost; the least is preferred.
+// preference ranks pools of equal cost; the lowest value is preferred.
 func (p *Planner) preference(d *Demand, pool Pool, perMachine int, planned []ScaleOut) int {
 	const (
 		sizeWeight    = 1000
 		plannedWeight = 1_000_000
 	)
 	preference := p.MachinesByPool[pool] - sizeWeight*perMachine
-	if slices.ContainsFunc(planned, func(s ScaleOut) bool { return s.extends(pool, d.Shard) && s.Count < maxMachinesPerCall }) {
+	if slices.ContainsFunc(planned, func(s ScaleOut) bool { return s.matches(pool, d.Shard) && s.Count < maxMachinesPerCall }) {
 		preference -= plannedWeight
 	}
 	return preference
 }
 
-// ScaleOutPossible reports whether machines that suit a demand can still be rented.
+// ScaleOutPossible reports whether any available pool has machines that fit a demand.
 func (c Catalogue) ScaleOutPossible(d *Demand, unavailable func(Pool) bool) bool {
 	planner := Planner{Catalogue: c, Unavailable: unavailable}
 	_, _, found := planner.CheapestPool(d, nil)
 	return found
 }
 
-// priceOfCPU is what a CPU of a machine costs an hour.
-func (c Catalogue) priceOfCPU(pool Pool) float64 {
+// hourlyPricePerCPU returns the price of a CPU per hour in a pool.
+func (c Catalogue) hourlyPricePerCPU(pool Pool) float64 {
 	t := &c.MachineTypes[pool.MachineType]
 	return hourlyPrice(t, pool.Spot) / max(t.CPUs, minCPUs)
 }
--- a/internal/coordination/autoscaler/spare.go
+++ b/internal/coordination/autoscaler/spare.go
@@ -9,21 +9,23 @@
 	"rockrun/internal/storage"
 )
 
-// Arrivals are counted in bins; the fullest quarter of them is left out, so that the wave
-// in which a cluster is filled for the first time is not taken for a rate.
+// Arrivals are counted in bins. The fullest quarter of the bins is ignored, so that the
+// initial burst of submissions to a new cluster does not count as an arrival rate.
 const (
 	arrivalBin  = 10 * time.Second
 	arrivalBins = 12
 )
 
-// arrivals are how many replicas have come, by age: the first bin is the youngest.
+// arrivals counts replicas by the time since they became ready to start; the first bin is the
+// most recent.
 type arrivals [arrivalBins]int
 
-// SpareDemands lists the services whose next replicas must find room at once: one entry
-// for every shape of running service, with the number of replicas: some at least, and as
-// many as are likely to come while a machine boots. Those on machines that have fallen
-// silent or that the cloud takes back come on top, so that room is on its way before they
-// are known to be lost.
+// SpareDemands lists the replicas for which spare capacity is reserved, so that they can
+// start without waiting for a machine to boot. Each shape of runnable service gets one entry.
+// Its count is SpareReplicas, or the number of services of the shape if that is lower, but at
+// least the number of replicas expected to arrive while a machine boots. Replicas on suspect
+// machines (silent, unresponsive, faulty or to be terminated by the cloud) are added, so that
+// new machines are booting before the replicas are confirmed lost.
 func (f *Fleet) SpareDemands(supplies []*Supply) []Demand {
 	services := f.services()
 	shapes := mergeEqual(services)
@@ -36,14 +38,14 @@
 	for i := range spares {
 		d := &spares[i]
 		d.Spare = true
-		if d.Job.Spread && d.Count > 1 { // they need their room in more than one zone
+		if d.Job.Spread && d.Count > 1 { // the replicas need capacity in more than one zone
 			d.spread(f.View.ZoneNames.Len())
 		}
 	}
 	return spares
 }
 
-// services lists the running services by name, with one replica each.
+// services lists the runnable services sorted by ID, as demands for one replica each.
 func (f *Fleet) services() []Demand {
 	var services []Demand
 	f.View.Jobs.All(func(_ int, j *storage.Job) {
@@ -55,7 +57,7 @@
 	return services
 }
 
-// arrivalsByShape counts the replicas that have come lately.
+// arrivalsByShape counts the replicas of each shape that became ready to start recently.
 func (f *Fleet) arrivalsByShape(shapes, services []Demand) map[taskShape]*arrivals {
 	arrived := map[taskShape]*arrivals{}
 	for i := range shapes {
@@ -71,7 +73,7 @@
 	return arrived
 }
 
-// suspectReplicas lists the replicas on machines that are suspect.
+// suspectReplicas lists the replicas on suspect machines.
 func (f *Fleet) suspectReplicas(supplies []*Supply) []Demand {
 	var replicas []Demand
 	for _, supply := range supplies {
@@ -93,20 +95,20 @@
 	return replicas
 }
 
-// expectedReplicas is how many replicas of a service's shape are likely to come while a
-// machine boots that could take them: twice the mean, and two standard deviations more.
+// expectedReplicas estimates how many replicas of a service's shape arrive while a machine
+// for them boots: twice the mean plus two standard deviations.
 func (f *Fleet) expectedReplicas(j *storage.Job, arrived *arrivals) int {
 	sum := 0
 	for _, count := range slices.Sorted(slices.Values(arrived[:]))[:arrivalBins*3/4] {
 		sum += count
 	}
-	rate := float64(sum) / (arrivalBin.Seconds() * arrivalBins * 3 / 4) // a second
+	rate := float64(sum) / (arrivalBin.Seconds() * arrivalBins * 3 / 4) // replicas per second
 	expected := rate * f.shortestBootSeconds(j) * 2
 	return int(math.Ceil(expected + 2*math.Sqrt(expected*float64(max(j.Tasks, 1)))))
 }
 
-// shortestBootSeconds is the boot time of the machine type for a job that is up first; 0
-// where none fits.
+// shortestBootSeconds returns the shortest boot time of the machine types that fit a job; 0
+// if none fits.
 func (f *Fleet) shortestBootSeconds(j *storage.Job) float64 {
 	shortest := 0.0
 	for machineType := range f.View.MachineTypes {
--- a/internal/coordination/autoscaler/sparecapacity.go
+++ b/internal/coordination/autoscaler/sparecapacity.go
@@ -1,10 +1,11 @@
 package autoscaler
 
-// spareCapacity is the room that job shards have beyond what is kept for services.
+// spareCapacity tracks how many replicas fit on the machines beyond the spare capacity that
+// is reserved for services.
 type spareCapacity struct {
 	planner *Planner
 	spares  []Demand
-	surplus []int // by spare
+	surplus []int // replicas that fit beyond the reserved number, by index in spares
 }
 
 func newSpareCapacity(p *Planner, spares []Demand) *spareCapacity {
@@ -15,16 +16,16 @@
 	return c
 }
 
-// take takes a machine's room off if the spare capacity can do without it, and reports
-// whether it did.
-func (c *spareCapacity) take(x *Supply) bool {
+// tryRemove subtracts the replicas that fit on a machine from the surplus and returns true.
+// It returns false and changes nothing if the reserved capacity needs the machine.
+func (c *spareCapacity) tryRemove(supply *Supply) bool {
 	for i := range c.spares {
-		if count := c.planner.replicasThatFitOn(x, &c.spares[i]); count > 0 && count > c.surplus[i] {
+		if count := c.planner.replicasThatFitOn(supply, &c.spares[i]); count > 0 && count > c.surplus[i] {
 			return false
 		}
 	}
 	for i := range c.spares {
-		c.surplus[i] -= c.planner.replicasThatFitOn(x, &c.spares[i])
+		c.surplus[i] -= c.planner.replicasThatFitOn(supply, &c.spares[i])
 	}
 	return true
 }
--- a/internal/coordination/autoscaler/supply.go
+++ b/internal/coordination/autoscaler/supply.go
@@ -6,28 +6,28 @@
 	"rockrun/internal/storage"
 )
 
-// Supply is a machine as it is counted here: what it will offer to new work.
+// Supply describes the resources that a machine will offer to new tasks.
 type Supply struct {
 	Pool
-	Machine      *storage.Machine // nil while no record names it
+	Machine      *storage.Machine // nil while the machine has no record
 	Shard        int
 	HostsService bool
-	Ready        bool // up, and under its holder's grant
-	Schedulable  bool // may take new tasks
-	Suspect      bool // silent, or must go
-	MustLeave    bool // faulty, or the cloud takes it back
+	Ready        bool // the agent has sent a heartbeat under its holder's current grant
+	Schedulable  bool // may receive new tasks
+	Suspect      bool // silent, unresponsive or MustDrain
+	MustDrain    bool // faulty, or the cloud has announced its termination
 
 	free               placement.Resources
-	freeBesideServices placement.Resources // what is left beside services: other work gives way to them
+	freeBesideServices placement.Resources // not occupied by services, which preempt other tasks
 
-	// For arrays a machine is supply over time as well, counted in machine-seconds from
-	// now on.
-	bootSecondsLeft float64 // until it is up
-	serviceShare    float64 // share that services hold
-	reservedSeconds float64 // machine-seconds that arrays have yet to use
+	// For arrays, supply is also counted in machine-seconds from now on, because a machine
+	// serves tasks one after another.
+	bootSecondsLeft float64 // until the machine is up
+	serviceShare    float64 // fraction of the machine that services occupy
+	reservedSeconds float64 // machine-seconds that assigned array tasks still need
 }
 
-// NewSupply is a machine that is not up yet, or not even asked for.
+// NewSupply returns the supply of a machine that is booting or not created yet.
 func NewSupply(t *protocol.MachineType, pool Pool, shard int) *Supply {
 	capacity := placement.MachineCapacity(t)
 	return &Supply{
@@ -36,48 +36,48 @@
 	}
 }
 
-// host takes off what a task that is on the machine uses.
-func (x *Supply) host(t *protocol.MachineType, j *storage.Job) {
-	const remaining = 0.5 // of an array's task that may be anywhere in its run
-	x.take(j)
-	x.HostsService = x.HostsService || j.IsService()
-	x.reserve(t, j, remaining)
+// addTask subtracts the resources of a task that is on the machine.
+func (s *Supply) addTask(t *protocol.MachineType, j *storage.Job) {
+	const remaining = 0.5 // expected fraction of an array task's run that remains, as its progress is unknown
+	s.allocate(j)
+	s.HostsService = s.HostsService || j.IsService()
+	s.reserveTime(t, j, remaining)
 }
 
-// take takes off the room of one task.
-func (x *Supply) take(j *storage.Job) {
-	x.free.Subtract(j)
+// allocate subtracts the resources of one task.
+func (s *Supply) allocate(j *storage.Job) {
+	s.free.Subtract(j)
 	if j.IsService() {
-		x.freeBesideServices.Subtract(j)
+		s.freeBesideServices.Subtract(j)
 	}
 }
 
-// reserve adds a task to what a machine is busy with, of which the given part is still to
-// run.
-func (x *Supply) reserve(t *protocol.MachineType, j *storage.Job, remaining float64) {
+// reserveTime adds a task to the machine's load over time; remaining is the fraction of the
+// task's run that is left.
+func (s *Supply) reserveTime(t *protocol.MachineType, j *storage.Job, remaining float64) {
 	if j.IsService() {
-		x.serviceShare += machineShare(t, j)
+		s.serviceShare += machineShare(t, j)
 	} else {
-		x.reservedSeconds += machineSeconds(t, j) * remaining
+		s.reservedSeconds += machineSeconds(t, j) * remaining
 	}
 }
 
-// BookedShare is the booked part of the machine's CPUs.
-func (x *Supply) BookedShare(types []protocol.MachineType) float64 {
-	return 1 - x.free.CPUs/max(types[x.MachineType].CPUs, minCPUs)
+// BookedShare returns the booked fraction of the machine's CPUs.
+func (s *Supply) BookedShare(types []protocol.MachineType) float64 {
+	return 1 - s.free.CPUs/max(types[s.MachineType].CPUs, minCPUs)
 }
 
-// minCPUs keeps a machine type of which only the name is known from being divided by.
+// minCPUs avoids a division by zero for machine types of which only the name is known.
 const minCPUs = 1e-9
 
-// BookedShare is the booked part of the CPUs of all machines that take new tasks; 1 where
-// there are none.
+// BookedShare returns the booked fraction of the CPUs of all schedulable machines; 1 if there
+// are none.
 func BookedShare(supplies []*Supply, types []protocol.MachineType) float64 {
 	total, free := 0.0, 0.0
-	for _, x := range supplies {
-		if x.Schedulable {
-			total += types[x.MachineType].CPUs
-			free += max(x.free.CPUs, 0)
+	for _, supply := range supplies {
+		if supply.Schedulable {
+			total += types[supply.MachineType].CPUs
+			free += max(supply.free.CPUs, 0)
 		}
 	}
 	if total == 0 {
@@ -86,11 +86,11 @@
 	return 1 - free/total
 }
 
-// CountByPool counts machines by pool.
+// CountByPool returns the number of machines in each pool.
 func CountByPool(supplies []*Supply) map[Pool]int {
 	counts := map[Pool]int{}
-	for _, x := range supplies {
-		counts[x.Pool]++
+	for _, supply := range supplies {
+		counts[supply.Pool]++
 	}
 	return counts
 }
