--- a/internal/coordination/autoscaler/demand.go
+++ b/internal/coordination/autoscaler/demand.go
@@ -75,9 +75,9 @@
 	return shards
 }
 
-// TakeShardFor returns the first job shard with unmet demand that a machine of another shard
+// AssignShardFor returns the first job shard with unmet demand that a machine of another shard
 // could serve, or -1. It subtracts from that demand the tasks that fit on the machine.
-func (u Unmet) TakeShardFor(m *storage.Machine, view *storage.View) int {
+func (u Unmet) AssignShardFor(m *storage.Machine, view *storage.View) int {
 	for i := range u {
 		d := &u[i]
 		if d.Shard == m.Shard || d.Count <= 0 || d.Job.Ended() || !view.Eligible(d.Job, m) {
--- a/internal/coordination/autoscaler/fleet.go
+++ b/internal/coordination/autoscaler/fleet.go
@@ -25,9 +25,9 @@
 	// PartitionedZones are the zones in which most machines send no heartbeats.
 	PartitionedZones map[int]bool
 	Objectives       []config.Objective
-	// BootPatience is the multiple of a machine type's boot time after which a boot counts as
+	// BootTimeoutFactor is the multiple of a machine type's boot time after which a boot counts as
 	// failed.
-	BootPatience float64
+	BootTimeoutFactor float64
 	// SpareReplicas is the number of replicas of each shape of service for which spare
 	// capacity is reserved.
 	SpareReplicas int
@@ -42,7 +42,7 @@
 func (f *Fleet) BootOverdue(m *storage.Machine) bool {
 	const graceSeconds = 5
 	bootSeconds := f.View.MachineTypes[m.TypeIndex].BootSeconds
-	return MachineAge(m, f.Now).Seconds() > bootSeconds*f.BootPatience+graceSeconds
+	return MachineAge(m, f.Now).Seconds() > bootSeconds*f.BootTimeoutFactor+graceSeconds
 }
 
 // Supplies returns the supplies of all machines that exist and are not being
--- a/internal/coordination/autoscaler/fleet_test.go
+++ b/internal/coordination/autoscaler/fleet_test.go
@@ -48,7 +48,7 @@
 func (r *testRecords) fleet() *Fleet {
 	return &Fleet{
 		View: r.view, Now: time.Unix(1_800_000_000, 0), HeartbeatInterval: 3 * time.Second, HeartbeatTolerance: 6 * time.Second,
-		BootPatience: 2.5, SpareReplicas: 4,
+		BootTimeoutFactor: 2.5, SpareReplicas: 4,
 		MachineStatus: func(m *storage.Machine) (protocol.MachineStatus, bool) {
 			status, known := r.statuses[m.Name]
 			return status, known
--- a/internal/coordination/autoscaler/planner.go
+++ b/internal/coordination/autoscaler/planner.go
@@ -16,9 +16,9 @@
 	SoleTypes       map[int]bool // machine types that are the only fitting type of some job
 	MachinesAllowed int          // machines that may still be created
 	CallsAllowed    int          // create calls that may still be sent to the cloud
-	// ScaleOutPatience is the multiple of a new machine's boot time that arrays wait for
+	// ScaleOutWaitFactor is the multiple of a new machine's boot time that arrays wait for
 	// existing machines before scale-out.
-	ScaleOutPatience float64
+	ScaleOutWaitFactor float64
 	// StartSlackSeconds returns how long a task of a job may wait without missing the job's
 	// deadline; nil: no limit.
 	StartSlackSeconds func(j *storage.Job) float64
@@ -137,7 +137,7 @@
 		return 0, false
 	}
 	bootSeconds := p.MachineTypes[pool.MachineType].BootSeconds
-	seconds = bootSeconds * p.ScaleOutPatience
+	seconds = bootSeconds * p.ScaleOutWaitFactor
 	if p.StartSlackSeconds != nil {
 		seconds = min(seconds, slackShare*max(bootSeconds, p.StartSlackSeconds(demand.Job)))
 	}
--- a/internal/coordination/autoscaler/planner_test.go
+++ b/internal/coordination/autoscaler/planner_test.go
@@ -39,7 +39,7 @@
 			Fits:         func(*storage.Job, int) bool { return true },
 		},
 		Unavailable:    func(Pool) bool { return false },
-		MachinesByPool: map[Pool]int{}, SoleTypes: map[int]bool{}, MachinesAllowed: 1000, CallsAllowed: 10, ScaleOutPatience: 2,
+		MachinesByPool: map[Pool]int{}, SoleTypes: map[int]bool{}, MachinesAllowed: 1000, CallsAllowed: 10, ScaleOutWaitFactor: 2,
 	}
 }
 
@@ -164,7 +164,7 @@
 // assigned to one job is not available to the next job.
 func TestBootingMachineCapacityCountsOnce(t *testing.T) {
 	p := newTestPlanner()
-	p.ScaleOutPatience = 0
+	p.ScaleOutWaitFactor = 0
 	p.Supplies = []*Supply{NewSupply(&p.MachineTypes[typeLarge], Pool{typeLarge, zoneA, true}, 0)}
 	var demands []Demand
 	for range 2 {
--- a/internal/coordination/autoscaler/scalein.go
+++ b/internal/coordination/autoscaler/scalein.go
@@ -38,8 +38,8 @@
 	// Window is how long a machine with the cheapest CPUs must be idle before it drains, and
 	// how long the services of a machine must have fitted elsewhere.
 	Window time.Duration
-	// Below is the booked share of a machine's CPUs below which the machine is idle.
-	Below float64
+	// IdleBelow is the booked share of a machine's CPUs below which the machine is idle.
+	IdleBelow float64
 	// MinMachines is the minimum size of the fleet; scale-in does not go below it.
 	MinMachines int
 }
@@ -63,9 +63,9 @@
 	Claimed func(*storage.Machine) bool
 	// Changing reports whether a change of a machine's record is in progress.
 	Changing func(*storage.Machine) bool
-	// TakeShardFor returns another job shard with unmet demand that a machine could serve, or
+	// AssignShardFor returns another job shard with unmet demand that a machine could serve, or
 	// -1, and subtracts from that demand the tasks that fit on the machine.
-	TakeShardFor func(*storage.Machine) int
+	AssignShardFor func(*storage.Machine) int
 }
 
 // isBlocked reports whether a machine's shard has unmet demand.
@@ -141,11 +141,11 @@
 // share high while other machines are empty. An empty idle machine qualifies at once if
 // another job shard has unmet demand that the machine could serve.
 func (s *ScaleIn) idleLongEnough(in *ScaleInInput, supply *Supply) bool {
-	idle := !in.isBlocked(supply) && supply.Ready && supply.Schedulable && !supply.HostsService && supply.BookedShare(in.View.MachineTypes) < s.Below
+	idle := !in.isBlocked(supply) && supply.Ready && supply.Schedulable && !supply.HostsService && supply.BookedShare(in.View.MachineTypes) < s.IdleBelow
 	if s.idle.Observe(supply.Machine.Name, idle, in.Now, s.idleWindow(supply, in.View.MachineTypes)) {
 		return true
 	}
-	return idle && len(supply.Machine.Intents) == 0 && in.TakeShardFor(supply.Machine) >= 0
+	return idle && len(supply.Machine.Intents) == 0 && in.AssignShardFor(supply.Machine) >= 0
 }
 
 // idleWindow returns how long a machine must be idle before it drains: the configured window
--- a/internal/coordination/autoscaler/scalein_test.go
+++ b/internal/coordination/autoscaler/scalein_test.go
@@ -34,9 +34,9 @@
 		supply := NewSupply(&r.view.MachineTypes[m.TypeIndex], Pool{m.TypeIndex, m.ZoneIndex, m.Spot}, 0)
 		supply.Machine, supply.Ready, supply.bootSecondsLeft = m, true, 0
 		c.change(supply)
-		s := NewScaleIn(ScaleInConfig{Window: window, Below: 0.3})
+		s := NewScaleIn(ScaleInConfig{Window: window, IdleBelow: 0.3})
 		in := &ScaleInInput{
-			Now: time.Minute, View: r.view, Blocked: map[int]bool{0: c.blocked}, TakeShardFor: func(*storage.Machine) int { return -1 },
+			Now: time.Minute, View: r.view, Blocked: map[int]bool{0: c.blocked}, AssignShardFor: func(*storage.Machine) int { return -1 },
 		}
 		if s.idleLongEnough(in, supply) {
 			t.Errorf("%s: drains at once", c.name)
@@ -56,9 +56,9 @@
 	planner := newTestPlanner()
 	in := &ScaleInInput{
 		Now: time.Minute, View: view, Planner: planner,
-		Claimed:      func(*storage.Machine) bool { return false },
-		Changing:     func(*storage.Machine) bool { return false },
-		TakeShardFor: func(*storage.Machine) int { return -1 },
+		Claimed:        func(*storage.Machine) bool { return false },
+		Changing:       func(*storage.Machine) bool { return false },
+		AssignShardFor: func(*storage.Machine) int { return -1 },
 	}
 	for i := range machines {
 		supply := readySupply(planner)
@@ -92,7 +92,7 @@
 		}, 0},
 	} {
 		in := newIdleFleetInput(c.machines)
-		s := NewScaleIn(ScaleInConfig{Below: 0.3})
+		s := NewScaleIn(ScaleInConfig{IdleBelow: 0.3})
 		c.change(s, in)
 		if got := len(s.Decide(in).Idle); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
@@ -121,7 +121,7 @@
 	} {
 		in := newIdleFleetInput(1)
 		in.Supplies[0].Machine.Phase, in.Supplies[0].Schedulable = storage.PhaseDraining, false
-		s := NewScaleIn(ScaleInConfig{Below: 0.3})
+		s := NewScaleIn(ScaleInConfig{IdleBelow: 0.3})
 		c.change(in)
 		first := s.Decide(in)
 		in.Now += drainStuckAfter
--- a/internal/coordination/provisioning/claims_test.go
+++ b/internal/coordination/provisioning/claims_test.go
@@ -113,7 +113,7 @@
 	shard := f.unmet[0].Shard
 	for name := range claims {
 		m := f.testLeader.machine(name)
-		if got := f.provisioner.allocateToShard(m); got != shard {
+		if got := f.provisioner.assignShardFor(m); got != shard {
 			t.Errorf("machine %s moves to shard %d, want %d", name, got, shard)
 		}
 		f.put(storage.MachineGroupKey(m.Group), storage.MachineGroupRecord{Type: "small", Zone: "z", Shard: shard, Machines: []storage.MachineEntry{{Name: name}}})
--- a/internal/coordination/provisioning/cycle.go
+++ b/internal/coordination/provisioning/cycle.go
@@ -27,7 +27,7 @@
 		scaleOutWindow: config.Seconds(o.ScaleOutWindowSeconds),
 		scaleIn: autoscaler.NewScaleIn(autoscaler.ScaleInConfig{
 			Window:      config.Seconds(o.ScaleInWindowSeconds),
-			Below:       o.ScaleInBelow,
+			IdleBelow:   o.ScaleInBelow,
 			MinMachines: o.FleetMin,
 		}),
 	}
@@ -80,15 +80,15 @@
 // cloud.
 func (p *Provisioner) newPlanner(fleet *autoscaler.Fleet, supplies []*autoscaler.Supply) *autoscaler.Planner {
 	return &autoscaler.Planner{
-		Catalogue:         autoscaler.CatalogueOf(p.view()),
-		Supplies:          supplies,
-		Unavailable:       p.poolUnavailable,
-		MachinesByPool:    autoscaler.CountByPool(supplies),
-		SoleTypes:         fleet.SoleMachineTypes(),
-		MachinesAllowed:   p.Options.FleetMax - len(supplies),
-		CallsAllowed:      max(0, p.Options.ScaleOutCalls(p.Cluster.Cloud)-len(p.scaleOuts.calls)),
-		ScaleOutPatience:  p.Options.ScaleOutPatience,
-		StartSlackSeconds: fleet.StartSlackSeconds,
+		Catalogue:          autoscaler.CatalogueOf(p.view()),
+		Supplies:           supplies,
+		Unavailable:        p.poolUnavailable,
+		MachinesByPool:     autoscaler.CountByPool(supplies),
+		SoleTypes:          fleet.SoleMachineTypes(),
+		MachinesAllowed:    p.Options.FleetMax - len(supplies),
+		CallsAllowed:       max(0, p.Options.ScaleOutCalls(p.Cluster.Cloud)-len(p.scaleOuts.calls)),
+		ScaleOutWaitFactor: p.Options.ScaleOutPatience,
+		StartSlackSeconds:  fleet.StartSlackSeconds,
 	}
 }
 
@@ -115,15 +115,15 @@
 	supplies := fleet.Supplies() // computed again: the planner has assigned demand to the earlier ones
 	p.claims.update(supplies, p.cycle.unmet, p.poolUnavailable)
 	plan := p.cycle.scaleIn.Decide(&autoscaler.ScaleInInput{
-		Now:          now,
-		View:         p.view(),
-		Supplies:     supplies,
-		Spares:       spares,
-		Planner:      planner,
-		Blocked:      p.cycle.unmet.Shards(),
-		Claimed:      p.claims.claimed,
-		Changing:     p.writer.pending,
-		TakeShardFor: p.allocateToShard,
+		Now:            now,
+		View:           p.view(),
+		Supplies:       supplies,
+		Spares:         spares,
+		Planner:        planner,
+		Blocked:        p.cycle.unmet.Shards(),
+		Claimed:        p.claims.claimed,
+		Changing:       p.writer.pending,
+		AssignShardFor: p.assignShardFor,
 	})
 	for _, m := range plan.Reactivate {
 		p.writer.setPhase(m, storage.PhaseActive, "needed after all")
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -95,7 +95,7 @@
 		HeartbeatTolerance: p.Members.HeartbeatTolerance(),
 		PartitionedZones:   p.partitionedZones,
 		Objectives:         p.Cluster.Objectives,
-		BootPatience:       p.Options.BootPatience,
+		BootTimeoutFactor:  p.Options.BootPatience,
 		SpareReplicas:      p.Options.SpareReplicas,
 	}
 }
@@ -163,7 +163,7 @@
 	if m.Phase != storage.PhaseDraining || status.Empty == 0 || status.Empty != m.DrainStamp {
 		return false
 	}
-	if shard := p.allocateToShard(m); shard >= 0 && !status.Faulty && !status.Leaves {
+	if shard := p.assignShardFor(m); shard >= 0 && !status.Faulty && !status.Leaves {
 		p.moves.add(m, shard)
 		return true
 	}
@@ -171,14 +171,14 @@
 	return true
 }
 
-// allocateToShard returns the job shard to which a machine of another shard is to move, or -1: the
+// assignShardFor returns the job shard to which a machine of another shard is to move, or -1: the
 // shard that has claimed the machine, or else one with unmet demand that the machine suits. In
 // the latter case the tasks that fit on the machine are subtracted from the unmet demand.
-func (p *Provisioner) allocateToShard(m *storage.Machine) int {
+func (p *Provisioner) assignShardFor(m *storage.Machine) int {
 	if shard, claimed := p.claims.byMachine[m.Name]; claimed {
 		return shard
 	}
-	return p.cycle.unmet.TakeShardFor(m, p.view())
+	return p.cycle.unmet.AssignShardFor(m, p.view())
 }
 
 // urgency ranks a change by what its write blocks. The most urgent changes block replicas
