--- a/internal/coordination/placement/doc.go
+++ b/internal/coordination/placement/doc.go
@@ -1,5 +1,5 @@
-// Package placement decides which waiting task goes where: the order of jobs, the machine
-// for a task, the zone in which a job's tasks gather, and what is preempted for it. It is
-// pure: decisions follow from what they are given, without a clock, a network or a log of
-// their own. The caller carries them out.
+// Package placement decides which pending task runs on which machine. It orders jobs, picks
+// the machine for each task and the zone for a one-zone job, and selects the attempts to
+// preempt. Decisions depend only on their inputs: the package has no clock, network access
+// or log of its own. The caller carries the decisions out through Actions.
 package placement
--- a/internal/coordination/placement/fleet_test.go
+++ b/internal/coordination/placement/fleet_test.go
@@ -19,7 +19,7 @@
 	shard         int
 	unschedulable bool
 	booting       bool
-	listed        string // task that it lists, as protocol.TaskName gives it
+	listedTask    string // task that it lists, as protocol.TaskName gives it
 	traits        Machine
 	running       []Running
 }
@@ -27,21 +27,21 @@
 // testCluster stands for all that a round asks and does. What it places and stops changes
 // what it answers, as it does with a reconciler.
 type testCluster struct {
-	t           *testing.T
-	machines    []*testMachine
-	states      map[*storage.Job]*JobState
-	taken       map[string]bool // tasks that have an attempt, by name
-	quota       map[string]int  // most attempts that the quota lets a job have
-	borrows     bool
-	serviceCPUs float64
-	waited      time.Duration // of every job
-	serial      uint64
-	looks       int      // at what runs on a machine
-	log         []string // actions, in order
+	t                 *testing.T
+	machines          []*testMachine
+	states            map[*storage.Job]*JobState
+	placedTasks       map[string]bool // tasks that have an attempt, by name
+	quota             map[string]int  // most attempts that the quota lets a job have
+	teamsBorrow       bool
+	serviceCPUs       float64
+	waited            time.Duration // of every job
+	lastAttemptNumber uint64
+	runningScans      int      // at what runs on a machine
+	actions           []string // actions, in order
 }
 
 func newTestCluster(t *testing.T, machines ...*testMachine) *testCluster {
-	return &testCluster{t: t, machines: machines, states: map[*storage.Job]*JobState{}, taken: map[string]bool{}, quota: map[string]int{}}
+	return &testCluster{t: t, machines: machines, states: map[*storage.Job]*JobState{}, placedTasks: map[string]bool{}, quota: map[string]int{}}
 }
 
 func (c *testCluster) Machines() []*testMachine        { return c.machines }
@@ -51,8 +51,8 @@
 func (c *testCluster) Booting(m *testMachine) bool     { return m.booting }
 func (c *testCluster) ServiceCPUs() float64            { return c.serviceCPUs }
 func (c *testCluster) NextAttemptNumber(*testMachine) uint64 {
-	c.serial++
-	return c.serial
+	c.lastAttemptNumber++
+	return c.lastAttemptNumber
 }
 
 func (c *testCluster) Eligible(m *testMachine, j *storage.Job) bool {
@@ -60,7 +60,7 @@
 }
 
 func (c *testCluster) ListsTask(m *testMachine, j *storage.Job, task int) bool {
-	return m.listed == protocol.TaskName(j.ID, task)
+	return m.listedTask == protocol.TaskName(j.ID, task)
 }
 
 func (c *testCluster) Describe(m *testMachine, _ *storage.Job) Machine {
@@ -71,7 +71,7 @@
 }
 
 func (c *testCluster) AppendRunning(list []Running, m *testMachine) []Running {
-	c.looks++
+	c.runningScans++
 	return append(list, m.running...)
 }
 
@@ -87,7 +87,7 @@
 
 func (c *testCluster) NextTask(j *storage.Job) int {
 	for task := range j.Tasks {
-		if !c.taken[protocol.TaskName(j.ID, task)] {
+		if !c.placedTasks[protocol.TaskName(j.ID, task)] {
 			return task
 		}
 	}
@@ -95,12 +95,12 @@
 }
 
 func (c *testCluster) WithinQuota(j *storage.Job) bool {
-	most, limited := c.quota[j.ID]
-	return !limited || c.State(j).Attempts < most
+	maximum, limited := c.quota[j.ID]
+	return !limited || c.State(j).Attempts < maximum
 }
 
-func (c *testCluster) BorrowsBeyond(*storage.Job) bool { return c.borrows }
-func (c *testCluster) OthersBorrow(*storage.Job) bool  { return c.borrows }
+func (c *testCluster) BorrowsBeyond(*storage.Job) bool { return c.teamsBorrow }
+func (c *testCluster) OthersBorrow(*storage.Job) bool  { return c.teamsBorrow }
 
 func (c *testCluster) RunsBelow(rank int) bool {
 	for _, m := range c.machines {
@@ -112,60 +112,60 @@
 }
 
 func (c *testCluster) Place(j *storage.Job, task int, m *testMachine, number uint64) {
-	c.count(j, task, m, 1)
+	c.updateCounts(j, task, m, 1)
 	m.free.Subtract(j)
-	c.log = append(c.log, fmt.Sprintf("%s to %s as %d", protocol.TaskName(j.ID, task), m.name, number))
+	c.actions = append(c.actions, fmt.Sprintf("%s to %s as %d", protocol.TaskName(j.ID, task), m.name, number))
 }
 
 func (c *testCluster) Unplace(j *storage.Job, task int, m *testMachine) {
-	c.count(j, task, m, -1)
+	c.updateCounts(j, task, m, -1)
 	m.free.Add(j)
-	c.log = append(c.log, fmt.Sprintf("%s not to %s", protocol.TaskName(j.ID, task), m.name))
+	c.actions = append(c.actions, fmt.Sprintf("%s not to %s", protocol.TaskName(j.ID, task), m.name))
 }
 
-// count keeps the sums of a job when an attempt begins or ends.
-func (c *testCluster) count(j *storage.Job, task int, m *testMachine, by int) {
+// updateCounts keeps the sums of a job when an attempt begins or ends.
+func (c *testCluster) updateCounts(j *storage.Job, task int, m *testMachine, change int) {
 	c.State(j)
 	state := c.states[j]
-	state.Attempts += by
-	state.AttemptsByZone[m.zone] += by
-	c.taken[protocol.TaskName(j.ID, task)] = by > 0
+	state.Attempts += change
+	state.AttemptsByZone[m.zone] += change
+	c.placedTasks[protocol.TaskName(j.ID, task)] = change > 0
 }
 
-func (c *testCluster) Preempt(m *testMachine, victims []Running, waiting *storage.Job) {
-	line := "on " + m.name + " for " + waiting.ID + ":"
+func (c *testCluster) Preempt(m *testMachine, victims []Running, pending *storage.Job) {
+	action := "on " + m.name + " for " + pending.ID + ":"
 	for _, victim := range victims {
-		line += " " + protocol.TaskName(victim.Job.ID, victim.Task)
+		action += " " + protocol.TaskName(victim.Job.ID, victim.Task)
 		for i := range m.running {
 			if m.running[i].Job == victim.Job && m.running[i].Task == victim.Task {
 				m.running[i].Stopping = true
 			}
 		}
 	}
-	c.log = append(c.log, line)
+	c.actions = append(c.actions, action)
 }
 
-// round places the jobs and reports what the round does.
-func (c *testCluster) round(jobs []Candidate) (placed bool) {
+// runRound places the jobs and reports what the round does.
+func (c *testCluster) runRound(jobs []Candidate) (placed bool) {
 	wall := time.UnixMilli(c.waited.Milliseconds())
 	return NewRound(RoundConfig[*testMachine]{Fleet: c, Jobs: c, Teams: c, Actions: c, Wall: wall}).Run(jobs)
 }
 
-// run has a round for the jobs and compares what it did.
-func (c *testCluster) run(name string, jobs []Candidate, want ...string) (placed bool) {
+// checkRound has a round for the jobs and compares what it did.
+func (c *testCluster) checkRound(name string, jobs []Candidate, want ...string) (placed bool) {
 	c.t.Helper()
-	placed = c.round(jobs)
-	if !slices.Equal(c.log, want) {
-		c.t.Errorf("%s:\n%q, not\n%q", name, c.log, want)
+	placed = c.runRound(jobs)
+	if !slices.Equal(c.actions, want) {
+		c.t.Errorf("%s:\n%q, not\n%q", name, c.actions, want)
 	}
 	return placed
 }
 
 // Priorities of test jobs, the highest first.
 const (
-	urgent = "urgent" // rank 1
-	normal = "normal" // rank 2
-	lowest = "best_effort"
+	urgent     = "urgent" // rank 1
+	normal     = "normal" // rank 2
+	bestEffort = "best_effort"
 )
 
 // testJob is a job of a team whose tasks take a CPU and a GB each.
@@ -191,7 +191,7 @@
 	return func(j *storage.Job) { j.Priority = name }
 }
 
-func takes(cpus float64) func(*storage.Job) {
+func withCPUs(cpus float64) func(*storage.Job) {
 	return func(j *storage.Job) { j.CPUs = cpus }
 }
 
@@ -203,12 +203,12 @@
 	return list
 }
 
-// onMachine is an attempt at the first task of a job, of an age.
-func onMachine(j *storage.Job, age time.Duration) Running {
+// runningAttempt is an attempt at the first task of a job, of an age.
+func runningAttempt(j *storage.Job, age time.Duration) Running {
 	return Running{Job: j, Number: 1, Rank: j.Rank(), Age: age}
 }
 
-// withFree is a machine with a number of free CPUs and memory for any task.
-func withFree(name string, zone int, cpus float64, running ...Running) *testMachine {
+// machineWithFree is a machine with a number of free CPUs and memory for any task.
+func machineWithFree(name string, zone int, cpus float64, running ...Running) *testMachine {
 	return &testMachine{name: name, zone: zone, free: Resources{CPUs: cpus, MemoryGB: 100}, running: running}
 }
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -5,68 +5,70 @@
 	"rockrun/internal/storage"
 )
 
-// Fleet is what placement needs to know of the machines of a shard's holder. M is how the
-// holder names a machine. Answers follow from what the holder knows now, tasks placed in
-// the same round included.
+// Fleet describes the machines of a shard's holder to placement. M is the type by which the
+// holder identifies a machine. Results reflect the holder's current state, including tasks
+// placed earlier in the same round.
 type Fleet[M comparable] interface {
-	// Machines lists all machines, by name.
+	// Machines returns all machines, sorted by name.
 	Machines() []M
-	// Free is what the machine has left.
+	// Free returns the unallocated resources of the machine.
 	Free(machine M) Resources
-	// Zone is the index of the machine's zone.
+	// Zone returns the index of the machine's zone.
 	Zone(machine M) int
-	// Eligible reports whether a task of the job may ever be on the machine: it is of the
-	// job's own shard, and of a type, zone and kind that the job names.
+	// Eligible reports whether tasks of the job may run on the machine at all: the machine
+	// belongs to the job's own shard, and the job allows its type, zone and market.
 	Eligible(machine M, j *storage.Job) bool
-	// Schedulable reports whether the machine takes new tasks now.
+	// Schedulable reports whether the machine accepts new tasks now.
 	Schedulable(machine M) bool
-	// Booting reports whether the machine is new and has not been heard of yet.
+	// Booting reports whether the machine is new and its agent has not sent a heartbeat yet.
 	Booting(machine M) bool
-	// ListsTask reports whether the machine still lists an earlier attempt at a task,
-	// because of which it would refuse another.
+	// ListsTask reports whether the machine's agent still lists an earlier attempt at the
+	// task. The agent would reject another attempt at it.
 	ListsTask(machine M, j *storage.Job, task int) bool
-	// Describe says what weighs in the choice of a machine for a task of the job.
+	// Describe returns the properties by which the machine is scored for a task of the job.
 	Describe(machine M, j *storage.Job) Machine
-	// ServiceCPUs is what all replicas on all machines take.
+	// ServiceCPUs returns the CPUs of all service replicas on all machines.
 	ServiceCPUs() float64
-	// AppendRunning appends the attempts that may be on the machine to a list.
+	// AppendRunning appends the attempts that may be on the machine to list.
 	AppendRunning(list []Running, machine M) []Running
 }
 
-// Machine is what weighs in the choice of a machine for a task.
+// Machine holds the properties by which a machine is scored for a task.
 type Machine struct {
 	Type        *protocol.MachineType
 	Spot        bool
-	Slow        bool    // takes much longer for its tasks than others
-	ImageCached bool    // has the image of the task
-	UsedCPUs    float64 // by all tasks on it
-	ServiceCPUs float64 // by the replicas among them
+	Slow        bool    // runs tasks much more slowly than other machines
+	ImageCached bool    // has the task's image
+	UsedCPUs    float64 // allocated to all tasks on the machine
+	ServiceCPUs float64 // allocated to service replicas on the machine
 }
 
-// Scores of a machine for a task; the highest total wins. Each of the first two outweighs
-// all that follow together; the others are weighed against each other.
+// Score components of a machine for a task; the machine with the highest sum wins.
+// slowPenalty and spotBonus each outweigh all components after them combined. The remaining
+// components trade off against each other.
 const (
-	// slowPenalty: only where there is nothing else.
+	// slowPenalty makes a slow machine the last resort.
 	slowPenalty = 5000
-	// spotBonus: spot before ordinary machines, which are dearer, where the job allows it.
+	// spotBonus prefers spot machines where the job allows them, because on-demand machines
+	// cost more.
 	spotBonus = 1000
-	// cachedBonus: a task whose image is there starts at once.
+	// cachedBonus prefers machines that have the task's image: the task starts at once.
 	cachedBonus = 100
-	// fetchPenalty is what a second of fetching the image weighs against a fuller
-	// machine, and maxFetchPenalty the most that all of them do.
+	// fetchPenalty is the penalty for each second of image fetching. maxFetchPenalty caps
+	// the total.
 	fetchPenalty    = 10
 	maxFetchPenalty = 80
-	// fullnessBonus, times the part of the CPUs that is taken: the fullest machine first,
-	// so that others empty and can be given back.
+	// fullnessBonus is multiplied by the allocated fraction of the machine's CPUs. It
+	// prefers the fullest machine, so that other machines become empty and can be scaled in.
 	fullnessBonus = 50
-	// crowdingPenalty keeps more than a part of all replicas (1/maxServiceParts) from one
-	// machine, with which they may be lost together.
-	crowdingPenalty = 120
-	maxServiceParts = 4
+	// crowdingPenalty applies where one machine would run more than 1/serviceCPUDivisor of
+	// all service CPUs, because those replicas could be lost together.
+	crowdingPenalty   = 120
+	serviceCPUDivisor = 4
 )
 
-// Score rates a machine for a task of a job. serviceCPUs is what all replicas on all
-// machines take.
+// Score returns the score of the machine for a task of the job. serviceCPUs is the CPUs of
+// all service replicas on all machines.
 func (m *Machine) Score(j *storage.Job, serviceCPUs float64) float64 {
 	score := 0.0
 	if m.Slow {
@@ -83,18 +85,19 @@
 	if !j.IsService() {
 		return score + fullnessBonus*m.UsedCPUs/m.Type.CPUs
 	}
-	// Beside other services: one alone would keep a machine that was rented for a burst
-	// of other work from going back. But not all on one, which may die with them.
+	// Replicas are placed next to other replicas: a lone replica would prevent the scale-in
+	// of a machine created for a burst of other work. The crowding penalty keeps them from
+	// all running on one machine, whose failure would stop them all.
 	score += fullnessBonus * m.ServiceCPUs / m.Type.CPUs
-	if m.ServiceCPUs+j.CPUs > serviceCPUs/maxServiceParts && m.ServiceCPUs > 0 {
+	if m.ServiceCPUs+j.CPUs > serviceCPUs/serviceCPUDivisor && m.ServiceCPUs > 0 {
 		score -= crowdingPenalty
 	}
 	return score
 }
 
-// Choose picks the machine for a task among those listed: of the ones that take it, the
-// first with the highest score. attemptsByZone counts the attempts at the job's tasks. It
-// is false where none takes the task.
+// Choose picks the machine for a task: the first one with the highest score among those
+// listed that can run the task. attemptsByZone counts the attempts at the job's tasks in each
+// zone. The result found is false if no listed machine can run the task.
 func Choose[M comparable](fleet Fleet[M], machines []M, j *storage.Job, task int, attemptsByZone []int) (best M, found bool) {
 	var bestScore float64
 	serviceCPUs := fleet.ServiceCPUs()
@@ -110,10 +113,11 @@
 	return best, found
 }
 
-// allowed reports whether a machine is one that a task of the job may start on, room
-// aside. Only machines of the job's own shard are, even for a controller that holds
-// several: the shards may part again, and whoever holds a job shard must hold everything
-// that its jobs may be on, or it would not count it.
+// allowed reports whether a task of the job may start on the machine, regardless of free
+// resources. Only machines of the job's own shard are allowed, even if the controller holds
+// several shards. The shards may later have different holders, and the holder of a job shard
+// must hold every machine on which the shard's jobs may run; otherwise it would not count
+// the attempts there.
 func allowed[M comparable](fleet Fleet[M], machine M, j *storage.Job, attemptsByZone []int) bool {
 	if !fleet.Eligible(machine, j) {
 		return false
@@ -121,9 +125,9 @@
 	return !j.OneZone && !j.Spread || allowedInZone(j, fleet.Zone(machine), attemptsByZone)
 }
 
-// allowedInZone reports whether one more task of a job that is bound to one zone, or
-// spread over zones, may be in a zone. Tasks that may be on a machine anywhere count, also
-// those of which that is not confirmed.
+// allowedInZone reports whether another task of a one-zone or spread job may run in the
+// zone. attemptsByZone counts every attempt that may be on a machine, including unconfirmed
+// attempts.
 func allowedInZone(j *storage.Job, zone int, attemptsByZone []int) bool {
 	inZone, elsewhere := 0, 0
 	for z, count := range attemptsByZone {
--- a/internal/coordination/placement/order.go
+++ b/internal/coordination/placement/order.go
@@ -9,38 +9,39 @@
 	"rockrun/internal/storage"
 )
 
-// MaxDelaySeconds is how long a job may be put behind others of its rank. A job of which
-// nothing has begun by then goes first, and one that has been late for so long takes turns
-// with those that are not: else large jobs would starve for as long as more is asked for
-// than can be done.
+// MaxDelaySeconds limits how long a job may be ordered behind other jobs of its rank. A job
+// that has waited longer without a started task is starved and goes first. A job whose time
+// limit passed more than MaxDelaySeconds ago takes turns with the other jobs. Without these
+// rules, large jobs would starve as long as demand exceeds capacity.
 const MaxDelaySeconds = 100.0
 
-// LongLateTurn is in how many passes that place something work that has been late for
-// long goes first once.
+// LongLateTurn is the interval, in passes that place a task, at which long-overdue jobs go
+// first.
 const LongLateTurn = 3
 
-// minWeightCPUs keeps jobs that take next to no CPU from weighing nothing.
+// minWeightCPUs is the least number of CPUs per task used for a job's weight. It keeps the
+// weight of jobs with almost no CPU request above zero.
 const minWeightCPUs = 0.1
 
-// Candidate is a job with tasks to place, with what decides its turn.
+// Candidate is a job with tasks to place, together with the values that determine its order.
 type Candidate struct {
 	Job             *storage.Job
-	Rank            int     // priority, 0 the highest: the highest of its own and of those of the jobs that depend on it
-	WithinGuarantee bool    // fits into its team's guarantee with the team's earlier jobs
-	Starved         bool    // none of its tasks has begun for too long
-	Late            bool    // too late for its deadline or service-level objective
-	LongLate        bool    // and has been for MaxDelaySeconds
-	Weight          float64 // work left by the time it has waited; the least goes first
+	Rank            int     // the highest priority among the job and its dependents; 0 is the highest
+	WithinGuarantee bool    // the job fits into its team's guaranteed quota along with the team's earlier jobs
+	Starved         bool    // the job has waited longer than MaxDelaySeconds without a started task
+	Late            bool    // the job is expected to miss its deadline or service-level objective
+	LongOverdue     bool    // the time limit passed more than MaxDelaySeconds ago
+	Weight          float64 // remaining work, reduced as the job waits; the lowest goes first
 }
 
-// Progress is how far a job has come.
+// Progress describes how much of a job has started and completed.
 type Progress struct {
 	Remaining int  // tasks that are not completed
-	Begun     bool // a task of it runs or is completed
+	Begun     bool // a task is running or completed
 }
 
-// NewCandidate works out a job's weight, and whether it is late or starves. Rank is its
-// effective rank. Whether it is within its team's guarantee is the caller's to add.
+// NewCandidate computes the weight of a job and whether the job is late or starved. rank is
+// the job's effective rank. The caller sets WithinGuarantee.
 func NewCandidate(j *storage.Job, rank int, progress Progress, objectives []config.Objective, now time.Time) Candidate {
 	candidate := Candidate{Job: j, Rank: rank}
 	nowMS := now.UnixMilli()
@@ -52,19 +53,19 @@
 	runSeconds := ExpectedRunSeconds(j)
 	candidate.Weight = float64(progress.Remaining) * max(j.CPUs, minWeightCPUs) * runSeconds / (ageSeconds + runSeconds)
 	if j.DeadlineSeconds > 0 {
-		ageSeconds = float64(nowMS-j.SubmittedAtMS) / 1000 // a deadline counts from the submission
+		ageSeconds = float64(nowMS-j.SubmittedAtMS) / 1000 // deadlines are relative to the submission
 	}
 	limitSeconds := timeLimitSeconds(j, objectives)
 	candidate.Late = limitSeconds > 0 && ageSeconds+runSeconds > limitSeconds
-	candidate.LongLate = limitSeconds > 0 && ageSeconds > limitSeconds+MaxDelaySeconds
-	if candidate.LongLate {
-		candidate.Weight = 0 // by arrival
+	candidate.LongOverdue = limitSeconds > 0 && ageSeconds > limitSeconds+MaxDelaySeconds
+	if candidate.LongOverdue {
+		candidate.Weight = 0 // long-overdue jobs are ordered by arrival
 	}
 	return candidate
 }
 
-// timeLimitSeconds is the age until which it is of use that a job is done, by its own
-// deadline and the objectives of its class; 0 where there is no limit.
+// timeLimitSeconds returns the age by which a job must finish to meet its own deadline and
+// the objectives of its class, or 0 if there is no limit.
 func timeLimitSeconds(j *storage.Job, objectives []config.Objective) float64 {
 	limitSeconds := j.DeadlineSeconds
 	for _, o := range objectives {
@@ -79,28 +80,30 @@
 	return limitSeconds
 }
 
-// ExpectedRunSeconds is how long a task of a job is expected to run.
+// ExpectedRunSeconds returns the expected run time of one task of a job, at least 1 second.
 func ExpectedRunSeconds(j *storage.Job) float64 { return max(j.EstimateSeconds, 1) }
 
-// Sort puts jobs into the order of Compare.
-func Sort(list []Candidate, longLateFirst bool) {
-	slices.SortStableFunc(list, func(a, b Candidate) int { return Compare(&a, &b, longLateFirst) })
+// Sort sorts jobs by Compare.
+func Sort(list []Candidate, longOverdueFirst bool) {
+	slices.SortStableFunc(list, func(a, b Candidate) int { return Compare(&a, &b, longOverdueFirst) })
 }
 
-// Compare orders jobs as they get machines: by priority, work within a guarantee before
-// borrowed share, jobs that can still be in time before those that can't. Among equals it
-// is the work left, weighed against the time waited: where not all can be in time, small
-// jobs let more of them be, and no large one waits for ever.
+// Compare defines the order in which jobs are placed: by priority, then starved jobs, then
+// jobs within their team's guarantee before jobs that borrow, then jobs expected to meet
+// their time limit before late ones. Ties are broken by the remaining work relative to the
+// waiting time: if not all jobs can finish in time, running small jobs first lets more of
+// them do so, and the waiting time keeps large jobs from starving.
 //
-// Where more is asked for than can be done, work that is late would wait for ever behind
-// what is not, or all would be late if it went first. So what has been late for long takes
-// turns with the rest, the oldest first; longLateFirst says that it is its turn.
-func Compare(first, second *Candidate, longLateFirst bool) int {
+// When demand exceeds capacity, late jobs would never run if they always came after the
+// others, and every job would become late if they always came first. Long-overdue jobs
+// therefore take turns with the rest, oldest first; longOverdueFirst is true in passes in
+// which they go first.
+func Compare(first, second *Candidate, longOverdueFirst bool) int {
 	return cmp.Or(
 		cmp.Compare(first.Rank, second.Rank),
 		CompareBool(second.Starved, first.Starved),
 		CompareBool(second.WithinGuarantee, first.WithinGuarantee),
-		CompareBool(first.LongLate != longLateFirst, second.LongLate != longLateFirst),
+		CompareBool(first.LongOverdue != longOverdueFirst, second.LongOverdue != longOverdueFirst),
 		CompareBool(first.Late, second.Late),
 		cmp.Compare(first.Weight, second.Weight),
 		cmp.Compare(first.Job.ReadyAtMS(), second.Job.ReadyAtMS()),
@@ -108,7 +111,7 @@
 	)
 }
 
-// CompareBool orders false before true, as cmp.Compare orders numbers.
+// CompareBool orders false before true. The result follows the convention of cmp.Compare.
 func CompareBool(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/coordination/placement/order_test.go
+++ b/internal/coordination/placement/order_test.go
@@ -21,17 +21,17 @@
 // rule, and by every later rule in the other direction.
 func TestCompare(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		longLateFirst bool
-		change        func(first, second *Candidate)
+		name             string
+		longOverdueFirst bool
+		change           func(first, second *Candidate)
 	}{
 		{"priority", false, func(first, second *Candidate) {
 			first.Rank, second.Starved, second.WithinGuarantee = 1, true, true
 		}},
 		{"starved", false, func(first, second *Candidate) { first.Starved, second.WithinGuarantee = true, true }},
-		{"within the guarantee", false, func(first, _ *Candidate) { first.WithinGuarantee, first.LongLate = true, true }},
-		{"late for long goes last", false, func(_, second *Candidate) { second.LongLate, second.Weight = true, 0 }},
-		{"late for long goes first at its turn", true, func(first, _ *Candidate) { first.LongLate, first.Late = true, true }},
+		{"within the guarantee", false, func(first, _ *Candidate) { first.WithinGuarantee, first.LongOverdue = true, true }},
+		{"late for long goes last", false, func(_, second *Candidate) { second.LongOverdue, second.Weight = true, 0 }},
+		{"late for long goes first at its turn", true, func(first, _ *Candidate) { first.LongOverdue, first.Late = true, true }},
 		{"in time before late", false, func(first, second *Candidate) { second.Late, first.Weight = true, 9 }},
 		{"less work for the time waited", false, func(first, _ *Candidate) { first.Weight, first.Job.SubmittedAtMS = 0.5, 900 }},
 		{"arrival", false, func(first, _ *Candidate) { first.Job.SubmittedAtMS, first.Job.ID = 100, "z" }},
@@ -39,11 +39,11 @@
 	} {
 		first, second := testCandidate("a", 500), testCandidate("b", 500)
 		c.change(&first, &second)
-		if Compare(&first, &second, c.longLateFirst) != -1 || Compare(&second, &first, c.longLateFirst) != 1 {
-			t.Errorf("%s: the order is %d and %d", c.name, Compare(&first, &second, c.longLateFirst), Compare(&second, &first, c.longLateFirst))
+		if Compare(&first, &second, c.longOverdueFirst) != -1 || Compare(&second, &first, c.longOverdueFirst) != 1 {
+			t.Errorf("%s: the order is %d and %d", c.name, Compare(&first, &second, c.longOverdueFirst), Compare(&second, &first, c.longOverdueFirst))
 		}
 		list := []Candidate{second, first}
-		if Sort(list, c.longLateFirst); list[0].Job != first.Job {
+		if Sort(list, c.longOverdueFirst); list[0].Job != first.Job {
 			t.Errorf("%s: the other comes first", c.name)
 		}
 	}
@@ -56,7 +56,7 @@
 	for i := range 200 {
 		c := testCandidate(string(rune('A'+i)), int64(random.IntN(3)))
 		c.Rank, c.Starved, c.WithinGuarantee = random.IntN(2), random.IntN(2) == 0, random.IntN(2) == 0
-		c.Late, c.LongLate, c.Weight = random.IntN(2) == 0, random.IntN(2) == 0, float64(random.IntN(2))
+		c.Late, c.LongOverdue, c.Weight = random.IntN(2) == 0, random.IntN(2) == 0, float64(random.IntN(2))
 		list = append(list, c)
 	}
 	Sort(list, false)
@@ -97,7 +97,7 @@
 		{"a class without objectives", 80, Progress{Remaining: 5}, func(j *storage.Job) { j.Class = "none" }, Candidate{Weight: 2}},
 		{"starved", 101, Progress{Remaining: 10}, func(j *storage.Job) { j.Class = "none" }, Candidate{Weight: 400.0 / 121, Starved: true}},
 		{"not starved: some has begun", 101, Progress{Remaining: 10, Begun: true}, func(j *storage.Job) { j.Class = "none" }, Candidate{Weight: 400.0 / 121}},
-		{"late for long goes by arrival", 161, Progress{Remaining: 10, Begun: true}, nil, Candidate{Late: true, LongLate: true}},
+		{"late for long goes by arrival", 161, Progress{Remaining: 10, Begun: true}, nil, Candidate{Late: true, LongOverdue: true}},
 		{"a service has neither weight nor limit", 161, Progress{Remaining: 10}, func(j *storage.Job) { j.Kind = protocol.KindService }, Candidate{Starved: true}},
 	} {
 		j := &storage.Job{JobSpec: protocol.JobSpec{ID: "run-1", Class: "report", Kind: protocol.KindArray, Tasks: 10, CPUs: 2, EstimateSeconds: 20}}
--- a/internal/coordination/placement/preemption.go
+++ b/internal/coordination/placement/preemption.go
@@ -12,117 +12,122 @@
 type Running struct {
 	Job             *storage.Job
 	Task            int
-	Number          uint64 // of the attempt
-	Rank            int    // the highest of its job's own and of those of the jobs that depend on it
+	Number          uint64 // attempt number
+	Rank            int    // the highest priority among the job and its dependents; 0 is the highest
 	Age             time.Duration
-	Stopping        bool // its stop has been asked for
-	WithinGuarantee bool // its job is within its team's guarantee
-	Starved         bool // its job has once waited too long
+	Stopping        bool // a stop has been requested
+	WithinGuarantee bool // the job is within its team's guaranteed quota
+	Starved         bool // the job was starved at some point
 }
 
-// Teams is what preemption needs to know of what is used.
+// Teams describes the quota usage of teams to preemption.
 type Teams interface {
-	// BorrowsBeyond reports whether the job's team would use no less than its guarantee
-	// with one task of the job less.
+	// BorrowsBeyond reports whether the job's team would still use at least its guaranteed
+	// quota if one task of the job stopped.
 	BorrowsBeyond(j *storage.Job) bool
-	// OthersBorrow reports whether any other team than the job's uses more than its
-	// guarantee in the job's shard.
+	// OthersBorrow reports whether any team other than the job's uses more than its
+	// guaranteed quota in the job's shard.
 	OthersBorrow(j *storage.Job) bool
-	// RunsBelow reports whether any attempt is of a lower priority than rank.
+	// RunsBelow reports whether any attempt has a lower priority than rank.
 	RunsBelow(rank int) bool
 }
 
-// mayPreempt reports whether an attempt may be stopped to make room for a waiting job.
-func mayPreempt(waiting *Candidate, victim *Running, teams Teams) bool {
-	// What waits has its own priority, what may be stopped the highest of those that
-	// need it: a cheap first stage of a pipeline stops nothing and isn't stopped.
-	if victim.Rank > waiting.Job.Rank() {
+// mayPreempt reports whether victim may be stopped to free resources for a pending job.
+func mayPreempt(pending *Candidate, victim *Running, teams Teams) bool {
+	// The pending job counts with its own priority, the victim with the highest priority
+	// among its job and the dependents. A low-priority first stage of a pipeline therefore
+	// neither preempts on behalf of its dependents nor is preempted.
+	if victim.Rank > pending.Job.Rank() {
 		return true
 	}
-	// Guaranteed share comes before what another team has borrowed. A service is
-	// never stopped for it: not for batch work, and one for another gains nobody
-	// anything, least of all when machines are lost and they take turns.
-	if !waiting.WithinGuarantee || victim.Job.TeamIndex == waiting.Job.TeamIndex || victim.Job.IsService() {
+	// A job within its team's guarantee reclaims quota that another team borrows. Services
+	// are never preempted for this: neither for batch work nor for another service.
+	// Replacing one service with another gains nothing, and after a loss of machines
+	// services would preempt each other in turn.
+	if !pending.WithinGuarantee || victim.Job.TeamIndex == pending.Job.TeamIndex || victim.Job.IsService() {
 		return false
 	}
-	// Nor is what goes before the waiting job in order, or is within its own team's
-	// guarantee, or has starved before: it would take the room back, and the two would
-	// stop each other for ever.
-	if victim.WithinGuarantee || victim.Starved || victim.Rank < waiting.Rank {
+	// A victim that is within its own team's guarantee, has been starved, or has a higher
+	// priority than the pending job would reclaim the resources, and the two jobs would
+	// preempt each other endlessly.
+	if victim.WithinGuarantee || victim.Starved || victim.Rank < pending.Rank {
 		return false
 	}
 	return teams.BorrowsBeyond(victim.Job)
 }
 
-// preemptionPossible reports whether there can be anything that may be stopped for a
-// job, before every machine is looked at.
-func preemptionPossible(waiting *Candidate, teams Teams) bool {
-	return teams.RunsBelow(waiting.Job.Rank()) || waiting.WithinGuarantee && teams.OthersBorrow(waiting.Job)
+// preemptionPossible reports whether any attempt could be preempted for a job. This check
+// avoids a scan of all machines where preemption is ruled out.
+func preemptionPossible(pending *Candidate, teams Teams) bool {
+	return teams.RunsBelow(pending.Job.Rank()) || pending.WithinGuarantee && teams.OthersBorrow(pending.Job)
 }
 
-// preemptsNoMoreThan reports whether what may be stopped for a job may be stopped for
-// another too, and a place for the one would do for the other. Looking costs a look at
-// everything that runs, so where it was in vain for one job it is left out for those like
-// it.
-func (waiting *Candidate) preemptsNoMoreThan(other *Candidate) bool {
-	if !Dominates(waiting.Job, other.Job) || waiting.Job.Rank() < other.Job.Rank() || waiting.Rank < other.Rank {
+// preemptsNoMoreThan reports whether the pending job has no more options for preemption than
+// the other job: every attempt that it may preempt, and every machine on which its tasks fit,
+// is also an option for the other job. A search for victims scans all running attempts, so a
+// search that failed for the other job is not repeated for this one.
+func (pending *Candidate) preemptsNoMoreThan(other *Candidate) bool {
+	if !Dominates(pending.Job, other.Job) || pending.Job.Rank() < other.Job.Rank() || pending.Rank < other.Rank {
 		return false
 	}
-	if waiting.Job.Spread || other.Job.Spread || other.Job.OneZone {
+	if pending.Job.Spread || other.Job.Spread || other.Job.OneZone {
 		return false
 	}
-	return !waiting.WithinGuarantee || other.WithinGuarantee && waiting.Job.TeamIndex == other.Job.TeamIndex
+	return !pending.WithinGuarantee || other.WithinGuarantee && pending.Job.TeamIndex == other.Job.TeamIndex
 }
 
-// preemption is what would have to be stopped on a machine for a waiting task.
+// preemption is a plan to stop attempts on a machine so that a pending task fits.
 type preemption[M comparable] struct {
 	machine   M
 	victims   []Running
-	remaining Resources // on the machine, with the victims gone
+	remaining Resources // free resources of the machine once the victims have stopped
 	cost      float64
 }
 
-// preemptFor has the least work stopped that lets one task of a job start, and promises
-// it the room; false when nothing can be done.
-func (r *Round[M]) preemptFor(waiting *Candidate) bool {
-	best, found := r.cheapestPreemption(waiting)
+// preemptFor requests the cheapest preemption that lets one task of the job start, and
+// reserves the freed resources for the task. It returns false if no preemption suffices.
+func (r *Round[M]) preemptFor(pending *Candidate) bool {
+	best, found := r.cheapestPreemption(pending)
 	if !found {
 		return false
 	}
-	r.config.Actions.Preempt(best.machine, best.victims, waiting.Job)
-	best.remaining.Subtract(waiting.Job)
-	if r.promised == nil {
-		r.promised = map[M]Resources{}
+	r.config.Actions.Preempt(best.machine, best.victims, pending.Job)
+	best.remaining.Subtract(pending.Job)
+	if r.unreserved == nil {
+		r.unreserved = map[M]Resources{}
 	}
-	r.promised[best.machine] = best.remaining
+	r.unreserved[best.machine] = best.remaining
 	return true
 }
 
-// cheapestPreemption is the one that costs least, on the first such machine by name.
-func (r *Round[M]) cheapestPreemption(waiting *Candidate) (best preemption[M], found bool) {
-	attemptsByZone := r.config.Jobs.State(waiting.Job).AttemptsByZone
+// cheapestPreemption returns the preemption with the lowest cost. Ties go to the machine whose
+// name sorts first.
+func (r *Round[M]) cheapestPreemption(pending *Candidate) (best preemption[M], found bool) {
+	attemptsByZone := r.config.Jobs.State(pending.Job).AttemptsByZone
 	for _, machine := range r.config.Fleet.Machines() {
-		if !r.config.Fleet.Schedulable(machine) || !allowed(r.config.Fleet, machine, waiting.Job, attemptsByZone) {
+		if !r.config.Fleet.Schedulable(machine) || !allowed(r.config.Fleet, machine, pending.Job, attemptsByZone) {
 			continue
 		}
-		plan, enough := r.preemptionOn(machine, waiting)
+		plan, enough := r.preemptionOn(machine, pending)
 		if !enough || found && plan.cost >= best.cost {
 			continue
 		}
-		plan.victims = append(best.victims[:0], plan.victims...) // out of the scratch list
+		plan.victims = append(best.victims[:0], plan.victims...) // copy, because the scratch list is reused
 		best, found = plan, true
 	}
 	return best, found
 }
 
-// preemptionOn works out what must be stopped on a machine so that a task fits; false
-// where all that may be stopped is not enough. Its victims are valid until the next call.
+// preemptionOn selects the attempts to stop on a machine so that a task of the job fits. It
+// returns false if stopping every permitted victim is not enough. The victims in the result
+// are valid until the next call.
 //
-// Where nothing was promised there yet, the room that stops under way will leave counts as
-// there; a promise has counted it, and what it was promised to is off.
-func (r *Round[M]) preemptionOn(machine M, waiting *Candidate) (preemption[M], bool) {
-	remaining, promised := r.promised[machine]
-	if !promised {
+// On a machine without reservations, resources of attempts that are already stopping count
+// as free. On a machine with reservations, the recorded remainder already includes them and
+// excludes the resources reserved.
+func (r *Round[M]) preemptionOn(machine M, pending *Candidate) (preemption[M], bool) {
+	remaining, reserved := r.unreserved[machine]
+	if !reserved {
 		remaining = r.config.Fleet.Free(machine)
 	}
 	plan := preemption[M]{machine: machine, remaining: remaining}
@@ -131,26 +136,26 @@
 	for i := range r.scratch {
 		running := &r.scratch[i]
 		switch {
-		case running.Stopping && !promised:
+		case running.Stopping && !reserved:
 			plan.remaining.Add(running.Job)
-		case !running.Stopping && mayPreempt(waiting, running, r.config.Teams):
+		case !running.Stopping && mayPreempt(pending, running, r.config.Teams):
 			victims = append(victims, *running)
 		}
 	}
 	slices.SortFunc(victims, compareVictims)
 	for i := range victims {
-		if plan.remaining.Fits(waiting.Job) {
+		if plan.remaining.Fits(pending.Job) {
 			break
 		}
 		plan.remaining.Add(victims[i].Job)
 		plan.cost += preemptionCost(&victims[i])
 		plan.victims = victims[:i+1]
 	}
-	return plan, plan.remaining.Fits(waiting.Job)
+	return plan, plan.remaining.Fits(pending.Job)
 }
 
-// compareVictims puts what is to be stopped first: the lowest priority of a job's own, then
-// the latest start, of which the least work is lost.
+// compareVictims orders attempts by which to stop first: the lowest priority of the job
+// itself, then the latest start, because it loses the least work.
 func compareVictims(a, b Running) int {
 	return cmp.Or(
 		cmp.Compare(b.Job.Rank(), a.Job.Rank()),
@@ -160,8 +165,8 @@
 	)
 }
 
-// preemptionCost is what stopping an attempt costs: the work lost, in CPU seconds, and a
-// little for the stop itself.
+// preemptionCost returns the cost of stopping an attempt: the work lost in CPU seconds, plus
+// 1 for the stop itself.
 func preemptionCost(victim *Running) float64 {
 	return 1 + victim.Job.CPUs*victim.Age.Seconds()
 }
--- a/internal/coordination/placement/preemption_test.go
+++ b/internal/coordination/placement/preemption_test.go
@@ -7,46 +7,46 @@
 	"rockrun/internal/storage"
 )
 
-// TestMayPreempt: who may stop whom, each rule alone. The waiting job of team 0 is within
+// TestMayPreempt: who may stop whom, each rule alone. The pending job of team 0 is within
 // its guarantee, the victim of team 1 borrows.
 func TestMayPreempt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(waiting *Candidate, victim *Running, cluster *testCluster)
+		change func(pending *Candidate, victim *Running, cluster *testCluster)
 		want   bool
 	}{
 		{"borrowed share gives way to a guarantee", func(*Candidate, *Running, *testCluster) {}, true},
-		{"a higher priority needs no guarantee", func(waiting *Candidate, _ *Running, cluster *testCluster) {
-			waiting.Job.Priority, waiting.WithinGuarantee, cluster.borrows = urgent, false, false
+		{"a higher priority needs no guarantee", func(pending *Candidate, _ *Running, cluster *testCluster) {
+			pending.Job.Priority, pending.WithinGuarantee, cluster.teamsBorrow = urgent, false, false
 		}, true},
-		{"nor does it spare services", func(waiting *Candidate, victim *Running, _ *testCluster) {
-			waiting.Job.Priority = urgent
+		{"nor does it spare services", func(pending *Candidate, victim *Running, _ *testCluster) {
+			pending.Job.Priority = urgent
 			service(victim.Job)
 		}, true},
-		{"nor its own team", func(waiting *Candidate, victim *Running, _ *testCluster) {
-			waiting.Job.Priority, victim.Job.TeamIndex = urgent, 0
+		{"nor its own team", func(pending *Candidate, victim *Running, _ *testCluster) {
+			pending.Job.Priority, victim.Job.TeamIndex = urgent, 0
 		}, true},
-		{"a higher priority that it has from a dependent stops nothing", func(waiting *Candidate, _ *Running, _ *testCluster) {
-			waiting.Rank, waiting.WithinGuarantee = 0, false
+		{"a higher priority that it has from a dependent stops nothing", func(pending *Candidate, _ *Running, _ *testCluster) {
+			pending.Rank, pending.WithinGuarantee = 0, false
 		}, false},
-		{"the priority of a dependent protects", func(waiting *Candidate, victim *Running, _ *testCluster) {
-			waiting.Job.Priority, victim.Rank = urgent, 1
-			waiting.Rank, waiting.WithinGuarantee = 1, false
+		{"the priority of a dependent protects", func(pending *Candidate, victim *Running, _ *testCluster) {
+			pending.Job.Priority, victim.Rank = urgent, 1
+			pending.Rank, pending.WithinGuarantee = 1, false
 		}, false},
-		{"an equal priority without a guarantee", func(waiting *Candidate, _ *Running, _ *testCluster) { waiting.WithinGuarantee = false }, false},
+		{"an equal priority without a guarantee", func(pending *Candidate, _ *Running, _ *testCluster) { pending.WithinGuarantee = false }, false},
 		{"the same team", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Job.TeamIndex = 0 }, false},
 		{"a service", func(_ *Candidate, victim *Running, _ *testCluster) { service(victim.Job) }, false},
 		{"within its own guarantee", func(_ *Candidate, victim *Running, _ *testCluster) { victim.WithinGuarantee = true }, false},
 		{"starved before", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Starved = true }, false},
-		{"goes before the waiting job in order", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Rank = 1 }, false},
-		{"its team would fall below its guarantee", func(_ *Candidate, _ *Running, cluster *testCluster) { cluster.borrows = false }, false},
+		{"goes before the pending job in order", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Rank = 1 }, false},
+		{"its team would fall below its guarantee", func(_ *Candidate, _ *Running, cluster *testCluster) { cluster.teamsBorrow = false }, false},
 	} {
 		cluster := newTestCluster(t)
-		cluster.borrows = true
-		waiting := &Candidate{Job: testJob("run-1", 0, 1), Rank: 2, WithinGuarantee: true}
-		victim := onMachine(testJob("run-2", 1, 1), time.Minute)
-		c.change(waiting, &victim, cluster)
-		if got := mayPreempt(waiting, &victim, cluster); got != c.want {
+		cluster.teamsBorrow = true
+		pending := &Candidate{Job: testJob("run-1", 0, 1), Rank: 2, WithinGuarantee: true}
+		victim := runningAttempt(testJob("run-2", 1, 1), time.Minute)
+		c.change(pending, &victim, cluster)
+		if got := mayPreempt(pending, &victim, cluster); got != c.want {
 			t.Errorf("%s: %t", c.name, got)
 		}
 	}
@@ -66,12 +66,12 @@
 		{"nobody borrows", false, true, false, false},
 	} {
 		cluster := newTestCluster(t)
-		cluster.borrows = c.other
+		cluster.teamsBorrow = c.other
 		if c.lower {
-			cluster.machines = append(cluster.machines, withFree("m-1", 0, 0, onMachine(testJob("run-2", 1, 1, priority(lowest)), 0)))
+			cluster.machines = append(cluster.machines, machineWithFree("m-1", 0, 0, runningAttempt(testJob("run-2", 1, 1, priority(bestEffort)), 0)))
 		}
-		waiting := &Candidate{Job: testJob("run-1", 0, 1), Rank: 2, WithinGuarantee: c.guaranteed}
-		if got := preemptionPossible(waiting, cluster); got != c.want {
+		pending := &Candidate{Job: testJob("run-1", 0, 1), Rank: 2, WithinGuarantee: c.guaranteed}
+		if got := preemptionPossible(pending, cluster); got != c.want {
 			t.Errorf("%s: %t", c.name, got)
 		}
 	}
@@ -109,7 +109,9 @@
 
 // TestPreempt: what is stopped, and where, for a task of an urgent job that takes 2 CPUs.
 func TestPreempt(t *testing.T) {
-	low := func(id string, cpus float64) *storage.Job { return testJob(id, 1, 1, priority(lowest), takes(cpus)) }
+	low := func(id string, cpus float64) *storage.Job {
+		return testJob(id, 1, 1, priority(bestEffort), withCPUs(cpus))
+	}
 	stopping := func(r Running) Running {
 		r.Stopping = true
 		return r
@@ -120,33 +122,33 @@
 		want     []string
 	}{
 		{"the latest first, and no more than it takes",
-			[]*testMachine{withFree("m-1", 0, 0, onMachine(low("old", 2), time.Minute), onMachine(low("new", 2), time.Second))},
+			[]*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("old", 2), time.Minute), runningAttempt(low("new", 2), time.Second))},
 			[]string{"on m-1 for run-1: new/0"}},
 		{"the lowest priority first, however long it has run",
-			[]*testMachine{withFree("m-1", 0, 0, onMachine(testJob("new", 1, 1, takes(2)), time.Second), onMachine(low("old", 2), time.Minute))},
+			[]*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(testJob("new", 1, 1, withCPUs(2)), time.Second), runningAttempt(low("old", 2), time.Minute))},
 			[]string{"on m-1 for run-1: old/0"}},
-		{"several on a machine", []*testMachine{withFree("m-1", 0, 0.5, onMachine(low("a", 1), 1), onMachine(low("b", 1), 2), onMachine(low("c", 1), 3))},
+		{"several on a machine", []*testMachine{machineWithFree("m-1", 0, 0.5, runningAttempt(low("a", 1), 1), runningAttempt(low("b", 1), 2), runningAttempt(low("c", 1), 3))},
 			[]string{"on m-1 for run-1: a/0 b/0"}},
 		{"where the least work is lost",
-			[]*testMachine{withFree("m-1", 0, 0, onMachine(low("old", 2), time.Minute)), withFree("m-2", 0, 0, onMachine(low("new", 2), time.Second))},
+			[]*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("old", 2), time.Minute)), machineWithFree("m-2", 0, 0, runningAttempt(low("new", 2), time.Second))},
 			[]string{"on m-2 for run-1: new/0"}},
 		{"the first of equals",
-			[]*testMachine{withFree("m-1", 0, 0, onMachine(low("a", 2), time.Second)), withFree("m-2", 0, 0, onMachine(low("b", 2), time.Second))},
+			[]*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 2), time.Second)), machineWithFree("m-2", 0, 0, runningAttempt(low("b", 2), time.Second))},
 			[]string{"on m-1 for run-1: a/0"}},
 		{"nothing where a stop under way leaves the room",
-			[]*testMachine{withFree("m-1", 0, 0, onMachine(low("a", 2), time.Second)), withFree("m-2", 0, 0, stopping(onMachine(low("b", 2), time.Minute)))},
+			[]*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 2), time.Second)), machineWithFree("m-2", 0, 0, stopping(runningAttempt(low("b", 2), time.Minute)))},
 			[]string{"on m-2 for run-1:"}},
-		{"nothing where all is not enough", []*testMachine{withFree("m-1", 0, 0, onMachine(low("a", 1), time.Second))}, nil},
-		{"nothing that may not be stopped", []*testMachine{withFree("m-1", 0, 0, onMachine(low("a", 0.5), 1), onMachine(testJob("b", 1, 1, priority(urgent), takes(4)), 1))}, nil},
+		{"nothing where all is not enough", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 1), time.Second))}, nil},
+		{"nothing that may not be stopped", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 0.5), 1), runningAttempt(testJob("b", 1, 1, priority(urgent), withCPUs(4)), 1))}, nil},
 		{"nothing on a machine that takes no tasks", []*testMachine{
-			{name: "m-1", free: Resources{MemoryGB: 100}, unschedulable: true, running: []Running{onMachine(low("a", 2), 1)}},
+			{name: "m-1", free: Resources{MemoryGB: 100}, unschedulable: true, running: []Running{runningAttempt(low("a", 2), 1)}},
 		}, nil},
 		{"nothing on a machine of another shard", []*testMachine{
-			{name: "m-1", free: Resources{MemoryGB: 100}, shard: 1, running: []Running{onMachine(low("a", 2), 1)}},
+			{name: "m-1", free: Resources{MemoryGB: 100}, shard: 1, running: []Running{runningAttempt(low("a", 2), 1)}},
 		}, nil},
 	} {
 		cluster := newTestCluster(t, c.machines...)
-		if cluster.run(c.name, candidates(testJob("run-1", 0, 1, priority(urgent), takes(2))), c.want...) {
+		if cluster.checkRound(c.name, candidates(testJob("run-1", 0, 1, priority(urgent), withCPUs(2))), c.want...) {
 			t.Errorf("%s: it counts as placed", c.name)
 		}
 	}
--- a/internal/coordination/placement/resources.go
+++ b/internal/coordination/placement/resources.go
@@ -7,30 +7,30 @@
 	"rockrun/internal/storage"
 )
 
-// Resources is an amount of what a machine offers and a task takes. It may be negative
-// where a machine has less than its tasks were recorded with.
+// Resources is an amount of resources that a machine offers or a task uses. Free resources
+// are negative if a machine has less than the records allocate to its tasks.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// MachineCapacity is what an empty machine of a type offers.
+// MachineCapacity returns the resources of an empty machine of a type.
 func MachineCapacity(t *protocol.MachineType) Resources {
 	return Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
-// TaskNeeds is what one task of a job takes.
-func TaskNeeds(j *storage.Job) Resources {
+// TaskResources returns the resources that one task of a job uses.
+func TaskResources(j *storage.Job) Resources {
 	return Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
 }
 
-// Fits reports whether one task of a job fits.
-func (r Resources) Fits(j *storage.Job) bool { return r.Covers(TaskNeeds(j)) }
+// Fits reports whether one task of the job fits into r.
+func (r Resources) Fits(j *storage.Job) bool { return r.Covers(TaskResources(j)) }
 
-// Covers reports whether there is as much of everything as is needed.
+// Covers reports whether r has at least as much of every resource as need.
 func (r Resources) Covers(need Resources) bool {
 	const tolerance = storage.RoundingTolerance
 	return need.CPUs <= r.CPUs+tolerance && need.GPUs <= r.GPUs+tolerance && need.MemoryGB <= r.MemoryGB+tolerance
 }
 
-// Count is how many tasks of a job fit, at most as many as the job has.
+// Count returns how many tasks of the job fit into r, at most the job's number of tasks.
 func (r Resources) Count(j *storage.Job) int {
 	count := 0
 	for r.Fits(j) && count < j.Tasks {
@@ -40,27 +40,27 @@
 	return count
 }
 
-// Subtract takes off what one task of a job takes.
+// Subtract subtracts the resources of one task of the job.
 func (r *Resources) Subtract(j *storage.Job) {
 	r.CPUs -= j.CPUs
 	r.GPUs -= j.GPUs
 	r.MemoryGB -= j.MemoryGB
 }
 
-// Add adds what one task of a job takes.
+// Add adds the resources of one task of the job.
 func (r *Resources) Add(j *storage.Job) {
 	r.CPUs += j.CPUs
 	r.GPUs += j.GPUs
 	r.MemoryGB += j.MemoryGB
 }
 
-// Min is the lesser of two amounts, of each resource by itself.
+// Min returns the minimum of r and o for each resource.
 func (r Resources) Min(o Resources) Resources {
 	return Resources{CPUs: min(r.CPUs, o.CPUs), GPUs: min(r.GPUs, o.GPUs), MemoryGB: min(r.MemoryGB, o.MemoryGB)}
 }
 
-// Dominates reports whether every place for a task of a would also be one for a task of
-// b: a takes no less of anything and may go nowhere that b may not.
+// Dominates reports whether every machine that can run a task of a can also run a task of b:
+// a uses at least as much of every resource, and a may run only where b may run too.
 func Dominates(a, b *storage.Job) bool {
 	if a.Shard != b.Shard || a.CPUs < b.CPUs || a.GPUs < b.GPUs || a.MemoryGB < b.MemoryGB {
 		return false
--- a/internal/coordination/placement/resources_test.go
+++ b/internal/coordination/placement/resources_test.go
@@ -54,7 +54,7 @@
 	if want := (Resources{CPUs: 3, GPUs: 2, MemoryGB: 1}); free != want {
 		t.Errorf("%+v is left, not %+v", free, want)
 	}
-	if least, want := free.Min(TaskNeeds(j)), (Resources{CPUs: 1, GPUs: 2, MemoryGB: 1}); least != want {
+	if least, want := free.Min(TaskResources(j)), (Resources{CPUs: 1, GPUs: 2, MemoryGB: 1}); least != want {
 		t.Errorf("the least is %+v, not %+v", least, want)
 	}
 	if free.Add(j); free != (Resources{CPUs: 4, GPUs: 4, MemoryGB: 4}) {
--- a/internal/coordination/placement/round.go
+++ b/internal/coordination/placement/round.go
@@ -8,37 +8,38 @@
 	"rockrun/internal/storage"
 )
 
-// JobState is how far the tasks of a job have come.
+// JobState counts the remaining tasks and the attempts of a job.
 type JobState struct {
 	Remaining      int   // tasks that are not completed
-	Attempts       int   // attempts that are not proven over
-	AttemptsByZone []int // attempts that may be on a machine, by the zone's index
+	Attempts       int   // attempts that are not confirmed terminated
+	AttemptsByZone []int // attempts that may be on a machine, by zone index
 }
 
-// Jobs is what placement needs to know of the jobs of a shard's holder.
+// Jobs describes the jobs of a shard's holder to placement.
 type Jobs interface {
-	// State is how far a job's tasks have come.
+	// State returns the remaining tasks and the attempts of a job.
 	State(j *storage.Job) JobState
-	// NextTask is the first task of a job that waits to be placed, or -1.
+	// NextTask returns the first unplaced task of a job, or -1.
 	NextTask(j *storage.Job) int
-	// WithinQuota reports whether one more task of a job keeps its shard's share of its
-	// team's maximum.
+	// WithinQuota reports whether another task of a job stays within the part of its team's
+	// maximum quota that the quota split assigns to the job's shard.
 	WithinQuota(j *storage.Job) bool
 }
 
-// Actions carry out what a round decides, at once: what follows rests on them.
+// Actions carries out the decisions of a round. Each call takes effect immediately, because
+// later decisions of the round depend on it.
 type Actions[M comparable] interface {
-	// NextAttemptNumber is a number for an attempt on a machine, above every earlier one.
+	// NextAttemptNumber returns a number for an attempt on a machine, above all earlier ones.
 	NextAttemptNumber(machine M) uint64
-	// Place makes an attempt at a task.
+	// Place creates an attempt at a task on a machine.
 	Place(j *storage.Job, task int, machine M, number uint64)
-	// Unplace undoes Place, before the round is over.
+	// Unplace undoes Place within the same round.
 	Unplace(j *storage.Job, task int, machine M)
-	// Preempt asks for the stop of attempts that are on a machine, for a waiting job.
-	Preempt(machine M, victims []Running, waiting *storage.Job)
+	// Preempt requests the stop of attempts on a machine for a pending job.
+	Preempt(machine M, victims []Running, pending *storage.Job)
 }
 
-// RoundConfig is what a round works with.
+// RoundConfig holds the inputs of a round.
 type RoundConfig[M comparable] struct {
 	Fleet   Fleet[M]
 	Jobs    Jobs
@@ -47,46 +48,48 @@
 	Wall    time.Time // wall clock time of the round
 }
 
-// Round gives waiting tasks to machines once, and preempts others for them where it may.
+// Round is one pass over the pending jobs. It places their tasks and, where permitted,
+// preempts running attempts for tasks that do not fit.
 type Round[M comparable] struct {
-	config        RoundConfig[M]
-	withRoom      []M             // machines with room for the least of the tasks
-	promised      map[M]Resources // what is left of the room that stops under way will leave
-	placed        bool
-	unplaceable   []*storage.Job // there is no place for them; nor is there for jobs that take more
-	unpreemptable []*Candidate   // nothing can be stopped for them
-	scratch       []Running      // of the machine that is looked at
+	config            RoundConfig[M]
+	availableMachines []M             // machines with free resources for the smallest task
+	unreserved        map[M]Resources // by machine with a preemption in this round: free resources that no task has reserved
+	placed            bool
+	unplaceable       []*storage.Job // no machine can run these jobs, nor any job that dominates one of them
+	failedPreemptions []*Candidate   // no preemption was found for these jobs
+	scratch           []Running      // buffer for the attempts of one machine
 }
 
-// NewRound begins a round.
+// NewRound returns a round that has not run yet.
 func NewRound[M comparable](config RoundConfig[M]) *Round[M] {
 	return &Round[M]{config: config}
 }
 
-// Run gives tasks of the jobs listed, in this order, to machines. It reports whether any
-// task was placed that is not of a gang.
+// Run places the tasks of the listed jobs in list order. It reports whether it placed any
+// task of a job other than a gang.
 func (r *Round[M]) Run(list []Candidate) (placed bool) {
 	if len(list) == 0 {
 		return false
 	}
-	r.withRoom = r.machinesWith(leastNeeds(list))
+	r.availableMachines = r.machinesWithAtLeast(minTaskResources(list))
 	for i := range list {
-		r.place(&list[i])
+		r.placeJob(&list[i])
 	}
 	return r.placed
 }
 
-// leastNeeds is the least that any task takes.
-func leastNeeds(list []Candidate) Resources {
-	least := TaskNeeds(list[0].Job)
+// minTaskResources returns, for each resource, the least that any task of the jobs uses.
+func minTaskResources(list []Candidate) Resources {
+	least := TaskResources(list[0].Job)
 	for _, c := range list {
-		least = least.Min(TaskNeeds(c.Job))
+		least = least.Min(TaskResources(c.Job))
 	}
 	return least
 }
 
-// machinesWith lists the machines that take new tasks now and have some room.
-func (r *Round[M]) machinesWith(least Resources) (list []M) {
+// machinesWithAtLeast returns the schedulable machines that have at least the given free
+// resources.
+func (r *Round[M]) machinesWithAtLeast(least Resources) (list []M) {
 	for _, machine := range r.config.Fleet.Machines() {
 		if r.config.Fleet.Free(machine).Covers(least) && r.config.Fleet.Schedulable(machine) {
 			list = append(list, machine)
@@ -95,15 +98,15 @@
 	return list
 }
 
-// place gives the tasks of one job to machines.
-func (r *Round[M]) place(candidate *Candidate) {
+// placeJob places the tasks of one job.
+func (r *Round[M]) placeJob(candidate *Candidate) {
 	state := r.config.Jobs.State(candidate.Job)
 	if candidate.Job.Kind == protocol.KindGang {
 		r.placeGang(candidate, state)
 		return
 	}
 	if candidate.Job.OneZone && state.Attempts == 0 {
-		if zone, found := r.gatheringZone(candidate); found {
+		if zone, found := r.chooseZone(candidate); found {
 			r.placeInZone(candidate, zone)
 			return
 		}
@@ -111,26 +114,26 @@
 	r.placeAnywhere(candidate, state)
 }
 
-// placeAnywhere gives the tasks of a job to machines, and has room made for those that
-// find none.
+// placeAnywhere places the tasks of a job on any permitted machine, and preempts for tasks
+// that do not fit.
 func (r *Round[M]) placeAnywhere(candidate *Candidate, state JobState) {
-	hopeless := slices.ContainsFunc(r.unplaceable, func(j *storage.Job) bool { return Dominates(candidate.Job, j) })
-	// Each waiting task is promised room once.
-	promises := max(1, state.Remaining-state.Attempts)
+	unplaceable := slices.ContainsFunc(r.unplaceable, func(j *storage.Job) bool { return Dominates(candidate.Job, j) })
+	// Resources are reserved once for each pending task.
+	reservations := max(1, state.Remaining-state.Attempts)
 	for task := r.nextTask(candidate); task >= 0; task = r.nextTask(candidate) {
-		if !hopeless && r.placeTask(candidate, task) {
+		if !unplaceable && r.placeTask(candidate, task) {
 			continue
 		}
-		hopeless = true
-		if promises == 0 || !r.preempt(candidate) {
+		unplaceable = true
+		if reservations == 0 || !r.preempt(candidate) {
 			return
 		}
-		promises--
+		reservations--
 	}
 }
 
-// nextTask is the next task of a job to be placed; -1 when there is none, or no more of
-// its team's quota.
+// nextTask returns the next task of a job to place, or -1 if the job has none or its team's
+// quota is used up.
 func (r *Round[M]) nextTask(candidate *Candidate) int {
 	if task := r.config.Jobs.NextTask(candidate.Job); task >= 0 && r.config.Jobs.WithinQuota(candidate.Job) {
 		return task
@@ -138,14 +141,14 @@
 	return -1
 }
 
-// choose picks the machine for a task.
+// choose picks the machine for a task from a list of machines.
 func (r *Round[M]) choose(machines []M, j *storage.Job, task int) (M, bool) {
 	return Choose(r.config.Fleet, machines, j, task, r.config.Jobs.State(j).AttemptsByZone)
 }
 
-// placeTask gives a task to a machine, if there is one for it.
+// placeTask places a task and reports whether a machine was found for it.
 func (r *Round[M]) placeTask(candidate *Candidate, task int) bool {
-	machine, found := r.choose(r.withRoom, candidate.Job, task)
+	machine, found := r.choose(r.availableMachines, candidate.Job, task)
 	if !found {
 		if !candidate.Job.OneZone && !candidate.Job.Spread {
 			r.unplaceable = append(r.unplaceable, candidate.Job)
@@ -156,16 +159,16 @@
 	return true
 }
 
-// placeOn makes an attempt at a task.
+// placeOn creates an attempt at a task on a machine.
 func (r *Round[M]) placeOn(j *storage.Job, task int, machine M) {
 	r.placed = true
 	r.config.Actions.Place(j, task, machine, r.config.Actions.NextAttemptNumber(machine))
 }
 
-// placeInZone gives as many tasks of a job to the machines of a zone as these take.
+// placeInZone places as many tasks of a job as fit on the machines of a zone.
 func (r *Round[M]) placeInZone(candidate *Candidate, zone int) {
 	outside := func(machine M) bool { return r.config.Fleet.Zone(machine) != zone }
-	machines := slices.DeleteFunc(slices.Clone(r.withRoom), outside)
+	machines := slices.DeleteFunc(slices.Clone(r.availableMachines), outside)
 	for task := r.nextTask(candidate); task >= 0; task = r.nextTask(candidate) {
 		machine, found := r.choose(machines, candidate.Job, task)
 		if !found {
@@ -175,61 +178,62 @@
 	}
 }
 
-// preempt stops other work for one task of a job, if any may be stopped for it. The
-// machine takes nothing else in this round.
-func (r *Round[M]) preempt(waiting *Candidate) bool {
-	if !preemptionPossible(waiting, r.config.Teams) || slices.ContainsFunc(r.unpreemptable, waiting.preemptsNoMoreThan) {
+// preempt requests a preemption for one task of a job and reports whether one was found. No
+// other task is placed on that machine in this round.
+func (r *Round[M]) preempt(pending *Candidate) bool {
+	if !preemptionPossible(pending, r.config.Teams) || slices.ContainsFunc(r.failedPreemptions, pending.preemptsNoMoreThan) {
 		return false
 	}
-	if !r.preemptFor(waiting) {
-		r.unpreemptable = append(r.unpreemptable, waiting)
+	if !r.preemptFor(pending) {
+		r.failedPreemptions = append(r.failedPreemptions, pending)
 		return false
 	}
-	r.withRoom = slices.DeleteFunc(r.withRoom, func(machine M) bool {
-		_, promised := r.promised[machine]
-		return promised
+	r.availableMachines = slices.DeleteFunc(r.availableMachines, func(machine M) bool {
+		_, reserved := r.unreserved[machine]
+		return reserved
 	})
 	return true
 }
 
-// placeGang places all open tasks of a gang or none, and only once no attempt of an
-// earlier round is left: a gang that has lost a task starts over.
+// placeGang places either all pending tasks of a gang or none. It waits until no attempt
+// from an earlier round remains, because a gang that lost a task restarts as a whole.
 func (r *Round[M]) placeGang(gang *Candidate, state JobState) {
 	if slices.ContainsFunc(state.AttemptsByZone, func(count int) bool { return count > 0 }) {
 		return
 	}
-	var planned []placedTask[M]
+	var placed []placedTask[M]
 	var number uint64
 	for task := r.config.Jobs.NextTask(gang.Job); task >= 0; task = r.config.Jobs.NextTask(gang.Job) {
-		machine, found := r.choose(r.withRoom, gang.Job, task)
+		machine, found := r.choose(r.availableMachines, gang.Job, task)
 		if !found || !r.config.Jobs.WithinQuota(gang.Job) {
-			r.unplace(gang.Job, planned)
+			r.unplaceAll(gang.Job, placed)
 			if !found {
 				r.preemptForGang(gang, state.Remaining)
 			}
 			return
 		}
 		if number == 0 {
-			number = r.config.Actions.NextAttemptNumber(machine) // the tasks of a round know each other by it
+			number = r.config.Actions.NextAttemptNumber(machine) // shared by all tasks of the gang in a round, to identify each other
 		}
 		r.config.Actions.Place(gang.Job, task, machine, number)
-		planned = append(planned, placedTask[M]{task, machine})
+		placed = append(placed, placedTask[M]{task, machine})
 	}
 }
 
-// placedTask is a task of a gang that may have to be unplaced.
+// placedTask is a placed task of a gang, recorded so that the placement can be undone.
 type placedTask[M comparable] struct {
 	task    int
 	machine M
 }
 
-func (r *Round[M]) unplace(j *storage.Job, planned []placedTask[M]) {
-	for _, p := range planned {
+// unplaceAll undoes the placement of tasks of a gang.
+func (r *Round[M]) unplaceAll(j *storage.Job, placed []placedTask[M]) {
+	for _, p := range placed {
 		r.config.Actions.Unplace(j, p.task, p.machine)
 	}
 }
 
-// preemptForGang stops other work for as many tasks of a gang as it can.
+// preemptForGang requests preemptions for as many tasks of a gang as possible.
 func (r *Round[M]) preemptForGang(gang *Candidate, remaining int) {
 	for remaining > 0 && preemptionPossible(gang, r.config.Teams) && r.preemptFor(gang) {
 		remaining--
--- a/internal/coordination/placement/round_test.go
+++ b/internal/coordination/placement/round_test.go
@@ -12,7 +12,9 @@
 
 // TestRound: what a round does with lists of jobs.
 func TestRound(t *testing.T) {
-	low := func(id string, cpus float64) *storage.Job { return testJob(id, 1, 1, priority(lowest), takes(cpus)) }
+	low := func(id string, cpus float64) *storage.Job {
+		return testJob(id, 1, 1, priority(bestEffort), withCPUs(cpus))
+	}
 	for _, c := range []struct {
 		name     string
 		machines []*testMachine
@@ -21,40 +23,40 @@
 		want     []string
 		placed   bool
 	}{
-		{"nothing waits", []*testMachine{withFree("m-1", 0, 4)}, nil, nil, nil, false},
-		{"in the order of the list, while there is room", []*testMachine{withFree("m-1", 0, 3)},
+		{"nothing waits", []*testMachine{machineWithFree("m-1", 0, 4)}, nil, nil, nil, false},
+		{"in the order of the list, while there is room", []*testMachine{machineWithFree("m-1", 0, 3)},
 			[]*storage.Job{testJob("a", 0, 2), testJob("b", 0, 2)}, nil,
 			[]string{"a/0 to m-1 as 1", "a/1 to m-1 as 2", "b/0 to m-1 as 3"}, true},
-		{"the fullest machine until it is full", []*testMachine{withFree("m-1", 0, 4), withFree("m-2", 0, 2)},
+		{"the fullest machine until it is full", []*testMachine{machineWithFree("m-1", 0, 4), machineWithFree("m-2", 0, 2)},
 			[]*storage.Job{testJob("a", 0, 3)}, nil,
 			[]string{"a/0 to m-2 as 1", "a/1 to m-2 as 2", "a/2 to m-1 as 3"}, true},
-		{"a small job behind one that finds no place", []*testMachine{withFree("m-1", 0, 2)},
-			[]*storage.Job{testJob("large", 0, 1, takes(4)), testJob("small", 0, 1)}, nil,
+		{"a small job behind one that finds no place", []*testMachine{machineWithFree("m-1", 0, 2)},
+			[]*storage.Job{testJob("large", 0, 1, withCPUs(4)), testJob("small", 0, 1)}, nil,
 			[]string{"small/0 to m-1 as 1"}, true},
-		{"a larger one is not tried for where a smaller found no place", []*testMachine{withFree("m-1", 0, 2)},
-			[]*storage.Job{testJob("large", 0, 1, takes(4)), testJob("larger", 0, 1, takes(5)), testJob("small", 0, 1)}, nil,
+		{"a larger one is not tried for where a smaller found no place", []*testMachine{machineWithFree("m-1", 0, 2)},
+			[]*storage.Job{testJob("large", 0, 1, withCPUs(4)), testJob("larger", 0, 1, withCPUs(5)), testJob("small", 0, 1)}, nil,
 			[]string{"small/0 to m-1 as 1"}, true},
-		{"as many as the quota lets in", []*testMachine{withFree("m-1", 0, 4)},
+		{"as many as the quota lets in", []*testMachine{machineWithFree("m-1", 0, 4)},
 			[]*storage.Job{testJob("a", 0, 3), testJob("b", 1, 1)}, map[string]int{"a": 1},
 			[]string{"a/0 to m-1 as 1", "b/0 to m-1 as 2"}, true},
-		{"nothing is stopped for what the quota does not let in", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 4), time.Second))},
+		{"nothing is stopped for what the quota does not let in", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("x", 4), time.Second))},
 			[]*storage.Job{testJob("a", 0, 1)}, map[string]int{"a": 0}, nil, false},
-		{"each task is promised room once", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 4), time.Second))},
+		{"each task is promised room once", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("x", 4), time.Second))},
 			[]*storage.Job{testJob("a", 0, 2)}, nil,
 			[]string{"on m-1 for a: x/0", "on m-1 for a:"}, false},
-		{"what is bound to zones says nothing of what is not", []*testMachine{withFree("m-1", 0, 4)},
+		{"what is bound to zones says nothing of what is not", []*testMachine{machineWithFree("m-1", 0, 4)},
 			[]*storage.Job{testJob("a", 0, 2, spread), testJob("b", 0, 1)}, nil,
 			[]string{"a/0 to m-1 as 1", "b/0 to m-1 as 2"}, true},
-		{"room that is promised is no one else's", []*testMachine{withFree("m-1", 0, 1, onMachine(low("x", 4), time.Second))},
-			[]*storage.Job{testJob("a", 0, 1, takes(4)), testJob("b", 0, 1)}, nil,
+		{"room that is promised is no one else's", []*testMachine{machineWithFree("m-1", 0, 1, runningAttempt(low("x", 4), time.Second))},
+			[]*storage.Job{testJob("a", 0, 1, withCPUs(4)), testJob("b", 0, 1)}, nil,
 			[]string{"on m-1 for a: x/0", "on m-1 for b:"}, false},
-		{"what is left of a promise is too little", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 4), time.Second))},
-			[]*storage.Job{testJob("a", 0, 1, takes(4)), testJob("b", 0, 1)}, nil,
+		{"what is left of a promise is too little", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("x", 4), time.Second))},
+			[]*storage.Job{testJob("a", 0, 1, withCPUs(4)), testJob("b", 0, 1)}, nil,
 			[]string{"on m-1 for a: x/0"}, false},
 	} {
 		cluster := newTestCluster(t, c.machines...)
 		cluster.quota = c.quota
-		if placed := cluster.run(c.name, candidates(c.jobs...), c.want...); placed != c.placed {
+		if placed := cluster.checkRound(c.name, candidates(c.jobs...), c.want...); placed != c.placed {
 			t.Errorf("%s: placed %t", c.name, placed)
 		}
 	}
@@ -62,7 +64,9 @@
 
 // TestGang: all open tasks of a gang or none.
 func TestGang(t *testing.T) {
-	low := func(id string, cpus float64) *storage.Job { return testJob(id, 1, 1, priority(lowest), takes(cpus)) }
+	low := func(id string, cpus float64) *storage.Job {
+		return testJob(id, 1, 1, priority(bestEffort), withCPUs(cpus))
+	}
 	for _, c := range []struct {
 		name     string
 		machines []*testMachine
@@ -70,42 +74,42 @@
 		quota    map[string]int
 		want     []string
 	}{
-		{"all, under one number", []*testMachine{withFree("m-1", 0, 2), withFree("m-2", 0, 1)}, nil, nil,
+		{"all, under one number", []*testMachine{machineWithFree("m-1", 0, 2), machineWithFree("m-2", 0, 1)}, nil, nil,
 			[]string{"g/0 to m-2 as 1", "g/1 to m-1 as 1", "g/2 to m-1 as 1"}},
-		{"none where one finds no place, and its room is there for others", []*testMachine{withFree("m-1", 0, 2)}, nil, nil,
+		{"none where one finds no place, and its room is there for others", []*testMachine{machineWithFree("m-1", 0, 2)}, nil, nil,
 			[]string{"g/0 to m-1 as 1", "g/1 to m-1 as 1", "g/0 not to m-1", "g/1 not to m-1", "b/0 to m-1 as 2"}},
-		{"none where the quota lets in fewer", []*testMachine{withFree("m-1", 0, 3)}, nil, map[string]int{"g": 2},
+		{"none where the quota lets in fewer", []*testMachine{machineWithFree("m-1", 0, 3)}, nil, map[string]int{"g": 2},
 			[]string{"g/0 to m-1 as 1", "g/1 to m-1 as 1", "g/0 not to m-1", "g/1 not to m-1", "b/0 to m-1 as 2"}},
-		{"none while an earlier attempt is left", []*testMachine{withFree("m-1", 0, 3)}, &JobState{Remaining: 3, AttemptsByZone: []int{0, 1}}, nil,
+		{"none while an earlier attempt is left", []*testMachine{machineWithFree("m-1", 0, 3)}, &JobState{Remaining: 3, AttemptsByZone: []int{0, 1}}, nil,
 			[]string{"b/0 to m-1 as 1"}},
-		{"room is made for all of it", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 2), 1)), withFree("m-2", 0, 0, onMachine(low("y", 1), 2))}, nil, nil,
+		{"room is made for all of it", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("x", 2), 1)), machineWithFree("m-2", 0, 0, runningAttempt(low("y", 1), 2))}, nil, nil,
 			[]string{"on m-1 for g: x/0", "on m-1 for g:", "on m-2 for g: y/0"}},
-		{"room is made for no more than all of it", []*testMachine{withFree("m-1", 0, 0, onMachine(low("x", 8), 1))}, nil, nil,
+		{"room is made for no more than all of it", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("x", 8), 1))}, nil, nil,
 			[]string{"on m-1 for g: x/0", "on m-1 for g:", "on m-1 for g:"}},
-		{"no room is made for what the quota does not let in", []*testMachine{withFree("m-1", 0, 3, onMachine(low("x", 2), 1))}, nil, map[string]int{"g": 0},
+		{"no room is made for what the quota does not let in", []*testMachine{machineWithFree("m-1", 0, 3, runningAttempt(low("x", 2), 1))}, nil, map[string]int{"g": 0},
 			[]string{"b/0 to m-1 as 1"}},
 	} {
-		waiting := testJob("g", 0, 3, gang)
+		pending := testJob("g", 0, 3, gang)
 		cluster := newTestCluster(t, c.machines...)
 		cluster.quota = c.quota
 		if c.state != nil {
-			cluster.states[waiting] = c.state
+			cluster.states[pending] = c.state
 		}
-		cluster.run(c.name, candidates(waiting, testJob("b", 0, 1, priority(lowest))), c.want...)
+		cluster.checkRound(c.name, candidates(pending, testJob("b", 0, 1, priority(bestEffort))), c.want...)
 	}
 }
 
-// TestGangsDoNotCountAsPlaced: turns of what is late for long are counted without gangs.
-func TestGangsDoNotCountAsPlaced(t *testing.T) {
-	cluster := newTestCluster(t, withFree("m-1", 0, 1))
-	if cluster.run("a gang", candidates(testJob("g", 0, 1, gang)), "g/0 to m-1 as 1") {
+// TestGangDoesNotCountAsPlaced: turns of what is late for long are counted without gangs.
+func TestGangDoesNotCountAsPlaced(t *testing.T) {
+	cluster := newTestCluster(t, machineWithFree("m-1", 0, 1))
+	if cluster.checkRound("a gang", candidates(testJob("g", 0, 1, gang)), "g/0 to m-1 as 1") {
 		t.Error("it counts as placed")
 	}
 }
 
-// TestGathering: the zone to which the first tasks of a job go that must share one. Four
+// TestChooseZone: the zone to which the first tasks of a job go that must share one. Four
 // tasks wait.
-func TestGathering(t *testing.T) {
+func TestChooseZone(t *testing.T) {
 	booting := func(m *testMachine) *testMachine {
 		m.booting = true
 		return m
@@ -122,67 +126,67 @@
 		waited   time.Duration
 		want     []string
 	}{
-		{"the zone with room for all now", []*testMachine{withFree("m-1", 0, 3), withFree("m-2", 1, 4)}, 0, toZone("m-2", 4)},
-		{"room on several machines of a zone adds up", []*testMachine{withFree("m-1", 0, 3), withFree("m-2", 1, 2), withFree("m-3", 1, 2)}, 0,
+		{"the zone with room for all now", []*testMachine{machineWithFree("m-1", 0, 3), machineWithFree("m-2", 1, 4)}, 0, toZone("m-2", 4)},
+		{"room on several machines of a zone adds up", []*testMachine{machineWithFree("m-1", 0, 3), machineWithFree("m-2", 1, 2), machineWithFree("m-3", 1, 2)}, 0,
 			[]string{"run-1/0 to m-2 as 1", "run-1/1 to m-2 as 2", "run-1/2 to m-3 as 3", "run-1/3 to m-3 as 4"}},
-		{"the one with most room", []*testMachine{withFree("m-1", 0, 1), withFree("m-2", 1, 2)}, 0, toZone("m-2", 2)},
-		{"of equal ones the first, if it comes last", []*testMachine{withFree("m-1", 1, 2), withFree("m-2", 0, 2)}, 0, toZone("m-2", 2)},
-		{"of equal ones the first, if it comes first", []*testMachine{withFree("m-1", 0, 2), withFree("m-2", 1, 2)}, 0, toZone("m-1", 2)},
-		{"machines that boot count, and are waited for", []*testMachine{withFree("m-1", 0, 2), booting(withFree("m-2", 1, 4))}, 0, nil},
-		{"but not for ever", []*testMachine{withFree("m-1", 0, 2), booting(withFree("m-2", 1, 4))}, gatherPatience, toZone("m-1", 2)},
-		{"room for all now is better than more that boots", []*testMachine{booting(withFree("m-1", 0, 8)), withFree("m-2", 1, 4)}, 0, toZone("m-2", 4)},
+		{"the one with most room", []*testMachine{machineWithFree("m-1", 0, 1), machineWithFree("m-2", 1, 2)}, 0, toZone("m-2", 2)},
+		{"of equal ones the first, if it comes last", []*testMachine{machineWithFree("m-1", 1, 2), machineWithFree("m-2", 0, 2)}, 0, toZone("m-2", 2)},
+		{"of equal ones the first, if it comes first", []*testMachine{machineWithFree("m-1", 0, 2), machineWithFree("m-2", 1, 2)}, 0, toZone("m-1", 2)},
+		{"machines that boot count, and are waited for", []*testMachine{machineWithFree("m-1", 0, 2), booting(machineWithFree("m-2", 1, 4))}, 0, nil},
+		{"but not for ever", []*testMachine{machineWithFree("m-1", 0, 2), booting(machineWithFree("m-2", 1, 4))}, maxBootWait, toZone("m-1", 2)},
+		{"room for all now is better than more that boots", []*testMachine{booting(machineWithFree("m-1", 0, 8)), machineWithFree("m-2", 1, 4)}, 0, toZone("m-2", 4)},
 		{"machines that take no tasks do not count", []*testMachine{
-			{name: "m-1", free: Resources{CPUs: 4, MemoryGB: 4}, unschedulable: true}, withFree("m-2", 1, 1),
+			{name: "m-1", free: Resources{CPUs: 4, MemoryGB: 4}, unschedulable: true}, machineWithFree("m-2", 1, 1),
 		}, 0, toZone("m-2", 1)},
 		{"machines of other shards do not", []*testMachine{
-			{name: "m-1", free: Resources{CPUs: 4, MemoryGB: 4}, shard: 1}, withFree("m-2", 1, 1),
+			{name: "m-1", free: Resources{CPUs: 4, MemoryGB: 4}, shard: 1}, machineWithFree("m-2", 1, 1),
 		}, 0, toZone("m-2", 1)},
-		{"no machine has room", []*testMachine{withFree("m-1", 0, 0.5)}, 0, nil},
+		{"no machine has room", []*testMachine{machineWithFree("m-1", 0, 0.5)}, 0, nil},
 		{"no machine has room, and something may be stopped", []*testMachine{
-			withFree("m-1", 0, 0, onMachine(testJob("x", 1, 1, priority(lowest), takes(4)), 1)),
+			machineWithFree("m-1", 0, 0, runningAttempt(testJob("x", 1, 1, priority(bestEffort), withCPUs(4)), 1)),
 		}, 0, []string{"on m-1 for run-1: x/0", "on m-1 for run-1:", "on m-1 for run-1:", "on m-1 for run-1:"}},
 	} {
 		cluster := newTestCluster(t, c.machines...)
 		cluster.waited = c.waited
-		cluster.run(c.name, candidates(testJob("run-1", 0, 4, oneZone)), c.want...)
+		cluster.checkRound(c.name, candidates(testJob("run-1", 0, 4, oneZone)), c.want...)
 	}
 }
 
-// TestGatheredTasksStayTogether: once a task of a job is in a zone the others follow,
+// TestOneZoneJobStaysInItsZone: once a task of a job is in a zone the others follow,
 // however much room there is elsewhere.
-func TestGatheredTasksStayTogether(t *testing.T) {
-	waiting := testJob("run-1", 0, 4, oneZone)
-	cluster := newTestCluster(t, withFree("m-1", 0, 8), withFree("m-2", 1, 1))
-	cluster.states[waiting] = &JobState{Remaining: 4, Attempts: 1, AttemptsByZone: []int{0, 1}}
-	cluster.taken["run-1/0"] = true
-	cluster.run("one is in zone 1", candidates(waiting), "run-1/1 to m-2 as 1")
+func TestOneZoneJobStaysInItsZone(t *testing.T) {
+	pending := testJob("run-1", 0, 4, oneZone)
+	cluster := newTestCluster(t, machineWithFree("m-1", 0, 8), machineWithFree("m-2", 1, 1))
+	cluster.states[pending] = &JobState{Remaining: 4, Attempts: 1, AttemptsByZone: []int{0, 1}}
+	cluster.placedTasks["run-1/0"] = true
+	cluster.checkRound("one is in zone 1", candidates(pending), "run-1/1 to m-2 as 1")
 }
 
-// TestRunningTasksNeedNoPromise: room is made for the tasks of a job that wait alone.
-func TestRunningTasksNeedNoPromise(t *testing.T) {
-	waiting := testJob("run-1", 0, 2)
-	cluster := newTestCluster(t, withFree("m-1", 0, 0, onMachine(testJob("x", 1, 1, priority(lowest), takes(4)), 1)))
-	cluster.states[waiting] = &JobState{Remaining: 2, Attempts: 1, AttemptsByZone: []int{1}}
-	cluster.taken["run-1/0"] = true
-	cluster.run("one of two runs", candidates(waiting), "on m-1 for run-1: x/0")
+// TestRunningTasksNeedNoReservation: room is made for the tasks of a job that wait alone.
+func TestRunningTasksNeedNoReservation(t *testing.T) {
+	pending := testJob("run-1", 0, 2)
+	cluster := newTestCluster(t, machineWithFree("m-1", 0, 0, runningAttempt(testJob("x", 1, 1, priority(bestEffort), withCPUs(4)), 1)))
+	cluster.states[pending] = &JobState{Remaining: 2, Attempts: 1, AttemptsByZone: []int{1}}
+	cluster.placedTasks["run-1/0"] = true
+	cluster.checkRound("one of two runs", candidates(pending), "on m-1 for run-1: x/0")
 }
 
-// TestVainLooksAreNotRepeated: where nothing can be stopped for a job, what runs is not
+// TestFailedPreemptionSearchIsNotRepeated: where nothing can be stopped for a job, what runs is not
 // gone through again for another like it.
-func TestVainLooksAreNotRepeated(t *testing.T) {
+func TestFailedPreemptionSearchIsNotRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		other *storage.Job
 		want  int
 	}{
-		{"a like one", testJob("run-2", 0, 1, takes(4)), 1},
-		{"a larger one", testJob("run-2", 0, 1, takes(5)), 1},
-		{"a smaller one", testJob("run-2", 0, 1, takes(3)), 2},
+		{"a like one", testJob("run-2", 0, 1, withCPUs(4)), 1},
+		{"a larger one", testJob("run-2", 0, 1, withCPUs(5)), 1},
+		{"a smaller one", testJob("run-2", 0, 1, withCPUs(3)), 2},
 	} {
-		cluster := newTestCluster(t, withFree("m-1", 0, 0, onMachine(testJob("x", 1, 1, priority(lowest)), 1)))
-		cluster.round(candidates(testJob("run-1", 0, 1, takes(4)), c.other))
-		if cluster.looks != c.want {
-			t.Errorf("%s: %d looks", c.name, cluster.looks)
+		cluster := newTestCluster(t, machineWithFree("m-1", 0, 0, runningAttempt(testJob("x", 1, 1, priority(bestEffort)), 1)))
+		cluster.runRound(candidates(testJob("run-1", 0, 1, withCPUs(4)), c.other))
+		if cluster.runningScans != c.want {
+			t.Errorf("%s: %d looks", c.name, cluster.runningScans)
 		}
 	}
 }
@@ -194,23 +198,23 @@
 		random := rand.New(rand.NewPCG(seed, 7))
 		cluster := newTestCluster(t)
 		for i := range 1 + random.IntN(6) {
-			m := withFree("m-"+strconv.Itoa(i), random.IntN(3), float64(random.IntN(5)))
+			m := machineWithFree("m-"+strconv.Itoa(i), random.IntN(3), float64(random.IntN(5)))
 			m.unschedulable, m.booting = random.IntN(5) == 0, random.IntN(5) == 0
 			for k := range random.IntN(3) {
-				m.running = append(m.running, onMachine(testJob("x-"+strconv.Itoa(i)+strconv.Itoa(k), 1, 1, priority(lowest)), time.Duration(k)))
+				m.running = append(m.running, runningAttempt(testJob("x-"+strconv.Itoa(i)+strconv.Itoa(k), 1, 1, priority(bestEffort)), time.Duration(k)))
 			}
 			cluster.machines = append(cluster.machines, m)
 		}
 		var jobs []*storage.Job
 		kinds := []func(*storage.Job){gang, service, oneZone, spread, func(*storage.Job) {}}
 		for i := range 1 + random.IntN(8) {
-			j := testJob("run-"+strconv.Itoa(i), 0, 1+random.IntN(5), takes(float64(1+random.IntN(3))), kinds[random.IntN(len(kinds))])
+			j := testJob("run-"+strconv.Itoa(i), 0, 1+random.IntN(5), withCPUs(float64(1+random.IntN(3))), kinds[random.IntN(len(kinds))])
 			if random.IntN(3) == 0 {
 				cluster.quota[j.ID] = random.IntN(4)
 			}
 			jobs = append(jobs, j)
 		}
-		cluster.round(candidates(jobs...))
+		cluster.runRound(candidates(jobs...))
 		for _, m := range cluster.machines {
 			if m.free.CPUs < 0 {
 				t.Errorf("seed %d: %s is left with %v CPUs", seed, m.name, m.free.CPUs)
@@ -226,8 +230,8 @@
 func (c *testCluster) checkJob(seed uint64, j *storage.Job) {
 	c.t.Helper()
 	state := c.State(j)
-	if most, limited := c.quota[j.ID]; limited && state.Attempts > most {
-		c.t.Errorf("seed %d: %d attempts of %s, of which the quota lets in %d", seed, state.Attempts, j.ID, most)
+	if maximum, limited := c.quota[j.ID]; limited && state.Attempts > maximum {
+		c.t.Errorf("seed %d: %d attempts of %s, of which the quota lets in %d", seed, state.Attempts, j.ID, maximum)
 	}
 	if j.Kind == protocol.KindGang && state.Attempts != 0 && state.Attempts != j.Tasks {
 		c.t.Errorf("seed %d: %d tasks of gang %s of %d", seed, state.Attempts, j.ID, j.Tasks)
@@ -249,12 +253,12 @@
 func TestRoundAllocations(t *testing.T) {
 	allocations := func(machines int) float64 {
 		cluster := newTestCluster(t)
-		victim := onMachine(testJob("x", 1, 1, priority(lowest)), time.Second)
+		victim := runningAttempt(testJob("x", 1, 1, priority(bestEffort)), time.Second)
 		for i := range machines {
-			cluster.machines = append(cluster.machines, withFree("m-"+strconv.Itoa(i), 0, 1, victim, victim))
+			cluster.machines = append(cluster.machines, machineWithFree("m-"+strconv.Itoa(i), 0, 1, victim, victim))
 		}
-		waiting := candidates(testJob("run-1", 0, 4, takes(4)), testJob("run-2", 1, 4, takes(5)))
-		return testing.AllocsPerRun(10, func() { cluster.round(waiting) })
+		pending := candidates(testJob("run-1", 0, 4, withCPUs(4)), testJob("run-2", 1, 4, withCPUs(5)))
+		return testing.AllocsPerRun(10, func() { cluster.runRound(pending) })
 	}
 	if few, many := allocations(10), allocations(1000); many > few {
 		t.Errorf("%v allocations for 10 machines, %v for 1000", few, many)
--- a/internal/coordination/placement/zone.go
+++ b/internal/coordination/placement/zone.go
@@ -4,46 +4,46 @@
 	"time"
 )
 
-// gatherPatience is how long a job waits for machines that boot in a better zone: some
-// never come up, and the cloud's word for that takes much longer.
-const gatherPatience = 45 * time.Second
+// maxBootWait limits how long a one-zone job waits for machines that are booting in a better
+// zone. Some machines never come up, and the cloud reports that much later.
+const maxBootWait = 45 * time.Second
 
-// zoneRoom is for how many tasks of a job a zone has room.
-type zoneRoom struct {
-	total int // machines that still boot included
-	ready int // on machines that take tasks now
+// zoneCapacity counts the tasks of a job that fit into a zone.
+type zoneCapacity struct {
+	withBooting int // on ready and booting machines
+	ready       int // on schedulable machines only
 }
 
-// gatheringZone is the zone to which the first task of a job goes whose tasks must share
-// one: a zone that has room for them all now, or the one in which the machines held, those
-// that still boot included, have most room. The first machine that is free anywhere would
-// settle it otherwise, and what was rented for the job in another zone would come up for
-// nothing. It is false where no machine can take any.
-func (r *Round[M]) gatheringZone(waiting *Candidate) (best int, found bool) {
-	rooms := map[int]zoneRoom{}
-	waited := time.Duration(r.config.Wall.UnixMilli()-waiting.Job.ReadyAtMS()) * time.Millisecond
-	remaining := r.config.Jobs.State(waiting.Job).Remaining
+// chooseZone picks the zone for the first task of a one-zone job: a zone in which all
+// remaining tasks fit now, or else the zone with the most capacity including booting
+// machines. Without this choice, the first free machine in any zone would decide, and
+// machines created for the job in another zone would boot in vain. The result found is false
+// if no machine can run a task of the job.
+func (r *Round[M]) chooseZone(pending *Candidate) (best int, found bool) {
+	capacities := map[int]zoneCapacity{}
+	waitingTime := time.Duration(r.config.Wall.UnixMilli()-pending.Job.ReadyAtMS()) * time.Millisecond
+	remaining := r.config.Jobs.State(pending.Job).Remaining
 	for _, machine := range r.config.Fleet.Machines() {
-		if !r.config.Fleet.Eligible(machine, waiting.Job) {
+		if !r.config.Fleet.Eligible(machine, pending.Job) {
 			continue
 		}
-		booting := waited < gatherPatience && r.config.Fleet.Booting(machine)
+		booting := waitingTime < maxBootWait && r.config.Fleet.Booting(machine)
 		if !booting && !r.config.Fleet.Schedulable(machine) {
 			continue
 		}
 		zone := r.config.Fleet.Zone(machine)
-		room, count := rooms[zone], r.config.Fleet.Free(machine).Count(waiting.Job)
-		room.total += count
+		capacity, count := capacities[zone], r.config.Fleet.Free(machine).Count(pending.Job)
+		capacity.withBooting += count
 		if !booting {
-			room.ready += count
+			capacity.ready += count
 		}
-		rooms[zone] = room
-		if room.ready >= remaining {
+		capacities[zone] = capacity
+		if capacity.ready >= remaining {
 			return zone, true
 		}
-		if !found || room.total > rooms[best].total || room.total == rooms[best].total && zone < best {
+		if !found || capacity.withBooting > capacities[best].withBooting || capacity.withBooting == capacities[best].withBooting && zone < best {
 			best, found = zone, true
 		}
 	}
-	return best, found && rooms[best].total > 0
+	return best, found && capacities[best].withBooting > 0
 }
