--- a/internal/coordination/placement/fleet_test.go
+++ b/internal/coordination/placement/fleet_test.go
@@ -10,8 +10,8 @@
 	"rockrun/internal/storage"
 )
 
-// testMachine is a machine as the tests describe it. The zero value of what is not of
-// interest is that of an idle machine that takes tasks.
+// testMachine describes a machine to placement. Fields left at their zero value describe an
+// idle machine that accepts tasks.
 type testMachine struct {
 	name          string
 	free          Resources
@@ -19,25 +19,25 @@
 	shard         int
 	unschedulable bool
 	booting       bool
-	listedTask    string // task that it lists, as protocol.TaskName gives it
+	listedTask    string // name of a task that the agent lists, as returned by protocol.TaskName
 	traits        Machine
 	running       []Running
 }
 
-// testCluster stands for all that a round asks and does. What it places and stops changes
-// what it answers, as it does with a reconciler.
+// testCluster implements Fleet, Jobs, Teams and Actions. As with the reconciler, placements
+// and preemptions change its later results.
 type testCluster struct {
 	t                 *testing.T
 	machines          []*testMachine
 	states            map[*storage.Job]*JobState
-	placedTasks       map[string]bool // tasks that have an attempt, by name
-	quota             map[string]int  // most attempts that the quota lets a job have
+	placedTasks       map[string]bool // names of the tasks with an attempt
+	quota             map[string]int  // maximum number of attempts by job identifier
 	teamsBorrow       bool
 	serviceCPUs       float64
-	waited            time.Duration // of every job
+	waited            time.Duration // waiting time of every job
 	lastAttemptNumber uint64
-	runningScans      int      // at what runs on a machine
-	actions           []string // actions, in order
+	runningScans      int      // calls of AppendRunning
+	actions           []string // actions of the round, in order
 }
 
 func newTestCluster(t *testing.T, machines ...*testMachine) *testCluster {
@@ -75,7 +75,7 @@
 	return append(list, m.running...)
 }
 
-// State is that of a job of which nothing has begun, unless a test says otherwise.
+// State returns the state of a job without attempts, unless the test has set another.
 func (c *testCluster) State(j *storage.Job) JobState {
 	if c.states[j] == nil {
 		c.states[j] = &JobState{Remaining: j.Tasks, AttemptsByZone: make([]int, 4)}
@@ -114,16 +114,16 @@
 func (c *testCluster) Place(j *storage.Job, task int, m *testMachine, number uint64) {
 	c.updateCounts(j, task, m, 1)
 	m.free.Subtract(j)
-	c.actions = append(c.actions, fmt.Sprintf("%s to %s as %d", protocol.TaskName(j.ID, task), m.name, number))
+	c.actions = append(c.actions, fmt.Sprintf("place %s on %s, attempt %d", protocol.TaskName(j.ID, task), m.name, number))
 }
 
 func (c *testCluster) Unplace(j *storage.Job, task int, m *testMachine) {
 	c.updateCounts(j, task, m, -1)
 	m.free.Add(j)
-	c.actions = append(c.actions, fmt.Sprintf("%s not to %s", protocol.TaskName(j.ID, task), m.name))
+	c.actions = append(c.actions, fmt.Sprintf("unplace %s from %s", protocol.TaskName(j.ID, task), m.name))
 }
 
-// updateCounts keeps the sums of a job when an attempt begins or ends.
+// updateCounts updates the counters of a job when an attempt is placed or unplaced.
 func (c *testCluster) updateCounts(j *storage.Job, task int, m *testMachine, change int) {
 	c.State(j)
 	state := c.states[j]
@@ -133,7 +133,7 @@
 }
 
 func (c *testCluster) Preempt(m *testMachine, victims []Running, pending *storage.Job) {
-	action := "on " + m.name + " for " + pending.ID + ":"
+	action := "preempt on " + m.name + " for " + pending.ID + ":"
 	for _, victim := range victims {
 		action += " " + protocol.TaskName(victim.Job.ID, victim.Task)
 		for i := range m.running {
@@ -145,30 +145,30 @@
 	c.actions = append(c.actions, action)
 }
 
-// runRound places the jobs and reports what the round does.
+// runRound runs a round for the jobs and returns its result.
 func (c *testCluster) runRound(jobs []Candidate) (placed bool) {
 	wall := time.UnixMilli(c.waited.Milliseconds())
 	return NewRound(RoundConfig[*testMachine]{Fleet: c, Jobs: c, Teams: c, Actions: c, Wall: wall}).Run(jobs)
 }
 
-// checkRound has a round for the jobs and compares what it did.
+// checkRound runs a round for the jobs and compares its actions with want.
 func (c *testCluster) checkRound(name string, jobs []Candidate, want ...string) (placed bool) {
 	c.t.Helper()
 	placed = c.runRound(jobs)
 	if !slices.Equal(c.actions, want) {
-		c.t.Errorf("%s:\n%q, not\n%q", name, c.actions, want)
+		c.t.Errorf("%s: actions\n%q, want\n%q", name, c.actions, want)
 	}
 	return placed
 }
 
-// Priorities of test jobs, the highest first.
+// Priorities of test jobs, highest first.
 const (
 	urgent     = "urgent" // rank 1
 	normal     = "normal" // rank 2
 	bestEffort = "best_effort"
 )
 
-// testJob is a job of a team whose tasks take a CPU and a GB each.
+// testJob returns an array of a team whose tasks use 1 CPU and 1 GB of memory each.
 func testJob(id string, team, tasks int, change ...func(*storage.Job)) *storage.Job {
 	j := &storage.Job{
 		JobSpec:   protocol.JobSpec{ID: id, Kind: protocol.KindArray, Priority: normal, Tasks: tasks, CPUs: 1, MemoryGB: 1},
@@ -181,7 +181,7 @@
 	return j
 }
 
-// What tests change of a job.
+// Modifications of a test job.
 func gang(j *storage.Job)    { j.Kind = protocol.KindGang }
 func service(j *storage.Job) { j.Kind = protocol.KindService }
 func oneZone(j *storage.Job) { j.OneZone = true }
@@ -195,7 +195,7 @@
 	return func(j *storage.Job) { j.CPUs = cpus }
 }
 
-// candidates are jobs in the order given, each with its own rank.
+// candidates returns jobs as candidates in the given order, each with its own rank.
 func candidates(jobs ...*storage.Job) (list []Candidate) {
 	for _, j := range jobs {
 		list = append(list, Candidate{Job: j, Rank: j.Rank()})
@@ -203,12 +203,12 @@
 	return list
 }
 
-// runningAttempt is an attempt at the first task of a job, of an age.
+// runningAttempt returns an attempt of the given age at the first task of a job.
 func runningAttempt(j *storage.Job, age time.Duration) Running {
 	return Running{Job: j, Number: 1, Rank: j.Rank(), Age: age}
 }
 
-// machineWithFree is a machine with a number of free CPUs and memory for any task.
+// machineWithFree returns a machine with the given free CPUs and enough memory for any task.
 func machineWithFree(name string, zone int, cpus float64, running ...Running) *testMachine {
 	return &testMachine{name: name, zone: zone, free: Resources{CPUs: cpus, MemoryGB: 100}, running: running}
 }
--- a/internal/coordination/placement/preemption_test.go
+++ b/internal/coordination/placement/preemption_test.go
@@ -7,39 +7,39 @@
 	"rockrun/internal/storage"
 )
 
-// TestMayPreempt: who may stop whom, each rule alone. The pending job of team 0 is within
-// its guarantee, the victim of team 1 borrows.
+// TestMayPreempt checks each preemption rule on its own. By default, the pending job of team
+// 0 is within its guarantee, and the victim's team 1 borrows.
 func TestMayPreempt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(pending *Candidate, victim *Running, cluster *testCluster)
 		want   bool
 	}{
-		{"borrowed share gives way to a guarantee", func(*Candidate, *Running, *testCluster) {}, true},
-		{"a higher priority needs no guarantee", func(pending *Candidate, _ *Running, cluster *testCluster) {
+		{"guarantee reclaims borrowed quota", func(*Candidate, *Running, *testCluster) {}, true},
+		{"higher priority without a guarantee", func(pending *Candidate, _ *Running, cluster *testCluster) {
 			pending.Job.Priority, pending.WithinGuarantee, cluster.teamsBorrow = urgent, false, false
 		}, true},
-		{"nor does it spare services", func(pending *Candidate, victim *Running, _ *testCluster) {
+		{"higher priority preempts a service", func(pending *Candidate, victim *Running, _ *testCluster) {
 			pending.Job.Priority = urgent
 			service(victim.Job)
 		}, true},
-		{"nor its own team", func(pending *Candidate, victim *Running, _ *testCluster) {
+		{"higher priority preempts its own team", func(pending *Candidate, victim *Running, _ *testCluster) {
 			pending.Job.Priority, victim.Job.TeamIndex = urgent, 0
 		}, true},
-		{"a higher priority that it has from a dependent stops nothing", func(pending *Candidate, _ *Running, _ *testCluster) {
+		{"higher priority of a dependent does not preempt", func(pending *Candidate, _ *Running, _ *testCluster) {
 			pending.Rank, pending.WithinGuarantee = 0, false
 		}, false},
-		{"the priority of a dependent protects", func(pending *Candidate, victim *Running, _ *testCluster) {
+		{"priority of a dependent protects the victim", func(pending *Candidate, victim *Running, _ *testCluster) {
 			pending.Job.Priority, victim.Rank = urgent, 1
 			pending.Rank, pending.WithinGuarantee = 1, false
 		}, false},
-		{"an equal priority without a guarantee", func(pending *Candidate, _ *Running, _ *testCluster) { pending.WithinGuarantee = false }, false},
-		{"the same team", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Job.TeamIndex = 0 }, false},
-		{"a service", func(_ *Candidate, victim *Running, _ *testCluster) { service(victim.Job) }, false},
-		{"within its own guarantee", func(_ *Candidate, victim *Running, _ *testCluster) { victim.WithinGuarantee = true }, false},
-		{"starved before", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Starved = true }, false},
-		{"goes before the pending job in order", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Rank = 1 }, false},
-		{"its team would fall below its guarantee", func(_ *Candidate, _ *Running, cluster *testCluster) { cluster.teamsBorrow = false }, false},
+		{"equal priority without a guarantee", func(pending *Candidate, _ *Running, _ *testCluster) { pending.WithinGuarantee = false }, false},
+		{"victim of the same team", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Job.TeamIndex = 0 }, false},
+		{"victim is a service", func(_ *Candidate, victim *Running, _ *testCluster) { service(victim.Job) }, false},
+		{"victim within its own guarantee", func(_ *Candidate, victim *Running, _ *testCluster) { victim.WithinGuarantee = true }, false},
+		{"victim was starved", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Starved = true }, false},
+		{"victim has a higher effective priority", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Rank = 1 }, false},
+		{"victim's team would fall below its guarantee", func(_ *Candidate, _ *Running, cluster *testCluster) { cluster.teamsBorrow = false }, false},
 	} {
 		cluster := newTestCluster(t)
 		cluster.teamsBorrow = true
@@ -52,18 +52,18 @@
 	}
 }
 
-// TestPreemptionPossible: when machines are looked at at all.
+// TestPreemptionPossible checks when machines are searched for victims.
 func TestPreemptionPossible(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
 		lower, guaranteed, other bool
 		want                     bool
 	}{
-		{"nothing runs", false, false, false, false},
-		{"something of a lower priority runs", true, false, false, true},
-		{"another team borrows from a guarantee", false, true, true, true},
-		{"another team borrows, but not from a guarantee", false, false, true, false},
-		{"nobody borrows", false, true, false, false},
+		{"nothing running", false, false, false, false},
+		{"attempt of a lower priority running", true, false, false, true},
+		{"another team borrows, job within its guarantee", false, true, true, true},
+		{"another team borrows, job beyond its guarantee", false, false, true, false},
+		{"no team borrows", false, true, false, false},
 	} {
 		cluster := newTestCluster(t)
 		cluster.teamsBorrow = c.other
@@ -77,25 +77,26 @@
 	}
 }
 
-// TestPreemptsNoMoreThan: when a look in vain for one job is one for another, too.
+// TestPreemptsNoMoreThan checks when a failed search for victims for the other job rules out
+// the search for the first job.
 func TestPreemptsNoMoreThan(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(c, other *Candidate)
 		want   bool
 	}{
-		{"equal", func(*Candidate, *Candidate) {}, true},
-		{"it takes less", func(_, other *Candidate) { other.Job.CPUs = 2 }, false},
-		{"its own priority is higher", func(c, _ *Candidate) { c.Job.Priority = urgent }, false},
-		{"it goes first for a dependent", func(c, _ *Candidate) { c.Rank = 1 }, false},
-		{"it is spread", func(c, _ *Candidate) { spread(c.Job) }, false},
-		{"the other is spread", func(_, other *Candidate) { spread(other.Job) }, false},
-		{"the other is bound to one zone", func(_, other *Candidate) { oneZone(other.Job) }, false},
-		{"it is bound to one zone", func(c, _ *Candidate) { oneZone(c.Job) }, true},
-		{"only it has a guarantee", func(c, _ *Candidate) { c.WithinGuarantee = true }, false},
-		{"only the other has", func(_, other *Candidate) { other.WithinGuarantee = true }, true},
-		{"both have, of one team", func(c, other *Candidate) { c.WithinGuarantee, other.WithinGuarantee = true, true }, true},
-		{"both have, of two teams", func(c, other *Candidate) {
+		{"equal jobs", func(*Candidate, *Candidate) {}, true},
+		{"first uses less CPU", func(_, other *Candidate) { other.Job.CPUs = 2 }, false},
+		{"own priority of the first is higher", func(c, _ *Candidate) { c.Job.Priority = urgent }, false},
+		{"first has a dependent with a higher priority", func(c, _ *Candidate) { c.Rank = 1 }, false},
+		{"first is spread", func(c, _ *Candidate) { spread(c.Job) }, false},
+		{"other is spread", func(_, other *Candidate) { spread(other.Job) }, false},
+		{"other is a one-zone job", func(_, other *Candidate) { oneZone(other.Job) }, false},
+		{"first is a one-zone job", func(c, _ *Candidate) { oneZone(c.Job) }, true},
+		{"only the first is within its guarantee", func(c, _ *Candidate) { c.WithinGuarantee = true }, false},
+		{"only the other is within its guarantee", func(_, other *Candidate) { other.WithinGuarantee = true }, true},
+		{"both within the guarantee of one team", func(c, other *Candidate) { c.WithinGuarantee, other.WithinGuarantee = true, true }, true},
+		{"both within the guarantees of two teams", func(c, other *Candidate) {
 			c.WithinGuarantee, other.WithinGuarantee, other.Job.TeamIndex = true, true, 1
 		}, false},
 	} {
@@ -107,7 +108,7 @@
 	}
 }
 
-// TestPreempt: what is stopped, and where, for a task of an urgent job that takes 2 CPUs.
+// TestPreempt checks which attempts are stopped for a task of an urgent job that uses 2 CPUs.
 func TestPreempt(t *testing.T) {
 	low := func(id string, cpus float64) *storage.Job {
 		return testJob(id, 1, 1, priority(bestEffort), withCPUs(cpus))
@@ -121,35 +122,35 @@
 		machines []*testMachine
 		want     []string
 	}{
-		{"the latest first, and no more than it takes",
+		{"latest start first, and only as many as needed",
 			[]*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("old", 2), time.Minute), runningAttempt(low("new", 2), time.Second))},
-			[]string{"on m-1 for run-1: new/0"}},
-		{"the lowest priority first, however long it has run",
+			[]string{"preempt on m-1 for run-1: new/0"}},
+		{"lowest priority first, regardless of run time",
 			[]*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(testJob("new", 1, 1, withCPUs(2)), time.Second), runningAttempt(low("old", 2), time.Minute))},
-			[]string{"on m-1 for run-1: old/0"}},
-		{"several on a machine", []*testMachine{machineWithFree("m-1", 0, 0.5, runningAttempt(low("a", 1), 1), runningAttempt(low("b", 1), 2), runningAttempt(low("c", 1), 3))},
-			[]string{"on m-1 for run-1: a/0 b/0"}},
-		{"where the least work is lost",
+			[]string{"preempt on m-1 for run-1: old/0"}},
+		{"several victims on a machine", []*testMachine{machineWithFree("m-1", 0, 0.5, runningAttempt(low("a", 1), 1), runningAttempt(low("b", 1), 2), runningAttempt(low("c", 1), 3))},
+			[]string{"preempt on m-1 for run-1: a/0 b/0"}},
+		{"machine with the least lost work",
 			[]*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("old", 2), time.Minute)), machineWithFree("m-2", 0, 0, runningAttempt(low("new", 2), time.Second))},
-			[]string{"on m-2 for run-1: new/0"}},
-		{"the first of equals",
+			[]string{"preempt on m-2 for run-1: new/0"}},
+		{"first machine among equal costs",
 			[]*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 2), time.Second)), machineWithFree("m-2", 0, 0, runningAttempt(low("b", 2), time.Second))},
-			[]string{"on m-1 for run-1: a/0"}},
-		{"nothing where a stop under way leaves the room",
+			[]string{"preempt on m-1 for run-1: a/0"}},
+		{"no victim where a stopping attempt frees enough",
 			[]*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 2), time.Second)), machineWithFree("m-2", 0, 0, stopping(runningAttempt(low("b", 2), time.Minute)))},
-			[]string{"on m-2 for run-1:"}},
-		{"nothing where all is not enough", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 1), time.Second))}, nil},
-		{"nothing that may not be stopped", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 0.5), 1), runningAttempt(testJob("b", 1, 1, priority(urgent), withCPUs(4)), 1))}, nil},
-		{"nothing on a machine that takes no tasks", []*testMachine{
+			[]string{"preempt on m-2 for run-1:"}},
+		{"none where all victims together free too little", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 1), time.Second))}, nil},
+		{"none where the priority forbids it", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 0.5), 1), runningAttempt(testJob("b", 1, 1, priority(urgent), withCPUs(4)), 1))}, nil},
+		{"none on a machine that is not schedulable", []*testMachine{
 			{name: "m-1", free: Resources{MemoryGB: 100}, unschedulable: true, running: []Running{runningAttempt(low("a", 2), 1)}},
 		}, nil},
-		{"nothing on a machine of another shard", []*testMachine{
+		{"none on a machine of another shard", []*testMachine{
 			{name: "m-1", free: Resources{MemoryGB: 100}, shard: 1, running: []Running{runningAttempt(low("a", 2), 1)}},
 		}, nil},
 	} {
 		cluster := newTestCluster(t, c.machines...)
 		if cluster.checkRound(c.name, candidates(testJob("run-1", 0, 1, priority(urgent), withCPUs(2))), c.want...) {
-			t.Errorf("%s: it counts as placed", c.name)
+			t.Errorf("%s: preemption counted as a placement", c.name)
 		}
 	}
 }
