--- a/internal/coordination/placement/fleet_test.go
+++ b/internal/coordination/placement/fleet_test.go
@@ -20,8 +20,8 @@
 	unschedulable bool
 	booting       bool
 	listedTask    string // name of a task that the agent lists, as returned by protocol.TaskName
-	traits        Machine
-	running       []Running
+	traits        MachineTraits
+	running       []RunningAttempt
 }
 
 // testCluster implements Fleet, Jobs, Teams and Actions. As with the reconciler, placements
@@ -63,14 +63,14 @@
 	return m.listedTask == protocol.TaskName(j.ID, task)
 }
 
-func (c *testCluster) Describe(m *testMachine, _ *storage.Job) Machine {
+func (c *testCluster) Describe(m *testMachine, _ *storage.Job) MachineTraits {
 	traits := m.traits
 	traits.Type = &protocol.MachineType{CPUs: 8}
 	traits.UsedCPUs = 8 - m.free.CPUs
 	return traits
 }
 
-func (c *testCluster) AppendRunning(list []Running, m *testMachine) []Running {
+func (c *testCluster) AppendRunning(list []RunningAttempt, m *testMachine) []RunningAttempt {
 	c.runningScans++
 	return append(list, m.running...)
 }
@@ -104,7 +104,7 @@
 
 func (c *testCluster) RunsBelow(rank int) bool {
 	for _, m := range c.machines {
-		if slices.ContainsFunc(m.running, func(r Running) bool { return r.Job.Rank() > rank }) {
+		if slices.ContainsFunc(m.running, func(r RunningAttempt) bool { return r.Job.Rank() > rank }) {
 			return true
 		}
 	}
@@ -132,7 +132,7 @@
 	c.placedTasks[protocol.TaskName(j.ID, task)] = change > 0
 }
 
-func (c *testCluster) Preempt(m *testMachine, victims []Running, pending *storage.Job) {
+func (c *testCluster) Preempt(m *testMachine, victims []RunningAttempt, pending *storage.Job) {
 	action := "preempt on " + m.name + " for " + pending.ID + ":"
 	for _, victim := range victims {
 		action += " " + protocol.TaskName(victim.Job.ID, victim.Task)
@@ -204,11 +204,11 @@
 }
 
 // runningAttempt returns an attempt of the given age at the first task of a job.
-func runningAttempt(j *storage.Job, age time.Duration) Running {
-	return Running{Job: j, Number: 1, Rank: j.Rank(), Age: age}
+func runningAttempt(j *storage.Job, age time.Duration) RunningAttempt {
+	return RunningAttempt{Job: j, Number: 1, Rank: j.Rank(), Age: age}
 }
 
 // machineWithFree returns a machine with the given free CPUs and enough memory for any task.
-func machineWithFree(name string, zone int, cpus float64, running ...Running) *testMachine {
+func machineWithFree(name string, zone int, cpus float64, running ...RunningAttempt) *testMachine {
 	return &testMachine{name: name, zone: zone, free: Resources{CPUs: cpus, MemoryGB: 100}, running: running}
 }
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -26,15 +26,15 @@
 	// task. The agent would reject another attempt at it.
 	ListsTask(machine M, j *storage.Job, task int) bool
 	// Describe returns the properties by which the machine is scored for a task of the job.
-	Describe(machine M, j *storage.Job) Machine
+	Describe(machine M, j *storage.Job) MachineTraits
 	// ServiceCPUs returns the CPUs of all service replicas on all machines.
 	ServiceCPUs() float64
 	// AppendRunning appends the attempts that may be on the machine to list.
-	AppendRunning(list []Running, machine M) []Running
+	AppendRunning(list []RunningAttempt, machine M) []RunningAttempt
 }
 
-// Machine holds the properties by which a machine is scored for a task.
-type Machine struct {
+// MachineTraits holds the properties by which a machine is scored for a task.
+type MachineTraits struct {
 	Type        *protocol.MachineType
 	Spot        bool
 	Slow        bool    // runs tasks much more slowly than other machines
@@ -69,7 +69,7 @@
 
 // Score returns the score of the machine for a task of the job. serviceCPUs is the CPUs of
 // all service replicas on all machines.
-func (m *Machine) Score(j *storage.Job, serviceCPUs float64) float64 {
+func (m *MachineTraits) Score(j *storage.Job, serviceCPUs float64) float64 {
 	score := 0.0
 	if m.Slow {
 		score -= slowPenalty
--- a/internal/coordination/placement/machine_test.go
+++ b/internal/coordination/placement/machine_test.go
@@ -17,23 +17,23 @@
 	for _, c := range []struct {
 		name          string
 		job           *storage.Job
-		better, worse Machine
+		better, worse MachineTraits
 	}{
-		{"slow machine is the last resort", arrayJob, Machine{}, Machine{Slow: true, Spot: true, ImageCached: true, UsedCPUs: 7}},
-		{"spot before on-demand", arrayJob, Machine{Spot: true}, Machine{ImageCached: true, UsedCPUs: 7}},
-		{"cached image before fuller machine", arrayJob, Machine{ImageCached: true}, Machine{UsedCPUs: 7}},
-		{"fuller machine", arrayJob, Machine{UsedCPUs: 5}, Machine{UsedCPUs: 4}},
-		{"unknown fetch rate has no penalty", arrayJob, Machine{}, Machine{Type: quick}},
-		{"shorter image fetch", arrayJob, Machine{Type: &protocol.MachineType{CPUs: 8, FetchGBPS: 2}}, Machine{Type: quick}},
-		{"much fuller machine before shorter image fetch", arrayJob, Machine{Type: quick, UsedCPUs: 7}, Machine{}},
+		{"slow machine is the last resort", arrayJob, MachineTraits{}, MachineTraits{Slow: true, Spot: true, ImageCached: true, UsedCPUs: 7}},
+		{"spot before on-demand", arrayJob, MachineTraits{Spot: true}, MachineTraits{ImageCached: true, UsedCPUs: 7}},
+		{"cached image before fuller machine", arrayJob, MachineTraits{ImageCached: true}, MachineTraits{UsedCPUs: 7}},
+		{"fuller machine", arrayJob, MachineTraits{UsedCPUs: 5}, MachineTraits{UsedCPUs: 4}},
+		{"unknown fetch rate has no penalty", arrayJob, MachineTraits{}, MachineTraits{Type: quick}},
+		{"shorter image fetch", arrayJob, MachineTraits{Type: &protocol.MachineType{CPUs: 8, FetchGBPS: 2}}, MachineTraits{Type: quick}},
+		{"much fuller machine before shorter image fetch", arrayJob, MachineTraits{Type: quick, UsedCPUs: 7}, MachineTraits{}},
 		{"fetch penalty is capped", arrayJob,
-			Machine{Type: &protocol.MachineType{CPUs: 8, FetchGBPS: 1e-6}, UsedCPUs: 1}, Machine{Type: &protocol.MachineType{CPUs: 8, FetchGBPS: 0.25}}},
-		{"replica next to other replicas", serviceJob, Machine{ServiceCPUs: 2}, Machine{UsedCPUs: 7}},
-		{"replica on the machine with more replicas", serviceJob, Machine{ServiceCPUs: 3}, Machine{ServiceCPUs: 2, UsedCPUs: 7}},
-		{"replica not where a quarter of all service CPUs would be exceeded", serviceJob, Machine{}, Machine{ServiceCPUs: 4}},
-		{"replica on a crowded machine with the image before an empty machine", serviceJob, Machine{ServiceCPUs: 4, ImageCached: true}, Machine{}},
+			MachineTraits{Type: &protocol.MachineType{CPUs: 8, FetchGBPS: 1e-6}, UsedCPUs: 1}, MachineTraits{Type: &protocol.MachineType{CPUs: 8, FetchGBPS: 0.25}}},
+		{"replica next to other replicas", serviceJob, MachineTraits{ServiceCPUs: 2}, MachineTraits{UsedCPUs: 7}},
+		{"replica on the machine with more replicas", serviceJob, MachineTraits{ServiceCPUs: 3}, MachineTraits{ServiceCPUs: 2, UsedCPUs: 7}},
+		{"replica not where a quarter of all service CPUs would be exceeded", serviceJob, MachineTraits{}, MachineTraits{ServiceCPUs: 4}},
+		{"replica on a crowded machine with the image before an empty machine", serviceJob, MachineTraits{ServiceCPUs: 4, ImageCached: true}, MachineTraits{}},
 	} {
-		for _, machine := range []*Machine{&c.better, &c.worse} {
+		for _, machine := range []*MachineTraits{&c.better, &c.worse} {
 			if machine.Type == nil {
 				machine.Type = &protocol.MachineType{CPUs: 8}
 			}
@@ -47,7 +47,7 @@
 // TestFirstReplicaIsNotCrowded checks that a machine without replicas has no crowding
 // penalty, even if there are no other replicas.
 func TestFirstReplicaIsNotCrowded(t *testing.T) {
-	empty := Machine{Type: &protocol.MachineType{CPUs: 8}}
+	empty := MachineTraits{Type: &protocol.MachineType{CPUs: 8}}
 	if score := empty.Score(&storage.Job{JobSpec: protocol.JobSpec{Kind: protocol.KindService, CPUs: 1}}, 0); score != 0 {
 		t.Errorf("score %v, want 0", score)
 	}
--- a/internal/coordination/placement/order.go
+++ b/internal/coordination/placement/order.go
@@ -15,9 +15,9 @@
 // rules, large jobs would starve as long as demand exceeds capacity.
 const MaxDelaySeconds = 100.0
 
-// LongLateTurn is the interval, in passes that place a task, at which long-overdue jobs go
+// LongOverduePassInterval is the interval, in passes that place a task, at which long-overdue jobs go
 // first.
-const LongLateTurn = 3
+const LongOverduePassInterval = 3
 
 // minWeightCPUs is the least number of CPUs per task used for a job's weight. It keeps the
 // weight of jobs with almost no CPU request above zero.
--- a/internal/coordination/placement/preemption.go
+++ b/internal/coordination/placement/preemption.go
@@ -8,8 +8,8 @@
 	"rockrun/internal/storage"
 )
 
-// Running is an attempt that may be on a machine.
-type Running struct {
+// RunningAttempt is an attempt that may be on a machine.
+type RunningAttempt struct {
 	Job             *storage.Job
 	Task            int
 	Number          uint64 // attempt number
@@ -33,7 +33,7 @@
 }
 
 // mayPreempt reports whether victim may be stopped to free resources for a pending job.
-func mayPreempt(pending *Candidate, victim *Running, teams Teams) bool {
+func mayPreempt(pending *Candidate, victim *RunningAttempt, teams Teams) bool {
 	// The pending job counts with its own priority, the victim with the highest priority
 	// among its job and the dependents. A low-priority first stage of a pipeline therefore
 	// neither preempts on behalf of its dependents nor is preempted.
@@ -79,7 +79,7 @@
 // preemption is a plan to stop attempts on a machine so that a pending task fits.
 type preemption[M comparable] struct {
 	machine   M
-	victims   []Running
+	victims   []RunningAttempt
 	remaining Resources // free resources of the machine once the victims have stopped
 	cost      float64
 }
@@ -156,7 +156,7 @@
 
 // compareVictims orders attempts by which to stop first: the lowest priority of the job
 // itself, then the latest start, because it loses the least work.
-func compareVictims(a, b Running) int {
+func compareVictims(a, b RunningAttempt) int {
 	return cmp.Or(
 		cmp.Compare(b.Job.Rank(), a.Job.Rank()),
 		cmp.Compare(a.Age, b.Age),
@@ -167,6 +167,6 @@
 
 // preemptionCost returns the cost of stopping an attempt: the work lost in CPU seconds, plus
 // 1 for the stop itself.
-func preemptionCost(victim *Running) float64 {
+func preemptionCost(victim *RunningAttempt) float64 {
 	return 1 + victim.Job.CPUs*victim.Age.Seconds()
 }
--- a/internal/coordination/placement/preemption_test.go
+++ b/internal/coordination/placement/preemption_test.go
@@ -12,34 +12,34 @@
 func TestMayPreempt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(pending *Candidate, victim *Running, cluster *testCluster)
+		change func(pending *Candidate, victim *RunningAttempt, cluster *testCluster)
 		want   bool
 	}{
-		{"guarantee reclaims borrowed quota", func(*Candidate, *Running, *testCluster) {}, true},
-		{"higher priority without a guarantee", func(pending *Candidate, _ *Running, cluster *testCluster) {
+		{"guarantee reclaims borrowed quota", func(*Candidate, *RunningAttempt, *testCluster) {}, true},
+		{"higher priority without a guarantee", func(pending *Candidate, _ *RunningAttempt, cluster *testCluster) {
 			pending.Job.Priority, pending.WithinGuarantee, cluster.teamsBorrow = urgent, false, false
 		}, true},
-		{"higher priority preempts a service", func(pending *Candidate, victim *Running, _ *testCluster) {
+		{"higher priority preempts a service", func(pending *Candidate, victim *RunningAttempt, _ *testCluster) {
 			pending.Job.Priority = urgent
 			service(victim.Job)
 		}, true},
-		{"higher priority preempts its own team", func(pending *Candidate, victim *Running, _ *testCluster) {
+		{"higher priority preempts its own team", func(pending *Candidate, victim *RunningAttempt, _ *testCluster) {
 			pending.Job.Priority, victim.Job.TeamIndex = urgent, 0
 		}, true},
-		{"higher priority of a dependent does not preempt", func(pending *Candidate, _ *Running, _ *testCluster) {
+		{"higher priority of a dependent does not preempt", func(pending *Candidate, _ *RunningAttempt, _ *testCluster) {
 			pending.Rank, pending.WithinGuarantee = 0, false
 		}, false},
-		{"priority of a dependent protects the victim", func(pending *Candidate, victim *Running, _ *testCluster) {
+		{"priority of a dependent protects the victim", func(pending *Candidate, victim *RunningAttempt, _ *testCluster) {
 			pending.Job.Priority, victim.Rank = urgent, 1
 			pending.Rank, pending.WithinGuarantee = 1, false
 		}, false},
-		{"equal priority without a guarantee", func(pending *Candidate, _ *Running, _ *testCluster) { pending.WithinGuarantee = false }, false},
-		{"victim of the same team", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Job.TeamIndex = 0 }, false},
-		{"victim is a service", func(_ *Candidate, victim *Running, _ *testCluster) { service(victim.Job) }, false},
-		{"victim within its own guarantee", func(_ *Candidate, victim *Running, _ *testCluster) { victim.WithinGuarantee = true }, false},
-		{"victim was starved", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Starved = true }, false},
-		{"victim has a higher effective priority", func(_ *Candidate, victim *Running, _ *testCluster) { victim.Rank = 1 }, false},
-		{"victim's team would fall below its guarantee", func(_ *Candidate, _ *Running, cluster *testCluster) { cluster.teamsBorrow = false }, false},
+		{"equal priority without a guarantee", func(pending *Candidate, _ *RunningAttempt, _ *testCluster) { pending.WithinGuarantee = false }, false},
+		{"victim of the same team", func(_ *Candidate, victim *RunningAttempt, _ *testCluster) { victim.Job.TeamIndex = 0 }, false},
+		{"victim is a service", func(_ *Candidate, victim *RunningAttempt, _ *testCluster) { service(victim.Job) }, false},
+		{"victim within its own guarantee", func(_ *Candidate, victim *RunningAttempt, _ *testCluster) { victim.WithinGuarantee = true }, false},
+		{"victim was starved", func(_ *Candidate, victim *RunningAttempt, _ *testCluster) { victim.Starved = true }, false},
+		{"victim has a higher effective priority", func(_ *Candidate, victim *RunningAttempt, _ *testCluster) { victim.Rank = 1 }, false},
+		{"victim's team would fall below its guarantee", func(_ *Candidate, _ *RunningAttempt, cluster *testCluster) { cluster.teamsBorrow = false }, false},
 	} {
 		cluster := newTestCluster(t)
 		cluster.teamsBorrow = true
@@ -113,7 +113,7 @@
 	low := func(id string, cpus float64) *storage.Job {
 		return testJob(id, 1, 1, priority(bestEffort), withCPUs(cpus))
 	}
-	stopping := func(r Running) Running {
+	stopping := func(r RunningAttempt) RunningAttempt {
 		r.Stopping = true
 		return r
 	}
@@ -142,10 +142,10 @@
 		{"none where all victims together free too little", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 1), time.Second))}, nil},
 		{"none where the priority forbids it", []*testMachine{machineWithFree("m-1", 0, 0, runningAttempt(low("a", 0.5), 1), runningAttempt(testJob("b", 1, 1, priority(urgent), withCPUs(4)), 1))}, nil},
 		{"none on a machine that is not schedulable", []*testMachine{
-			{name: "m-1", free: Resources{MemoryGB: 100}, unschedulable: true, running: []Running{runningAttempt(low("a", 2), 1)}},
+			{name: "m-1", free: Resources{MemoryGB: 100}, unschedulable: true, running: []RunningAttempt{runningAttempt(low("a", 2), 1)}},
 		}, nil},
 		{"none on a machine of another shard", []*testMachine{
-			{name: "m-1", free: Resources{MemoryGB: 100}, shard: 1, running: []Running{runningAttempt(low("a", 2), 1)}},
+			{name: "m-1", free: Resources{MemoryGB: 100}, shard: 1, running: []RunningAttempt{runningAttempt(low("a", 2), 1)}},
 		}, nil},
 	} {
 		cluster := newTestCluster(t, c.machines...)
--- a/internal/coordination/placement/round.go
+++ b/internal/coordination/placement/round.go
@@ -36,7 +36,7 @@
 	// Unplace undoes Place within the same round.
 	Unplace(j *storage.Job, task int, machine M)
 	// Preempt requests the stop of attempts on a machine for a pending job.
-	Preempt(machine M, victims []Running, pending *storage.Job)
+	Preempt(machine M, victims []RunningAttempt, pending *storage.Job)
 }
 
 // RoundConfig holds the inputs of a round.
@@ -55,9 +55,9 @@
 	availableMachines []M             // machines with free resources for the smallest task
 	unreserved        map[M]Resources // by machine with a preemption in this round: free resources that no task has reserved
 	placed            bool
-	unplaceable       []*storage.Job // no machine can run these jobs, nor any job that dominates one of them
-	failedPreemptions []*Candidate   // no preemption was found for these jobs
-	scratch           []Running      // buffer for the attempts of one machine
+	unplaceable       []*storage.Job   // no machine can run these jobs, nor any job that dominates one of them
+	failedPreemptions []*Candidate     // no preemption was found for these jobs
+	scratch           []RunningAttempt // buffer for the attempts of one machine
 }
 
 // NewRound returns a round that has not run yet.
--- a/internal/coordination/reconcile/pending_jobs.go
+++ b/internal/coordination/reconcile/pending_jobs.go
@@ -30,7 +30,7 @@
 		progress.starved = progress.starved || candidate.Starved
 		list = append(list, candidate)
 	}
-	placement.Sort(list, r.placingPasses%placement.LongLateTurn == placement.LongLateTurn-1)
+	placement.Sort(list, r.placingPasses%placement.LongOverduePassInterval == placement.LongOverduePassInterval-1)
 	return list
 }
 
--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -94,8 +94,8 @@
 }
 
 // Describe returns the properties of a machine that determine its score for a job.
-func (p *placer) Describe(agent *agent, job *storage.Job) placement.Machine {
-	return placement.Machine{
+func (p *placer) Describe(agent *agent, job *storage.Job) placement.MachineTraits {
+	return placement.MachineTraits{
 		Type:        &p.reconciler.View.MachineTypes[agent.machine.TypeIndex],
 		Spot:        agent.machine.Spot,
 		Slow:        agent.health.slow(),
@@ -109,12 +109,12 @@
 func (p *placer) ServiceCPUs() float64 { return p.reconciler.usage.serviceCPUs }
 
 // AppendRunning appends the attempts that may still run on a machine to a list.
-func (p *placer) AppendRunning(list []placement.Running, agent *agent) []placement.Running {
+func (p *placer) AppendRunning(list []placement.RunningAttempt, agent *agent) []placement.RunningAttempt {
 	for _, attempt := range agent.attempts {
 		if !attempt.live() {
 			continue
 		}
-		list = append(list, placement.Running{
+		list = append(list, placement.RunningAttempt{
 			Job:             attempt.job,
 			Task:            attempt.task,
 			Number:          attempt.number,
@@ -202,7 +202,7 @@
 
 // Preempt requests stops of attempts on a machine for a pending job. Victims that can save
 // their progress get the time to do so.
-func (p *placer) Preempt(agent *agent, victims []placement.Running, waiting *storage.Job) {
+func (p *placer) Preempt(agent *agent, victims []placement.RunningAttempt, waiting *storage.Job) {
 	for _, victim := range victims {
 		agent.needsAttention = true
 		a := agent.attempts[storage.TaskRef{Job: victim.Job.Index, Task: victim.Task}]
