--- a/internal/coordination/jobs/cancel.go
+++ b/internal/coordination/jobs/cancel.go
@@ -8,23 +8,24 @@
 	"rockrun/internal/storage"
 )
 
-// cancelAttempts is how often a cancellation is tried where the job changes meanwhile.
-const cancelAttempts = 3
+// maxCancelAttempts bounds the attempts at a cancellation that conflicts with concurrent
+// changes of the job.
+const maxCancelAttempts = 3
 
-// Cancel cancels a job. Removing the record of the unfinished job under its version and
-// writing the final one is a single transaction, as it is for a job that completes, so
-// only one of the two can ever happen.
+// Cancel cancels a job. A single transaction, with the version of the job's record as its
+// precondition, removes that record and writes the final record. A job that completes ends
+// with the same kind of transaction, so only one of the two can succeed.
 func (s *Service) Cancel(id string, reply func(api.Answer)) {
 	if err := s.checkRequest(id); err != nil {
 		reply(api.FromError(err))
 		return
 	}
-	s.tryCancel(id, cancelAttempts, reply)
+	s.tryCancel(id, maxCancelAttempts, reply)
 }
 
-// tryCancel makes one attempt, and the others if that one fails.
-func (s *Service) tryCancel(id string, attempts int, reply func(api.Answer)) {
-	if final, ended := s.finals.get(id); ended {
+// tryCancel makes one attempt, and retries on a conflict while attempts are left.
+func (s *Service) tryCancel(id string, attemptsLeft int, reply func(api.Answer)) {
+	if final, ended := s.finalRecords.get(id); ended {
 		reply(receipt(id, final.Stage))
 		return
 	}
@@ -33,15 +34,15 @@
 		case err != nil:
 			reply(api.FromError(storeError(id, err)))
 		case found:
-			s.cancelUnfinished(id, record.Version, attempts, reply)
+			s.cancelUnfinished(id, record.Version, attemptsLeft, reply)
 		default:
 			s.answerCancelOfEnded(id, reply)
 		}
 	})
 }
 
-// cancelUnfinished ends a job under the version of its record.
-func (s *Service) cancelUnfinished(id string, version uint64, attempts int, reply func(api.Answer)) {
+// cancelUnfinished ends a job, with the version of its record as the precondition.
+func (s *Service) cancelUnfinished(id string, version uint64, attemptsLeft int, reply func(api.Answer)) {
 	final := storage.FinalRecord{Stage: protocol.StageCancelled, EndedAtMS: s.Generation.Wall().UnixMilli()}
 	s.Committer.Budget.TakeAnyway(s.Generation.Now(), 2)
 	s.Committer.Commit(protocol.Transaction{
@@ -52,17 +53,17 @@
 		case err == nil:
 			s.Log.Debug("cancellation confirmed", "job", id, "revision", revision)
 			s.Remember(id, final)
-			s.cancellationConfirmed(id)
+			s.propagateCancellation(id)
 			reply(receipt(id, final.Stage))
-		case errors.Is(err, protocol.ErrConflict) && attempts > 1:
-			s.tryCancel(id, attempts-1, reply)
+		case errors.Is(err, protocol.ErrConflict) && attemptsLeft > 1:
+			s.tryCancel(id, attemptsLeft-1, reply)
 		default:
 			reply(api.FromError(storeError(id, err)))
 		}
 	})
 }
 
-// answerCancelOfEnded answers a cancellation of a job that has no unfinished record.
+// answerCancelOfEnded answers a cancellation of a job that has ended or was never accepted.
 func (s *Service) answerCancelOfEnded(id string, reply func(api.Answer)) {
 	s.lookup(id, func(status *protocol.JobStatus, err error) {
 		switch {
@@ -71,27 +72,28 @@
 		case status.Stage == protocol.StageDone:
 			reply(receipt(id, status.Stage))
 		case status.Stage == protocol.StageCancelled:
-			// The transaction may have been another controller's that never heard how it
-			// ended.
-			s.cancellationConfirmed(id)
+			// Another controller may have committed the cancellation without receiving the
+			// result, so the cancellation may not have been propagated.
+			s.propagateCancellation(id)
 			reply(receipt(id, status.Stage))
 		default:
-			reply(api.FromError(undecided(id)))
+			reply(api.FromError(undecidedError(id)))
 		}
 	})
 }
 
-// cancellationConfirmed sees to it that all controllers hear of a cancellation.
-func (s *Service) cancellationConfirmed(id string) {
+// propagateCancellation applies a confirmed cancellation on this controller and queues a
+// notice of it to every other controller.
+func (s *Service) propagateCancellation(id string) {
 	s.ApplyCancellations([]string{id})
 	s.notices.add(id)
 }
 
-// ApplyCancellations stops what is here of jobs whose cancellation is durable. It is
-// called for what peers tell of, too.
+// ApplyCancellations marks jobs whose cancellation is durable as cancelled and stops their
+// tasks on this controller's machines. It is also called for notices from peers.
 func (s *Service) ApplyCancellations(ids []string) {
 	for _, id := range ids {
-		s.noteCancelledDependents(s.View.MarkCancelled(id))
+		s.recordCancelledDependents(s.View.MarkCancelled(id))
 	}
 	s.Reconciler.StopInactive()
 }
--- a/internal/coordination/jobs/cancel_test.go
+++ b/internal/coordination/jobs/cancel_test.go
@@ -9,96 +9,96 @@
 	"rockrun/internal/storage"
 )
 
-// TestCancel: what a cancellation is answered for everything that a job can be, and
-// whether others are told.
+// TestCancel checks the answer to a cancellation for every state of the job, and that peers
+// and the reconciler are notified exactly when the job is cancelled.
 func TestCancel(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		before func(f *fixture)
-		id     string
-		status int
-		stage  string
-		told   bool
+		name     string
+		before   func(f *fixture)
+		id       string
+		status   int
+		stage    string
+		notified bool
 	}{
 		{"unfinished", func(*fixture) {}, "run-1", http.StatusOK, protocol.StageCancelled, true},
-		{"unfinished, accepted elsewhere", func(f *fixture) { f.acceptElsewhere("run-5", protocol.KindArray) }, "run-5", http.StatusOK, protocol.StageCancelled, true},
-		{"done", func(f *fixture) { f.end("run-5", protocol.StageDone) }, "run-5", http.StatusOK, protocol.StageDone, false},
-		{"cancelled by another controller", func(f *fixture) { f.end("run-5", protocol.StageCancelled) }, "run-5", http.StatusOK, protocol.StageCancelled, true},
-		{"known to be done", func(f *fixture) { f.service.Remember("run-5", storage.FinalRecord{Stage: protocol.StageDone}) }, "run-5", http.StatusOK, protocol.StageDone, false},
+		{"unfinished, not in the view", func(f *fixture) { f.storeUnseenJob("run-5", protocol.KindArray) }, "run-5", http.StatusOK, protocol.StageCancelled, true},
+		{"done, in the store only", func(f *fixture) { f.storeFinalRecord("run-5", protocol.StageDone) }, "run-5", http.StatusOK, protocol.StageDone, false},
+		{"cancelled by another controller", func(f *fixture) { f.storeFinalRecord("run-5", protocol.StageCancelled) }, "run-5", http.StatusOK, protocol.StageCancelled, true},
+		{"done, cached", func(f *fixture) { f.service.Remember("run-5", storage.FinalRecord{Stage: protocol.StageDone}) }, "run-5", http.StatusOK, protocol.StageDone, false},
 		{"never accepted", func(*fixture) {}, "run-5", http.StatusNotFound, "", false},
-		{"store away", func(f *fixture) { f.away = protocol.ErrNotExecuted }, "run-1", http.StatusServiceUnavailable, "", false},
-		{"done meanwhile", func(f *fixture) {
+		{"store unavailable", func(f *fixture) { f.storeErr = protocol.ErrNotExecuted }, "run-1", http.StatusServiceUnavailable, "", false},
+		{"done before the transaction", func(f *fixture) {
 			f.onCommit = func() {
 				f.onCommit = nil
 				f.revision++
 				delete(f.values, storage.JobKey("run-1"))
 				f.view.Remove(storage.JobKey("run-1"), f.revision)
-				f.end("run-1", protocol.StageDone)
+				f.storeFinalRecord("run-1", protocol.StageDone)
 			}
 		}, "run-1", http.StatusOK, protocol.StageDone, false},
-		{"without an outcome", func(f *fixture) { f.onCommit = func() { delete(f.values, storage.JobKey("run-1")) } }, "run-1", http.StatusServiceUnavailable, "", false},
+		{"no final record", func(f *fixture) { f.onCommit = func() { delete(f.values, storage.JobKey("run-1")) } }, "run-1", http.StatusServiceUnavailable, "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			c.before(f)
-			f.expect("answer", f.cancel(c.id), c.status, c.stage)
+			f.expectAnswer("answer", f.cancel(c.id), c.status, c.stage)
 			f.service.Tick()
-			if told := len(f.told["b"]) > 0 && len(f.told["c"]) > 0; told != c.told {
-				t.Errorf("told: %v", f.told)
+			if notified := len(f.notified["b"]) > 0 && len(f.notified["c"]) > 0; notified != c.notified {
+				t.Errorf("cancellations notified: %v; want %t", f.notified, c.notified)
 			}
-			if stopped := f.stops > 0; stopped != c.told {
-				t.Errorf("the reconciler was asked %d times to stop what is cancelled", f.stops)
+			if stopRequested := f.stopCalls > 0; stopRequested != c.notified {
+				t.Errorf("StopInactive called %d times; want a call: %t", f.stopCalls, c.notified)
 			}
 		})
 	}
 }
 
-// TestConfirmedCancellationIsSpread: who confirms a cancellation tells every other
-// controller, again where no answer comes, and keeps no more for one that is away than a
-// bounded number.
-func TestConfirmedCancellationIsSpread(t *testing.T) {
+// TestCancellationNoticeRetry checks that a confirmed cancellation is sent to every other
+// controller, that an unanswered notice is retried after a delay, and that the queue for an
+// unreachable controller is bounded.
+func TestCancellationNoticeRetry(t *testing.T) {
 	f := newFixture(t)
-	f.peerError = protocol.ErrOutcomeUnknown
-	f.service.cancellationConfirmed("run-1")
+	f.peerErr = protocol.ErrOutcomeUnknown
+	f.service.propagateCancellation("run-1")
 	for range 2 {
-		clear(f.told)
+		clear(f.notified)
 		f.service.Tick()
-		if len(f.told["b"]) != 1 || len(f.told["c"]) != 1 {
-			t.Fatalf("told: %v", f.told)
+		if len(f.notified["b"]) != 1 || len(f.notified["c"]) != 1 {
+			t.Fatalf("cancellations notified: %v; want one for each peer", f.notified)
 		}
-		clear(f.told)
+		clear(f.notified)
 		f.service.Tick()
-		if len(f.told) != 0 {
-			t.Fatalf("told again at once: %v", f.told)
+		if len(f.notified) != 0 {
+			t.Fatalf("notices sent again without a delay: %v", f.notified)
 		}
 		f.now += 2 * time.Second
-		f.peerError = nil
+		f.peerErr = nil
 	}
-	clear(f.told)
+	clear(f.notified)
 	f.service.Tick()
-	if len(f.told) != 0 {
-		t.Errorf("told again: %v", f.told)
+	if len(f.notified) != 0 {
+		t.Errorf("answered notices sent again: %v", f.notified)
 	}
-	for i := range 2 * maxNotices {
-		f.service.cancellationConfirmed(protocol.TaskName("run", i))
+	for i := range 2 * maxQueuedNotices {
+		f.service.propagateCancellation(protocol.TaskName("run", i))
 	}
-	if kept := len(f.service.notices.queues[0].jobs); kept != maxNotices {
-		t.Errorf("%d are kept", kept)
+	if queued := len(f.service.notices.queues[0].jobs); queued != maxQueuedNotices {
+		t.Errorf("%d notices queued; want %d", queued, maxQueuedNotices)
 	}
 }
 
-// TestCancellationReachesDependents: the jobs that depend on one that peers say is
-// cancelled are known to be cancelled at once, and a pass is asked for.
-func TestCancellationReachesDependents(t *testing.T) {
+// TestPeerCancellationCancelsDependents checks that a peer's notice of a cancellation also
+// cancels the dependents of the job at once and schedules a reconcile pass.
+func TestPeerCancellationCancelsDependents(t *testing.T) {
 	f := newFixture(t)
 	f.applyJob(protocol.JobSpec{ID: "run-20", Tasks: 1, CPUs: 1, Dependencies: []string{"run-1"}})
-	f.passes = 0
+	f.passRequests = 0
 	f.service.ApplyCancellations([]string{"run-1", "run-77"})
-	if f.stops != 1 || f.passes != 1 {
-		t.Errorf("asked to stop %d times, for a pass %d times", f.stops, f.passes)
+	if f.stopCalls != 1 || f.passRequests != 1 {
+		t.Errorf("StopInactive called %d times, SchedulePass %d times; want 1 each", f.stopCalls, f.passRequests)
 	}
-	f.expect("dependent", f.status("run-20"), http.StatusOK, protocol.StageCancelled)
+	f.expectAnswer("dependent", f.status("run-20"), http.StatusOK, protocol.StageCancelled)
 	if got := f.service.Counters(); got != (Counters{CancelledWithAnother: 1}) {
-		t.Errorf("counted: %+v", got)
+		t.Errorf("counters: %+v", got)
 	}
 }
--- a/internal/coordination/jobs/cancelled_dependents.go
+++ b/internal/coordination/jobs/cancelled_dependents.go
@@ -9,30 +9,32 @@
 	"rockrun/internal/storage"
 )
 
-// operationsPerJob is how many operations end a job, see storage.EndJobOperations.
+// operationsPerJob is the number of operations that end a job, see
+// storage.EndJobOperations.
 const operationsPerJob = 2
 
-// dependentsWriter writes the final records of jobs that are cancelled with a dependency,
-// for one generation.
+// dependentsWriter writes the final records of jobs that are cancelled because a dependency
+// was cancelled. It lasts for one generation.
 type dependentsWriter struct {
 	Config
 	GenerationConfig
-	remember func(job string, final storage.FinalRecord) // told of final records that are durable
-	writes   map[*storage.Job]*loop.Write
+	recordOutcome func(job string, final storage.FinalRecord) // called once a final record is durable
+	writes        map[*storage.Job]*loop.Write
 }
 
-func newDependentsWriter(c Config, g GenerationConfig, remember func(string, storage.FinalRecord)) *dependentsWriter {
-	return &dependentsWriter{Config: c, GenerationConfig: g, remember: remember, writes: map[*storage.Job]*loop.Write{}}
+func newDependentsWriter(c Config, g GenerationConfig, recordOutcome func(string, storage.FinalRecord)) *dependentsWriter {
+	return &dependentsWriter{Config: c, GenerationConfig: g, recordOutcome: recordOutcome, writes: map[*storage.Job]*loop.Write{}}
 }
 
-// write writes what is due, a few jobs to a transaction. Answers follow from the
-// dependencies in the meantime, so nobody waits for these writes, and they never keep new
-// tasks from theirs.
-func (w *dependentsWriter) write() {
+// writeDueRecords writes the final records that are due, several jobs to a transaction.
+// Until they are written, the answers to users are derived from the dependencies, so
+// nothing waits for these writes. They yield to the writes for new tasks: they use only the
+// write budget that a reconcile pass leaves.
+func (w *dependentsWriter) writeDueRecords() {
 	now := w.Generation.Now()
 	var batch []*storage.Job
 	for _, job := range w.View.CancelledDependents() {
-		if !w.due(job, now) {
+		if !w.isDue(job, now) {
 			continue
 		}
 		if !w.Committer.Budget.Take(now, operationsPerJob) {
@@ -54,8 +56,10 @@
 	}
 }
 
-// due reports whether the final record of a job may be written now.
-func (w *dependentsWriter) due(job *storage.Job, now time.Duration) bool {
+// isDue reports whether the final record of a job may be written now: this controller may
+// act for the job's shard, and no earlier write is in progress, in its retry delay or not
+// yet visible in the view.
+func (w *dependentsWriter) isDue(job *storage.Job, now time.Duration) bool {
 	write := w.writes[job]
 	return w.Leases.MayActFor(job.Shard) &&
 		(write == nil || write.Ready(now, w.Replica.Revision()))
@@ -63,37 +67,37 @@
 
 func (w *dependentsWriter) commit(batch []*storage.Job) {
 	final := storage.FinalRecord{Stage: protocol.StageCancelled, EndedAtMS: w.Generation.Wall().UnixMilli()}
-	var t protocol.Transaction
+	var transaction protocol.Transaction
 	for _, job := range batch {
-		t.Conditions = append(t.Conditions, protocol.Condition{Key: storage.JobKey(job.ID), Version: job.Version})
-		t.Operations = append(t.Operations, storage.EndJobOperations(job.ID, final)...)
+		transaction.Conditions = append(transaction.Conditions, protocol.Condition{Key: storage.JobKey(job.ID), Version: job.Version})
+		transaction.Operations = append(transaction.Operations, storage.EndJobOperations(job.ID, final)...)
 		if w.writes[job] == nil {
 			w.writes[job] = &loop.Write{}
 		}
 		w.writes[job].Begin()
 	}
-	w.Committer.Commit(t, func(revision uint64, err error) {
+	w.Committer.Commit(transaction, func(revision uint64, err error) {
 		if w.Generation.Ended() {
 			return
 		}
 		for _, job := range batch {
-			w.committed(job, final, revision, err)
+			w.finishWrite(job, final, revision, err)
 		}
 		if err != nil {
-			w.Log.Debug("final records of cancelled dependents not written", "jobs", len(batch), "err", err)
+			w.Log.Debug("final record write for cancelled dependents failed", "jobs", len(batch), "err", err)
 		}
 	})
 }
 
-// committed takes in how the write of a job's final record ended.
-func (w *dependentsWriter) committed(job *storage.Job, final storage.FinalRecord, revision uint64, err error) {
+// finishWrite handles the result of writing a job's final record.
+func (w *dependentsWriter) finishWrite(job *storage.Job, final storage.FinalRecord, revision uint64, err error) {
 	write := w.writes[job]
 	switch {
-	case write == nil: // the view has seen the end of the job by now
+	case write == nil: // the view already shows that the job ended
 	case err != nil:
 		write.Done(w.Generation.Now() + w.Generation.Jitter(kv.RetryPause))
 	default:
 		write.Written(revision)
-		w.remember(job.ID, final)
+		w.recordOutcome(job.ID, final)
 	}
 }
--- a/internal/coordination/jobs/dependencies.go
+++ b/internal/coordination/jobs/dependencies.go
@@ -5,142 +5,146 @@
 	"rockrun/internal/storage"
 )
 
-// dependencyVerdict is what is known of the jobs that a submission depends on. Of several
-// jobs the highest counts.
-type dependencyVerdict int
+// dependencyState is the state of a dependency of a submitted job. The highest state of all
+// dependencies decides the submission.
+type dependencyState int
 
 const (
-	dependencyAccepted   dependencyVerdict = iota // it was accepted
-	dependencyCancelled                           // it was accepted, and is cancelled
-	dependencyUndecided                           // it could not be found out
-	dependencyImpossible                          // it was never accepted, or is a service: no job can wait for it
+	dependencyAccepted  dependencyState = iota // accepted and not known to be cancelled
+	dependencyCancelled                        // accepted and cancelled
+	dependencyUndecided                        // could not be determined
+	dependencyInvalid                          // never accepted, or a service, which no job can depend on
 )
 
-// maxDependencyReads is for how many jobs that are not known here a read each is worth it.
-const maxDependencyReads = 8
+// maxDirectDependencyReads is the largest number of unresolved dependencies that are read
+// one by one without a sync of the view first.
+const maxDirectDependencyReads = 8
 
-// checkDependencies finds out what has become of all the jobs that a submission names. The
-// verdict dependencyImpossible rests on reads that began after the submission came.
-func (s *Service) checkDependencies(ids []string, done func(dependencyVerdict)) {
-	worst, unknown := s.knownDependencies(ids)
-	if worst == dependencyImpossible || len(unknown) == 0 {
+// checkDependencies determines the highest state of the dependencies of a submission. A
+// dependency counts as never accepted only after reads that began after the submission
+// arrived.
+func (s *Service) checkDependencies(ids []string, done func(dependencyState)) {
+	worst, unresolved := s.localDependencyStates(ids)
+	if worst == dependencyInvalid || len(unresolved) == 0 {
 		done(worst)
 		return
 	}
-	if len(unknown) <= maxDependencyReads {
-		s.readDependencies(unknown, worst, done)
+	if len(unresolved) <= maxDirectDependencyReads {
+		s.readDependencies(unresolved, worst, done)
 		return
 	}
-	// What other controllers have accepted comes with the changes, with one read.
+	// One sync of the view brings all jobs that other controllers have accepted.
 	s.Replica.Sync(func(err error) {
 		if err != nil {
 			done(dependencyUndecided)
 			return
 		}
-		verdict, unknown := s.knownDependencies(unknown)
-		s.readDependencies(unknown, max(worst, verdict), done)
+		state, unresolved := s.localDependencyStates(unresolved)
+		s.readDependencies(unresolved, max(worst, state), done)
 	})
 }
 
-// knownDependencies gives the verdict on the jobs that are known here, and lists the
-// others.
-func (s *Service) knownDependencies(ids []string) (worst dependencyVerdict, unknown []string) {
+// localDependencyStates returns the highest state of the jobs known to this controller and
+// lists the other jobs.
+func (s *Service) localDependencyStates(ids []string) (worst dependencyState, unresolved []string) {
 	for _, id := range ids {
-		if verdict, known := s.knownDependency(id); known {
-			worst = max(worst, verdict)
+		if state, known := s.localDependencyState(id); known {
+			worst = max(worst, state)
 		} else {
-			unknown = append(unknown, id)
+			unresolved = append(unresolved, id)
 		}
 	}
-	return worst, unknown
+	return worst, unresolved
 }
 
-// knownDependency gives the verdict on a job that is known here.
-func (s *Service) knownDependency(id string) (verdict dependencyVerdict, known bool) {
-	if final, ended := s.finals.get(id); ended {
-		return verdictOnFinal(final), true
+// localDependencyState returns the state of a job from this controller's memory; known is
+// false where the job is in neither the view nor a cache.
+func (s *Service) localDependencyState(id string) (state dependencyState, known bool) {
+	if final, ended := s.finalRecords.get(id); ended {
+		return dependencyStateOfFinal(final), true
 	}
 	if _, job := s.View.Jobs.Find(id); job != nil && !job.Ended() {
 		switch {
 		case job.IsService():
-			return dependencyImpossible, true
+			return dependencyInvalid, true
 		case !job.Active():
 			return dependencyCancelled, true
 		}
 		return dependencyAccepted, true
 	}
 	if kind, found := s.recent.kind(id); found {
-		return verdictOnKind(kind), true
+		return dependencyStateOfKind(kind), true
 	}
 	return dependencyUndecided, false
 }
 
-func verdictOnFinal(final storage.FinalRecord) dependencyVerdict {
+func dependencyStateOfFinal(final storage.FinalRecord) dependencyState {
 	if final.Stage == protocol.StageCancelled {
 		return dependencyCancelled
 	}
 	return dependencyAccepted
 }
 
-func verdictOnKind(kind string) dependencyVerdict {
+func dependencyStateOfKind(kind string) dependencyState {
 	if kind == protocol.KindService {
-		return dependencyImpossible
+		return dependencyInvalid
 	}
 	return dependencyAccepted
 }
 
-// readDependencies reads jobs that are not known here.
-func (s *Service) readDependencies(ids []string, worst dependencyVerdict, done func(dependencyVerdict)) {
-	left := len(ids)
-	if left == 0 {
+// readDependencies reads jobs from the store and passes the highest of their states and
+// worst to done.
+func (s *Service) readDependencies(ids []string, worst dependencyState, done func(dependencyState)) {
+	remaining := len(ids)
+	if remaining == 0 {
 		done(worst)
 		return
 	}
 	for _, id := range ids {
-		s.readDependency(id, func(verdict dependencyVerdict) {
-			worst = max(worst, verdict)
-			if left--; left == 0 {
+		s.readDependency(id, func(state dependencyState) {
+			worst = max(worst, state)
+			if remaining--; remaining == 0 {
 				done(worst)
 			}
 		})
 	}
 }
 
-// readDependency reads a job: first the record of an unfinished one, then the final one. A
-// job moves from the one to the other in a single transaction, so one that is found under
-// neither had not been accepted when the first read began.
-func (s *Service) readDependency(id string, done func(dependencyVerdict)) {
+// readDependency reads the state of a job from the store: first the record of the
+// unfinished job, then its final record. A single transaction replaces the first by the
+// second, so a job with neither had not been accepted when the first read began.
+func (s *Service) readDependency(id string, done func(dependencyState)) {
 	s.Store.Get(storage.JobKey(id), func(record protocol.KeyValue, found bool, err error) {
 		switch {
 		case err != nil:
 			done(dependencyUndecided)
 		case found:
-			done(s.verdictOnRecord(record))
+			done(s.dependencyStateOfRecord(record))
 		default:
 			s.readEndedDependency(id, done)
 		}
 	})
 }
 
-// verdictOnRecord gives the verdict on an unfinished job whose record was read.
-func (s *Service) verdictOnRecord(record protocol.KeyValue) dependencyVerdict {
+// dependencyStateOfRecord returns the state of an unfinished job from its record.
+func (s *Service) dependencyStateOfRecord(record protocol.KeyValue) dependencyState {
 	var job storage.JobRecord
 	if err := protocol.Decode(record.Value, &job); err != nil {
 		s.Log.Error("record unreadable", "key", record.Key, "err", err)
 		return dependencyUndecided
 	}
-	return verdictOnKind(job.Spec.Kind)
+	return dependencyStateOfKind(job.Spec.Kind)
 }
 
-func (s *Service) readEndedDependency(id string, done func(dependencyVerdict)) {
+func (s *Service) readEndedDependency(id string, done func(dependencyState)) {
 	s.readFinal(id, func(final storage.FinalRecord, found bool, err error) {
 		switch {
 		case err != nil:
 			done(dependencyUndecided)
 		case !found:
-			done(dependencyImpossible)
+			done(dependencyInvalid)
 		default:
-			done(verdictOnFinal(final))
+			done(dependencyStateOfFinal(final))
 		}
 	})
 }
--- a/internal/coordination/jobs/doc.go
+++ b/internal/coordination/jobs/doc.go
@@ -1,14 +1,15 @@
-// Package jobs answers users: it accepts submissions, tells the status of jobs and cancels
-// them. All three are idempotent, since what decides is a transaction on the job's
-// records: one is accepted when its record is made, and it ends when that record is
-// replaced by its final one, in one transaction under the version of the first.
+// Package jobs answers users' requests: it accepts submissions, reports the status of jobs
+// and cancels them. All three are idempotent, because transactions on the job's records
+// decide: a job is accepted when its record is created, and it ends when a single
+// transaction, with the version of that record as its precondition, replaces the record by
+// the final record.
 //
-// It also follows dependencies between jobs: it reads how the jobs ended that unfinished
-// ones wait for, writes the final records of those cancelled with a dependency, and tells
-// the other controllers of cancellations.
+// The package also follows dependencies between jobs: it reads the final records of jobs on
+// which unfinished jobs depend, writes the final records of jobs that are cancelled because
+// a dependency was cancelled, and notifies the other controllers of cancellations.
 //
-// Service belongs to the process. What it remembers of ended jobs and of submissions holds
-// whatever has become of the view, and a request that is under way while a generation ends
-// goes on with the next. Reads of outcomes, notices to peers and writes of final records
-// belong to a generation.
+// Service lasts for the life of the process. Its caches of final records and submissions
+// stay valid when the view is rebuilt, and a request that is in progress when a generation
+// ends continues with the next. Reads of outcomes, notices to peers and writes of final
+// records belong to one generation.
 package jobs
--- a/internal/coordination/jobs/fixture_test.go
+++ b/internal/coordination/jobs/fixture_test.go
@@ -22,8 +22,8 @@
 	"rockrun/internal/storage"
 )
 
-// fixture is a service whose clock, store, reconciler and peers do what a test says. It
-// holds the only shard; run-1 is unfinished.
+// fixture is a Service with a simulated clock, store, reconciler and peers. Its controller
+// holds the only shard; run-1 is an unfinished job.
 type fixture struct {
 	t          testing.TB
 	service    *Service
@@ -35,20 +35,20 @@
 	now        time.Duration
 	timers     []func()
 
-	revision     uint64
-	values       map[string][]byte      // what the store holds
-	changes      []protocol.Event       // what a read of the changes brings
-	reads        []string               // keys that were read
-	transactions []protocol.Transaction // sent to the store while it holds answers back
-	hold         bool                   // the store records transactions and answers none
-	away         error                  // with which the store refuses everything, or nil
-	rejects      error                  // with which the store refuses transactions, or nil
-	onCommit     func()                 // called before a transaction is looked at
+	revision         uint64
+	values           map[string][]byte      // contents of the store, by key
+	pendingChanges   []protocol.Event       // returned by the next read of the changes
+	reads            []string               // keys read with Get
+	heldTransactions []protocol.Transaction // transactions recorded while holdCommits is set
+	holdCommits      bool                   // transactions are recorded and not answered
+	storeErr         error                  // fails all reads and transactions; nil: none
+	commitErr        error                  // fails all transactions; nil: none
+	onCommit         func()                 // called before the preconditions are checked
 
-	stops, passes int                 // calls of the reconciler
-	needsAll      bool                // the controller needs all outcomes
-	told          map[string][]string // cancellations of which each peer was told
-	peerError     error               // what comes of messages to peers
+	stopCalls, passRequests int                 // calls of StopInactive and SchedulePass
+	needsOutcomes           bool                // result of GenerationConfig.NeedsOutcomes
+	notified                map[string][]string // by peer: the cancellations in its last notice
+	peerErr                 error               // result of requests to peers
 }
 
 func (f *fixture) Now() time.Duration                           { return f.now }
@@ -57,18 +57,18 @@
 func (f *fixture) OpenLease(time.Duration, func(uint64, error)) {}
 func (f *fixture) RenewLease(uint64, func(error))               {}
 func (f *fixture) RevokeLease(uint64, func(error))              {}
-func (f *fixture) StopInactive()                                { f.stops++ }
-func (f *fixture) SchedulePass()                                { f.passes++ }
+func (f *fixture) StopInactive()                                { f.stopCalls++ }
+func (f *fixture) SchedulePass()                                { f.passRequests++ }
 
-func (f *fixture) Ask(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
-	f.told[controller] = r.Cancelled
-	done(protocol.PeerAnswer{}, f.peerError)
+func (f *fixture) Ask(controller string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
+	f.notified[controller] = request.Cancelled
+	done(protocol.PeerAnswer{}, f.peerErr)
 }
 
 func (f *fixture) Get(key string, done func(protocol.KeyValue, bool, error)) {
 	f.reads = append(f.reads, key)
-	if f.away != nil {
-		done(protocol.KeyValue{}, false, f.away)
+	if f.storeErr != nil {
+		done(protocol.KeyValue{}, false, f.storeErr)
 		return
 	}
 	value, found := f.values[key]
@@ -79,49 +79,49 @@
 	done(protocol.KeyValuePage{}, nil)
 }
 
-// Watch brings what the test has put among the changes. The first read makes the records
-// count as read.
+// Watch returns pendingChanges at once. The first call, without a wait, completes the
+// initial read of the records.
 func (f *fixture) Watch(_ string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
 	if wait > 0 {
-		return // the view follows only when asked to
+		return // the view follows the changes only through Sync
 	}
-	changes := f.changes
-	f.changes = nil
+	changes := f.pendingChanges
+	f.pendingChanges = nil
 	done(protocol.Changes{Revision: max(after, f.revision), Events: changes}, nil)
 }
 
-// Commit carries out a transaction at once, unless the store is away or holds answers
-// back. The view sees every job that the store has by then.
-func (f *fixture) Commit(t protocol.Transaction, done func(uint64, error)) {
-	if f.hold {
-		f.transactions = append(f.transactions, t)
+// Commit applies a transaction at once, unless holdCommits, storeErr or commitErr is set.
+// The view first receives every job record in the store.
+func (f *fixture) Commit(transaction protocol.Transaction, done func(uint64, error)) {
+	if f.holdCommits {
+		f.heldTransactions = append(f.heldTransactions, transaction)
 		return
 	}
-	if err := cmp.Or(f.away, f.rejects); err != nil {
+	if err := cmp.Or(f.storeErr, f.commitErr); err != nil {
 		done(0, err)
 		return
 	}
 	if f.onCommit != nil {
 		f.onCommit()
 	}
-	for _, c := range t.Conditions {
+	for _, c := range transaction.Conditions {
 		if _, found := f.values[c.Key]; found != (c.Version != 0) {
 			done(0, protocol.ErrConflict)
 			return
 		}
 	}
 	f.revision++
-	for _, key := range slices.Sorted(maps.Keys(f.values)) { // what came before comes first with the changes
+	for _, key := range slices.Sorted(maps.Keys(f.values)) { // the changes bring earlier writes first
 		if strings.HasPrefix(key, storage.JobKey("")) {
 			f.put(key, f.values[key])
 		}
 	}
-	f.carryOut(t)
+	f.applyOperations(transaction)
 	done(f.revision, nil)
 }
 
-// carryOut lets the store and the view have the operations of a transaction.
-func (f *fixture) carryOut(t protocol.Transaction) {
+// applyOperations applies the operations of a transaction to the store and the view.
+func (f *fixture) applyOperations(t protocol.Transaction) {
 	f.t.Helper()
 	for _, op := range t.Operations {
 		if op.Put != "" {
@@ -131,10 +131,10 @@
 		delete(f.values, op.Delete)
 		f.view.Remove(op.Delete, f.revision)
 	}
-	f.advance()
+	f.advanceRevision()
 }
 
-// put lets the store and the view have a record.
+// put writes a record to the store and applies it to the view.
 func (f *fixture) put(key string, value []byte) {
 	f.t.Helper()
 	f.values[key] = value
@@ -143,28 +143,28 @@
 	}
 }
 
-// advance lets the view have reached the store's revision, without making it any fresher.
-func (f *fixture) advance() { f.replica.Apply(protocol.Changes{Revision: f.revision}, 0) }
+// advanceRevision advances the view to the store's revision without changing its staleness.
+func (f *fixture) advanceRevision() { f.replica.Apply(protocol.Changes{Revision: f.revision}, 0) }
 
 func (f *fixture) apply(key string, record any) {
 	f.t.Helper()
 	f.revision++
 	f.put(key, storage.Encode(record))
-	f.advance()
+	f.advanceRevision()
 }
 
 func newFixture(t testing.TB) *fixture {
-	f := &fixture{t: t, now: time.Minute, values: map[string][]byte{}, told: map[string][]string{}, needsAll: true}
+	f := &fixture{t: t, now: time.Minute, values: map[string][]byte{}, notified: map[string][]string{}, needsOutcomes: true}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	limits := config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 100, ValueKiB: 8, TransactionOperations: 8}.Limits()
 	f.committer = kv.NewCommitter(f, limits, log)
 	f.service = New(Config{Store: f, Committer: f.committer, Peers: f, PeerNames: []string{"b", "c"}, Log: log})
-	f.begin()
+	f.beginGeneration()
 	return f
 }
 
-// begin begins a generation, whose view has nothing of the former one.
-func (f *fixture) begin() {
+// beginGeneration ends the current generation and begins a new one with a new view.
+func (f *fixture) beginGeneration() {
 	f.t.Helper()
 	if f.generation != nil {
 		f.generation.End()
@@ -181,75 +181,76 @@
 	})
 	f.service.BeginGeneration(GenerationConfig{
 		Generation: f.generation, Replica: f.replica, View: f.view, Leases: f.leases, Reconciler: f,
-		NeedsOutcomes: func() bool { return f.needsAll },
+		NeedsOutcomes: func() bool { return f.needsOutcomes },
 	})
 	f.replica.Start()
 	f.apply(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}})
 	f.apply(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: f.replica.Incarnation, FencingToken: 1})
 	f.applyJob(protocol.JobSpec{ID: "run-1", Tasks: 2, CPUs: 4, MemoryGB: 1})
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 }
 
-// applyJob lets the store and the view have an unfinished array of team red.
+// applyJob writes an unfinished array of team red to the store and the view.
 func (f *fixture) applyJob(spec protocol.JobSpec) {
 	f.t.Helper()
 	spec.Team, spec.Kind, spec.Priority = "red", protocol.KindArray, "normal"
 	f.apply(storage.JobKey(spec.ID), storage.JobRecord{Spec: spec})
 }
 
-// refreshKnowledge renews what the controller knows and holds.
-func (f *fixture) refreshKnowledge() {
+// refreshViewAndLeases resets the staleness of the view and extends the shard lease.
+func (f *fixture) refreshViewAndLeases() {
 	f.replica.Apply(protocol.Changes{}, f.now)
 	f.leases.Extend(0, f.now)
 }
 
-// limitStore lets the store's limits be lower from now on.
-func (f *fixture) limitStore(valueBytes, operations int) {
+// lowerLimits lowers the committer's limits to at most the given ones.
+func (f *fixture) lowerLimits(valueBytes, operations int) {
 	limits := f.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
 	limits.Operations = min(limits.Operations, operations)
 	f.committer.SetLimits(limits)
 }
 
-// applyTransactions carries out the transactions that were held back, in their order,
-// without answering them. It fails where one is over the limits in force.
-func (f *fixture) applyTransactions() {
+// applyHeldTransactions applies heldTransactions in their order without answering them. It
+// fails the test if a transaction exceeds the limits in force.
+func (f *fixture) applyHeldTransactions() {
 	f.t.Helper()
 	limits := f.committer.Limits()
-	for _, t := range f.transactions {
-		if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Conditions) > limits.Conditions {
-			f.t.Errorf("over the limits %+v: largest value %d, %d changes, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
+	for _, transaction := range f.heldTransactions {
+		if largest := kv.LargestValue(transaction); largest > limits.ValueBytes || len(transaction.Operations) > limits.Operations || len(transaction.Conditions) > limits.Conditions {
+			f.t.Errorf("transaction over the limits %+v: largest value %d bytes, %d operations, %d conditions", limits, largest, len(transaction.Operations), len(transaction.Conditions))
 		}
 		f.revision++
-		f.carryOut(t)
+		f.applyOperations(transaction)
 	}
-	f.transactions = nil
+	f.heldTransactions = nil
 }
 
-// acceptElsewhere is a job that another controller has accepted: the view has not heard of
-// it.
-func (f *fixture) acceptElsewhere(id, kind string) {
+// storeUnseenJob writes a job that another controller accepted to the store only: the view
+// lacks it.
+func (f *fixture) storeUnseenJob(id, kind string) {
 	f.values[storage.JobKey(id)] = storage.Encode(storage.JobRecord{Spec: protocol.JobSpec{ID: id, Team: "red", Kind: kind, Tasks: 1}})
 }
 
-// end is a job that has ended, of which only the store knows.
-func (f *fixture) end(id, stage string) {
+// storeFinalRecord writes the final record of an ended job to the store only.
+func (f *fixture) storeFinalRecord(id, stage string) {
 	f.values[storage.FinalKey(id)] = storage.Encode(storage.FinalRecord{Stage: stage})
 }
 
-// passSecond lets a second pass, and what waits for a moment come about.
-func (f *fixture) passSecond() {
+// advanceOneSecond advances the clock by one second, refreshes the view and the lease, and
+// runs the timers that were set before.
+func (f *fixture) advanceOneSecond() {
 	timers := f.timers
 	f.timers = nil
 	f.now += time.Second
-	f.refreshKnowledge()
+	f.refreshViewAndLeases()
 	for _, callback := range timers {
 		callback()
 	}
 }
 
-// request makes a request and returns its answer.
+// request makes a request, advances the clock until it is answered, and returns the answer.
 func (f *fixture) request(run func(reply func(api.Answer))) api.Answer {
 	f.t.Helper()
 	var got *api.Answer
@@ -258,13 +259,13 @@
 		if got != nil {
 			return *got
 		}
-		f.passSecond()
+		f.advanceOneSecond()
 	}
-	f.t.Fatal("no answer")
+	f.t.Fatal("request not answered after 100 seconds")
 	return api.Answer{}
 }
 
-// submission is the body of a submission of one task, with fields changed.
+// submission returns the body of a submission of one task, with some fields replaced.
 func (f *fixture) submission(id string, changed map[string]any) []byte {
 	f.t.Helper()
 	fields := map[string]any{
@@ -279,7 +280,7 @@
 	return body
 }
 
-// submit submits a job that depends on others and returns the answer.
+// submit submits a job with dependencies and returns the answer.
 func (f *fixture) submit(id string, dependencies ...string) api.Answer {
 	f.t.Helper()
 	body := f.submission(id, map[string]any{"waitsOn": dependencies})
@@ -296,17 +297,18 @@
 	return f.request(func(reply func(api.Answer)) { f.service.Cancel(id, reply) })
 }
 
-// expect fails where an answer is not as wanted; stage is that of the body, if it has one.
-func (f *fixture) expect(what string, a api.Answer, status int, stage string) {
+// expectAnswer checks the status of an answer and the stage in its body; stage is "" for a
+// body without one.
+func (f *fixture) expectAnswer(label string, answer api.Answer, status int, stage string) {
 	f.t.Helper()
 	got := ""
-	switch body := a.Body.(type) {
+	switch body := answer.Body.(type) {
 	case protocol.JobReceipt:
 		got = body.Stage
 	case *protocol.JobStatus:
 		got = body.Stage
 	}
-	if a.Status != status || got != stage {
-		f.t.Errorf("%s: %d %+v", what, a.Status, a.Body)
+	if answer.Status != status || got != stage {
+		f.t.Errorf("%s: status %d, body %+v; want status %d, stage %q", label, answer.Status, answer.Body, status, stage)
 	}
 }
--- a/internal/coordination/jobs/notices.go
+++ b/internal/coordination/jobs/notices.go
@@ -8,33 +8,35 @@
 	"rockrun/internal/protocol"
 )
 
-// A cancellation reaches every holder with the changes. Where the store refuses a holder
-// or is away, the bound on its staleness (see sharding.Leases.MayActFor) sees to it that
-// the tasks are gone in time all the same. In addition the controller that confirms a
-// cancellation tells the others, which stop the tasks at once: stopping is always safe,
-// whoever may hold the machines by now.
+// Every holder reads a cancellation from the changes in the store. While the store is
+// unavailable or rejects a holder's requests, the staleness bound (see
+// sharding.Leases.MayActFor) still ends the tasks in time. In addition, the controller that
+// confirms a cancellation notifies the other controllers, which stop the tasks at once:
+// stopping tasks of a cancelled job is always safe, whichever controller holds the machines.
 
 const (
-	// maxNotices bounds what is kept for a controller that cannot be reached: when it is
-	// back it has the records, or the bound has done its work. It is several for each
-	// second of the longest cancel_s that a cluster was run with.
-	maxNotices = 4096
-	// noticeRetryPause is the pause after a notice that got no answer.
-	noticeRetryPause = time.Second
+	// maxQueuedNotices bounds the notices queued for an unreachable controller. Dropped
+	// notices do no harm: the controller reads the cancellations from the store, or the
+	// staleness bound ends the tasks. The value allows several notices for each second of
+	// the longest cancel_s that a cluster was run with.
+	maxQueuedNotices = 4096
+	// noticeRetryDelay is the delay after a notice that was not answered.
+	noticeRetryDelay = time.Second
 )
 
-// cancellationNotices tells the other controllers of cancellations confirmed here.
+// cancellationNotices sends cancellations that this controller confirmed to the other
+// controllers.
 type cancellationNotices struct {
 	generation *loop.Generation
 	peers      Peers
 	queues     []*noticeQueue
 }
 
-// noticeQueue is what one controller has not been told of yet.
+// noticeQueue holds the notices that are not yet sent to one controller.
 type noticeQueue struct {
 	controller string
 	jobs       []string
-	retry      loop.Call // several notices may be under way; only its pause counts
+	retry      loop.Call // used for its retry delay only: several notices may be in flight
 }
 
 func newCancellationNotices(generation *loop.Generation, peers Peers, names []string) *cancellationNotices {
@@ -55,7 +57,7 @@
 	}
 }
 
-// send tells every other controller what is queued for it.
+// send sends every other controller the notices queued for it, unless its retry delay runs.
 func (n *cancellationNotices) send() {
 	now := n.generation.Now()
 	for _, queue := range n.queues {
@@ -72,9 +74,9 @@
 		if err != nil {
 			queue.jobs = append(sent, queue.jobs...)
 			queue.dropOldest()
-			queue.retry.RetryAt(n.generation.Now() + noticeRetryPause)
+			queue.retry.RetryAt(n.generation.Now() + noticeRetryDelay)
 		}
 	})
 }
 
-func (q *noticeQueue) dropOldest() { q.jobs = q.jobs[max(0, len(q.jobs)-maxNotices):] }
+func (q *noticeQueue) dropOldest() { q.jobs = q.jobs[max(0, len(q.jobs)-maxQueuedNotices):] }
--- a/internal/coordination/jobs/outcomes.go
+++ b/internal/coordination/jobs/outcomes.go
@@ -9,59 +9,62 @@
 	"rockrun/internal/storage"
 )
 
-// A job that has ended leaves the records that controllers follow, and its leaving does
-// not tell how it ended. Where an unfinished job depends on it, its final record is read:
-// once, for however many wait for it. Controllers that place work or rent machines read
-// all that are missing; the others only what a question asks for.
-
-// outcomeReadShare is the part of the requests to the store that one controller spends on
-// final records at most: hundreds are read in seconds, and the changes and the leases,
-// which take a quarter and a few, never lack requests.
-const outcomeReadShare = 0.125
-
-// outcomeSource is where an outcomeReader finds how jobs ended. Both methods let the view
-// know what they find.
+// When a job ends, its record is removed from the records that controllers follow; the
+// removal does not say how the job ended. If an unfinished job depends on the ended job,
+// its final record is read once, however many jobs depend on it. Controllers that place
+// tasks or create machines read all missing final records; other controllers read only
+// those that a user's request needs.
+
+// outcomeReadFraction is the largest fraction of the store's request rate that one
+// controller spends on final records. It allows hundreds of reads within seconds and leaves
+// enough requests for the changes, which take a quarter of the rate, and the leases, which
+// take a few requests.
+const outcomeReadFraction = 0.125
+
+// outcomeSource provides the outcomes of jobs to an outcomeReader. Both methods apply the
+// outcome that they find to the view.
 type outcomeSource interface {
-	// recall reports whether it is remembered how a job ended.
-	recall(job string) bool
-	// readFinal reads the final record of a job; found is false where there is none.
+	// applyCachedOutcome reports whether the final record of a job is cached.
+	applyCachedOutcome(job string) bool
+	// readFinal reads the final record of a job; found is false if there is none.
 	readFinal(job string, done func(final storage.FinalRecord, found bool, err error))
 }
 
-// outcomeReader reads final records of dependencies, for one generation.
+// outcomeReader reads final records of dependencies. It lasts for one generation.
 type outcomeReader struct {
 	generation *loop.Generation
 	source     outcomeSource
-	waiting    map[string][]func(error) // by job: who waits for its final record
+	waiters    map[string][]func(error) // by job ID: callbacks of unfinished reads
 	readBudget loop.TokenBucket
 	log        *slog.Logger
 }
 
-// newOutcomeReader makes a reader for a store that takes so many requests a second.
+// newOutcomeReader creates a reader for a store that admits requestRate requests per
+// second.
 func newOutcomeReader(generation *loop.Generation, source outcomeSource, requestRate float64, log *slog.Logger) *outcomeReader {
 	return &outcomeReader{
 		generation: generation,
 		source:     source,
-		waiting:    map[string][]func(error){},
-		readBudget: loop.NewTokenBucket(max(1, outcomeReadShare*requestRate)),
+		waiters:    map[string][]func(error){},
+		readBudget: loop.NewTokenBucket(max(1, outcomeReadFraction*requestRate)),
 		log:        log,
 	}
 }
 
-// read calls done once the view knows how a job ended, or with an error.
+// read calls done once the outcome of a job is applied to the view, or with an error.
 func (r *outcomeReader) read(job string, done func(error)) {
-	if r.source.recall(job) {
+	if r.source.applyCachedOutcome(job) {
 		done(nil)
 		return
 	}
-	_, inFlight := r.waiting[job]
-	r.waiting[job] = append(r.waiting[job], done)
+	_, inFlight := r.waiters[job]
+	r.waiters[job] = append(r.waiters[job], done)
 	if !inFlight {
 		r.readOrDefer(job)
 	}
 }
 
-// readOrDefer reads a final record, later where too many have been read.
+// readOrDefer reads a final record, or schedules the read while the read budget is used up.
 func (r *outcomeReader) readOrDefer(job string) {
 	if !r.readBudget.Take(r.generation.Now(), 1) {
 		r.generation.Later(r.readBudget.TimeUntil(1), func() { r.readOrDefer(job) })
@@ -72,80 +75,82 @@
 			return
 		}
 		if err == nil && !found {
-			err = &noFinalRecordError{job: job}
-			r.log.Error("ended job has no final record", "job", job)
+			err = &missingFinalRecordError{job: job}
+			r.log.Error("final record of ended job not found", "job", job)
 		}
-		waiting := r.waiting[job]
-		delete(r.waiting, job)
-		for _, done := range waiting {
+		waiters := r.waiters[job]
+		delete(r.waiters, job)
+		for _, done := range waiters {
 			done(err)
 		}
 	})
 }
 
-// noFinalRecordError is about a job that has left the records and has no final one, which
-// no transaction does. It wraps protocol.ErrOutcomeUnknown.
-type noFinalRecordError struct{ job string }
+// missingFinalRecordError reports a job whose record was removed without a final record
+// being written, which no transaction does. It wraps protocol.ErrOutcomeUnknown.
+type missingFinalRecordError struct{ job string }
 
-// Error names the job.
-func (e *noFinalRecordError) Error() string {
+// Error returns a text that names the job.
+func (e *missingFinalRecordError) Error() string {
 	return fmt.Sprintf("%v: no final record of %s", protocol.ErrOutcomeUnknown, e.job)
 }
 
 // Unwrap returns protocol.ErrOutcomeUnknown.
-func (e *noFinalRecordError) Unwrap() error { return protocol.ErrOutcomeUnknown }
+func (e *missingFinalRecordError) Unwrap() error { return protocol.ErrOutcomeUnknown }
 
-// abandon tells all who wait that nothing will come: the generation has ended.
-func (r *outcomeReader) abandon() {
-	for _, waiting := range r.waiting {
-		for _, done := range waiting {
+// failWaiters fails all unfinished reads because the generation has ended.
+func (r *outcomeReader) failWaiters() {
+	for _, waiters := range r.waiters {
+		for _, done := range waiters {
 			done(protocol.ErrNotExecuted)
 		}
 	}
-	clear(r.waiting)
+	clear(r.waiters)
 }
 
-// readAll calls done once the view knows how all the jobs ended; with an error if it could
-// not be found out for any.
+// readAll calls done once the outcomes of all the jobs are applied to the view, or with an
+// error if the outcome of any of them could not be read.
 func (r *outcomeReader) readAll(jobs []*storage.Job, done func(error)) {
-	left := len(jobs)
-	if left == 0 {
+	remaining := len(jobs)
+	if remaining == 0 {
 		done(nil)
 		return
 	}
-	var failed error
+	var lastErr error
 	for _, job := range jobs {
 		r.read(job.ID, func(err error) {
 			if err != nil {
-				failed = err
+				lastErr = err
 			}
-			if left--; left == 0 {
-				done(failed)
+			if remaining--; remaining == 0 {
+				done(lastErr)
 			}
 		})
 	}
 }
 
-// readMissing begins to read what nobody waits for yet, so that the view comes to know it.
+// readMissing starts reading the outcomes that are not being read yet, to apply them to the
+// view.
 func (r *outcomeReader) readMissing(jobs []*storage.Job) {
 	for _, job := range jobs {
-		if _, inFlight := r.waiting[job.ID]; !inFlight {
-			r.read(job.ID, func(error) {}) // the next tick asks again
+		if _, inFlight := r.waiters[job.ID]; !inFlight {
+			r.read(job.ID, func(error) {}) // the next tick retries a failed read
 		}
 	}
 }
 
-// recall lets the view know how a job ended, and reports whether that is remembered.
-func (s *Service) recall(id string) bool {
-	final, ended := s.finals.get(id)
+// applyCachedOutcome applies the outcome of a job to the view if its final record is cached,
+// and reports whether it is.
+func (s *Service) applyCachedOutcome(id string) bool {
+	final, ended := s.finalRecords.get(id)
 	if ended {
 		s.applyOutcome(id, final)
 	}
 	return ended
 }
 
-// readFinal reads the final record of a job and remembers it; found is false where the
-// job has not ended, or was never accepted.
+// readFinal reads the final record of a job from the store, caches it and applies it to the
+// view; found is false if the job has not ended or was never accepted.
 func (s *Service) readFinal(id string, done func(final storage.FinalRecord, found bool, err error)) {
 	s.Store.Get(storage.FinalKey(id), func(record protocol.KeyValue, found bool, err error) {
 		if err != nil || !found {
@@ -160,8 +165,8 @@
 	})
 }
 
-// applyOutcome lets the view know how a job ended, and takes in what follows for its
-// dependents.
+// applyOutcome applies the outcome of a job to the view, and logs and counts the dependents
+// that the outcome releases or cancels.
 func (s *Service) applyOutcome(id string, final storage.FinalRecord) {
 	released, cancelled := s.View.SetOutcome(id, final)
 	for _, job := range released {
@@ -170,17 +175,18 @@
 			s.Log.Info("job released", "job", job.ID, "dependency", id)
 		}
 	}
-	s.noteCancelledDependents(cancelled)
+	s.recordCancelledDependents(cancelled)
 	if len(released) > 0 {
 		s.Reconciler.SchedulePass()
 	}
 }
 
-// noteCancelledDependents takes in which jobs are cancelled with a dependency.
-func (s *Service) noteCancelledDependents(jobs []*storage.Job) {
+// recordCancelledDependents logs and counts jobs that were cancelled because a dependency
+// was cancelled, and schedules a reconcile pass.
+func (s *Service) recordCancelledDependents(jobs []*storage.Job) {
 	for _, job := range jobs {
 		if s.Leases.Holds(job.Shard) {
-			s.counters.cancelledWithAnother.Add(1)
+			s.counters.cancelledByDependency.Add(1)
 			s.Log.Info("job cancelled with dependency", "job", job.ID, "dependency", job.CancelledBy().ID)
 		}
 	}
--- a/internal/coordination/jobs/outcomes_test.go
+++ b/internal/coordination/jobs/outcomes_test.go
@@ -13,103 +13,103 @@
 	"rockrun/internal/storage"
 )
 
-// TestOutcomesAreReadOnce: however many jobs wait for it, the final record of a job that
-// they depend on is read once, and no faster than the share of the requests allows.
-func TestOutcomesAreReadOnce(t *testing.T) {
+// TestOutcomeReadOncePerDependency checks that the final record of a dependency is read
+// once, however many jobs depend on it, and that the reads stay within outcomeReadFraction.
+func TestOutcomeReadOncePerDependency(t *testing.T) {
 	f := newFixture(t)
 	const ended, each = 60, 5
 	for i := range ended {
 		dependency := fmt.Sprintf("run-1%02d", i)
-		f.end(dependency, protocol.StageDone)
+		f.storeFinalRecord(dependency, protocol.StageDone)
 		for j := range each {
 			f.applyJob(protocol.JobSpec{ID: fmt.Sprintf("run-2%02d%d", i, j), Tasks: 1, CPUs: 1, Dependencies: []string{dependency}})
 		}
 	}
 	f.service.ReadMissingOutcomes()
 	atOnce := len(f.reads)
-	if most := int(outcomeReadShare * f.committer.Limits().RequestRate); atOnce > most {
-		t.Errorf("%d reads at once, at most %d", atOnce, most)
+	if most := int(outcomeReadFraction * f.committer.Limits().RequestRate); atOnce > most {
+		t.Errorf("%d reads at once; want at most %d", atOnce, most)
 	}
 	for range 20 {
-		f.passSecond()
+		f.advanceOneSecond()
 	}
 	if len(f.reads) != ended {
-		t.Errorf("%d reads for %d jobs", len(f.reads), ended)
+		t.Errorf("%d reads for %d ended jobs", len(f.reads), ended)
 	}
-	waiting := 0
+	awaiting := 0
 	f.view.Jobs.All(func(_ int, job *storage.Job) {
 		if job.AwaitsDependencies() {
-			waiting++
+			awaiting++
 		}
 	})
-	if waiting > 0 {
-		t.Errorf("%d jobs still wait", waiting)
+	if awaiting > 0 {
+		t.Errorf("%d jobs still await dependencies", awaiting)
 	}
 	if got := f.service.Counters(); got != (Counters{Released: ended * each}) {
-		t.Errorf("counted: %+v", got)
+		t.Errorf("counters: %+v", got)
 	}
 }
 
-// TestOutcomesAreReadWhereNeeded: a controller that neither places work nor rents machines
-// reads an outcome only for a question.
-func TestOutcomesAreReadWhereNeeded(t *testing.T) {
+// TestOutcomeReadOnDemand checks that a controller that neither places tasks nor creates
+// machines reads an outcome only when a request needs it.
+func TestOutcomeReadOnDemand(t *testing.T) {
 	f := newFixture(t)
-	f.needsAll = false
-	f.end("run-7", protocol.StageCancelled)
+	f.needsOutcomes = false
+	f.storeFinalRecord("run-7", protocol.StageCancelled)
 	f.applyJob(protocol.JobSpec{ID: "run-20", Tasks: 1, CPUs: 1, Dependencies: []string{"run-7"}})
 	f.service.Tick()
 	if len(f.reads) != 0 {
-		t.Errorf("read: %v", f.reads)
+		t.Errorf("keys read without a request: %v", f.reads)
 	}
-	f.expect("status", f.status("run-20"), http.StatusOK, protocol.StageCancelled)
+	f.expectAnswer("status", f.status("run-20"), http.StatusOK, protocol.StageCancelled)
 	if len(f.reads) != 1 {
-		t.Errorf("read: %v", f.reads)
+		t.Errorf("keys read: %v; want one", f.reads)
 	}
 }
 
-// TestEndOfGeneration: who waits for an outcome when a generation ends is told to come
-// back, final records stay known, and notices are not sent any more.
-func TestEndOfGeneration(t *testing.T) {
+// TestGenerationEnd checks that the end of a generation answers requests that wait for an
+// outcome with a retry, keeps cached final records, and drops queued notices.
+func TestGenerationEnd(t *testing.T) {
 	f := newFixture(t)
-	f.peerError = protocol.ErrOutcomeUnknown
-	f.expect("cancellation", f.cancel("run-1"), http.StatusOK, protocol.StageCancelled)
+	f.peerErr = protocol.ErrOutcomeUnknown
+	f.expectAnswer("cancellation", f.cancel("run-1"), http.StatusOK, protocol.StageCancelled)
 	f.applyJob(protocol.JobSpec{ID: "run-20", Tasks: 1, CPUs: 1, Dependencies: []string{"run-7"}})
-	f.service.outcomes.readBudget.TakeAnyway(f.now, 100) // the read must wait
+	f.service.outcomes.readBudget.TakeAnyway(f.now, 100) // the read is deferred
 	var answers []api.Answer
 	f.service.Status("run-20", func(a api.Answer) { answers = append(answers, a) })
-	f.passSecond()
+	f.advanceOneSecond()
 	if len(answers) != 0 {
-		t.Fatalf("answered early: %+v", answers)
+		t.Fatalf("answered before the outcome was read: %+v", answers)
 	}
-	f.begin()
+	f.beginGeneration()
 	if len(answers) != 1 || answers[0].Status != http.StatusServiceUnavailable || answers[0].RetryAfter == 0 {
 		t.Fatalf("answers: %+v", answers)
 	}
 	f.reads = nil
-	f.expect("cancelled before", f.status("run-1"), http.StatusOK, protocol.StageCancelled)
-	f.now += 2 * noticeRetryPause
+	f.expectAnswer("job cancelled in the previous generation", f.status("run-1"), http.StatusOK, protocol.StageCancelled)
+	f.now += 2 * noticeRetryDelay
 	f.service.Tick()
-	if len(f.told) != 0 {
-		t.Errorf("told: %v", f.told)
+	if len(f.notified) != 0 {
+		t.Errorf("notices of the previous generation sent: %v", f.notified)
 	}
 }
 
-// TestDependentsAreWrittenWithinLimits: the final records of what is cancelled with a job
-// are written a few to a transaction, however many there are.
-func TestDependentsAreWrittenWithinLimits(t *testing.T) {
+// TestCancelledDependentsWriteLimits checks that the final records of any number of
+// cancelled dependents are written in transactions within the store's limits.
+func TestCancelledDependentsWriteLimits(t *testing.T) {
 	f := newFixture(t)
 	const dependents = 30
-	f.limitStore(math.MaxInt, 5)
+	f.lowerLimits(math.MaxInt, 5)
 	for i := range dependents {
 		f.applyJob(protocol.JobSpec{ID: fmt.Sprintf("run-2%02d", i), Tasks: 1, CPUs: 1, Dependencies: []string{"run-7"}})
 	}
 	f.service.Remember("run-7", storage.FinalRecord{Stage: protocol.StageCancelled})
-	f.hold = true
+	f.holdCommits = true
 	for range 20 {
 		f.now += time.Second
-		f.refreshKnowledge()
+		f.refreshViewAndLeases()
 		f.service.WriteCancelledDependents()
-		f.applyTransactions()
+		f.applyHeldTransactions()
 	}
 	written := 0
 	for key, value := range f.values {
@@ -118,37 +118,37 @@
 		}
 	}
 	if written != dependents {
-		t.Errorf("%d final records", written)
+		t.Errorf("%d final records written; want %d", written, dependents)
 	}
 	if got := f.service.Counters(); got != (Counters{CancelledWithAnother: dependents}) {
-		t.Errorf("counted: %+v", got)
+		t.Errorf("counters: %+v", got)
 	}
 }
 
-// TestDependentsAreWrittenAgain: a final record whose write failed is written after a
-// pause, and one that was written is not written twice.
-func TestDependentsAreWrittenAgain(t *testing.T) {
+// TestCancelledDependentsWriteRetry checks that a failed write of a final record is retried
+// after a delay, and that a successful write is not repeated.
+func TestCancelledDependentsWriteRetry(t *testing.T) {
 	f := newFixture(t)
 	f.applyJob(protocol.JobSpec{ID: "run-20", Tasks: 1, CPUs: 1, Dependencies: []string{"run-7"}})
 	f.service.Remember("run-7", storage.FinalRecord{Stage: protocol.StageCancelled})
-	f.away = protocol.ErrOutcomeUnknown
+	f.storeErr = protocol.ErrOutcomeUnknown
 	f.service.WriteCancelledDependents()
-	f.away = nil
+	f.storeErr = nil
 	commits := 0
 	f.onCommit = func() { commits++ }
 	f.service.WriteCancelledDependents()
 	if commits != 0 {
-		t.Error("written again at once")
+		t.Error("write retried without a delay")
 	}
 	for range 3 {
 		f.now += time.Second
-		f.refreshKnowledge()
+		f.refreshViewAndLeases()
 		f.service.WriteCancelledDependents()
 	}
 	if commits != 1 {
-		t.Errorf("written %d times", commits)
+		t.Errorf("%d transactions; want 1", commits)
 	}
 	if _, ended := f.values[storage.FinalKey("run-20")]; !ended {
-		t.Error("no final record")
+		t.Error("final record not written")
 	}
 }
--- a/internal/coordination/jobs/service.go
+++ b/internal/coordination/jobs/service.go
@@ -20,102 +20,102 @@
 	MayActFor(shard int) bool
 }
 
-// Reconciler runs the tasks of the shards that this controller holds.
+// Reconciler reconciles the tasks of the shards that this controller holds.
 type Reconciler interface {
-	// StopInactive stops what cancelled jobs still have on machines.
+	// StopInactive stops the tasks of cancelled jobs.
 	StopInactive()
-	// SchedulePass asks for a reconcile pass soon.
+	// SchedulePass schedules a reconcile pass soon.
 	SchedulePass()
 }
 
-// Peers carries messages to other controllers.
+// Peers sends requests to other controllers.
 type Peers interface {
-	// Ask sends a message to a controller; done is called later on this controller's
+	// Ask sends a request to a controller; done is called later on this controller's
 	// goroutine.
 	Ask(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
 }
 
-// Config is what a Service uses for as long as the process lives.
+// Config holds what a Service uses for the life of the process.
 type Config struct {
 	Store     kv.Store
 	Committer *kv.Committer
 	Peers     Peers
-	// PeerNames are the other controllers, in the order in which they are told of
+	// PeerNames are the other controllers, in the order in which they are notified of
 	// cancellations.
 	PeerNames []string
 	Log       *slog.Logger
 }
 
-// GenerationConfig is what a Service uses for one generation.
+// GenerationConfig holds what a Service uses for one generation.
 type GenerationConfig struct {
 	Generation *loop.Generation
 	Replica    *replica.Replica
 	View       *storage.View
 	Leases     Leases
 	Reconciler Reconciler
-	// NeedsOutcomes reports whether this controller places work or rents machines, and so
-	// must know of every dependency how it ended.
+	// NeedsOutcomes reports whether this controller places tasks or creates machines, and
+	// therefore needs the outcomes of all dependencies.
 	NeedsOutcomes func() bool
 }
 
-// Service answers users' requests about jobs and follows dependencies. All methods but
-// Counters are for the controller's goroutine, after the first BeginGeneration.
+// Service answers users' requests about jobs and follows dependencies. All methods except
+// Counters must be called on the controller's goroutine, after the first BeginGeneration.
 type Service struct {
 	Config
 	GenerationConfig
 
-	finals   finalRecords
-	recent   recentSubmissions
-	counters counters
+	finalRecords finalRecordCache
+	recent       recentSubmissions
+	counters     counters
 
-	// Of the generation:
+	// State of the current generation:
 	outcomes         *outcomeReader
 	notices          *cancellationNotices
 	dependentsWriter *dependentsWriter
 }
 
-// New makes a service; BeginGeneration must follow before anything else.
+// New creates a service; BeginGeneration must be called before any other method.
 func New(c Config) *Service { return &Service{Config: c} }
 
-// BeginGeneration begins a generation. Who waits for an outcome that the former one was
-// reading is told that it will not come.
+// BeginGeneration begins a generation. Reads of outcomes that the previous generation did
+// not finish fail.
 func (s *Service) BeginGeneration(c GenerationConfig) {
 	former := s.outcomes
 	s.GenerationConfig = c
 	s.notices = newCancellationNotices(c.Generation, s.Peers, s.PeerNames)
 	s.dependentsWriter = newDependentsWriter(s.Config, c, s.Remember)
 	if former != nil {
-		former.abandon()
+		former.failWaiters()
 	}
 	s.outcomes = newOutcomeReader(c.Generation, s, s.Committer.Limits().RequestRate, s.Log)
 }
 
-// Tick does what only the passing of time asks for.
+// Tick does the periodic work: it sends queued notices and reads missing outcomes.
 func (s *Service) Tick() {
 	s.notices.send()
 	s.ReadMissingOutcomes()
 }
 
-// ReadMissingOutcomes begins to read the final records that the view lacks, on a
-// controller that needs them.
+// ReadMissingOutcomes starts reading the final records that the view lacks, if this
+// controller needs them.
 func (s *Service) ReadMissingOutcomes() {
 	if s.NeedsOutcomes() {
 		s.outcomes.readMissing(s.View.UnreadOutcomes())
 	}
 }
 
-// WriteCancelledDependents writes the final records of jobs that are cancelled with a
-// dependency. It must be called at the end of every reconcile pass.
-func (s *Service) WriteCancelledDependents() { s.dependentsWriter.write() }
+// WriteCancelledDependents writes the final records of jobs that are cancelled because a
+// dependency was cancelled. It must be called at the end of every reconcile pass.
+func (s *Service) WriteCancelledDependents() { s.dependentsWriter.writeDueRecords() }
 
-// Remember takes in that the final record of a job is durable, and what follows for its
-// dependents.
+// Remember caches a durable final record of a job and applies the outcome to the view and
+// the job's dependents.
 func (s *Service) Remember(job string, final storage.FinalRecord) {
-	s.finals.add(job, final)
+	s.finalRecords.add(job, final)
 	s.applyOutcome(job, final)
 }
 
-// checkReady returns a RetryLaterError until the records have been read.
+// checkReady returns a RetryLaterError until the replica has read all records.
 func (s *Service) checkReady(job string) error {
 	if !s.Replica.Ready() {
 		return &api.RetryLaterError{Reason: api.ErrStarting, Job: job}
@@ -123,27 +123,29 @@
 	return nil
 }
 
-// storeError says that the key-value store could not be asked about a job.
+// storeError returns the error for a request about a job that failed because the key-value
+// store was unavailable.
 func storeError(job string, cause error) error {
 	return &api.RetryLaterError{Reason: api.ErrStoreUnavailable, Job: job, Cause: cause}
 }
 
-// Counters are how many jobs of the shards held were affected by a dependency.
+// Counters counts the jobs, in shards held by this controller, that were released or
+// cancelled by a dependency.
 type Counters struct {
-	Released             uint64 // could start since the last of their dependencies was done
-	CancelledWithAnother uint64 // were cancelled with a dependency
+	Released             uint64 // became startable when their last dependency was done
+	CancelledWithAnother uint64 // cancelled because a dependency was cancelled
 }
 
-type counters struct{ released, cancelledWithAnother atomic.Uint64 }
+type counters struct{ released, cancelledByDependency atomic.Uint64 }
 
 // Counters returns the counts since the process started; it may be called from any
 // goroutine.
 func (s *Service) Counters() Counters {
-	return Counters{Released: s.counters.released.Load(), CancelledWithAnother: s.counters.cancelledWithAnother.Load()}
+	return Counters{Released: s.counters.released.Load(), CancelledWithAnother: s.counters.cancelledByDependency.Load()}
 }
 
-// CountAwaitingDependencies counts the unfinished jobs of the shards held that wait for
-// others. It walks through all jobs.
+// CountAwaitingDependencies counts the unfinished jobs in shards held by this controller
+// that await dependencies. It iterates over all jobs.
 func (s *Service) CountAwaitingDependencies() int64 {
 	var count int64
 	s.View.Jobs.All(func(_ int, job *storage.Job) {
--- a/internal/coordination/jobs/status.go
+++ b/internal/coordination/jobs/status.go
@@ -6,7 +6,7 @@
 	"rockrun/internal/storage"
 )
 
-// Status answers a user's question about a job.
+// Status answers a user's request for the status of a job.
 func (s *Service) Status(id string, reply func(api.Answer)) {
 	if err := s.checkRequest(id); err != nil {
 		reply(api.FromError(err))
@@ -17,18 +17,20 @@
 			reply(api.FromError(err))
 			return
 		}
-		s.logAnswer(status)
+		s.logStatus(status)
 		reply(api.OK(status))
 	})
 }
 
-// logAnswer says what a user is told of a job, and on what that rests.
-func (s *Service) logAnswer(status *protocol.JobStatus) {
-	s.Log.Debug("job answered", "job", status.ID, "stage", status.Stage, "done", status.Done,
+// logStatus logs the status returned to a user, with the revision and the staleness of the
+// view that it is based on.
+func (s *Service) logStatus(status *protocol.JobStatus) {
+	s.Log.Debug("job status returned", "job", status.ID, "stage", status.Stage, "done", status.Done,
 		"revision", s.Replica.Revision(), "staleness", s.Replica.Staleness())
 }
 
-// checkRequest returns the error of a request about a job that need not be looked up.
+// checkRequest returns an error if a request can be answered without looking up the job:
+// the job ID is invalid or the records have not been read.
 func (s *Service) checkRequest(id string) error {
 	if !protocol.ValidJobID(id) {
 		return &api.NotFoundError{Job: id}
@@ -36,12 +38,13 @@
 	return s.checkReady(id)
 }
 
-// lookup finds out what has become of a job, as of now or later; api.NotFoundError means
-// that it was never accepted. The view is brought up to date first. A job moves from the
-// view to its final record in one transaction, so one that the view does not have either
-// has ended, and its final record can be read, or was not accepted when the question came.
+// lookup returns the status of a job at the time of the call or later. An
+// api.NotFoundError means that the job was never accepted. The view is synced first. A
+// single transaction replaces a job's record by its final record, so a job that the synced
+// view lacks either has ended, and its final record can be read, or had not been accepted
+// when the request arrived.
 func (s *Service) lookup(id string, done func(*protocol.JobStatus, error)) {
-	if final, ended := s.finals.get(id); ended {
+	if final, ended := s.finalRecords.get(id); ended {
 		done(statusOfEnded(id, final), nil)
 		return
 	}
@@ -67,15 +70,15 @@
 	})
 }
 
-// lookupUnfinished describes a job that the view, brought up to date a moment ago, knows
-// to be unfinished. Whether it is cancelled with a dependency follows from the final
-// records of those that have ended: they are read before anything is said.
+// lookupUnfinished returns the status of a job that is unfinished in the synced view.
+// Whether the job is cancelled because of a dependency depends on the final records of its
+// ended dependencies, so these are read first.
 func (s *Service) lookupUnfinished(job *storage.Job, done func(*protocol.JobStatus, error)) {
 	s.outcomes.readAll(s.View.UnreadOutcomesUpstream(job), func(err error) {
 		switch {
 		case err != nil:
 			done(nil, storeError(job.ID, err))
-		case job.Ended(): // since
+		case job.Ended(): // while the outcomes were read
 			s.lookup(job.ID, done)
 		default:
 			done(statusOfUnfinished(job), nil)
@@ -87,7 +90,8 @@
 	return &protocol.JobStatus{ID: id, Stage: final.Stage, Done: final.CompletedTasks}
 }
 
-// statusOfUnfinished describes a job known to be unfinished; the counts are for display.
+// statusOfUnfinished returns the status of a job known to be unfinished; the counts are for
+// display only.
 func statusOfUnfinished(job *storage.Job) *protocol.JobStatus {
 	status := &protocol.JobStatus{ID: job.ID, Stage: protocol.StageQueued, Done: job.CompletedCount, Running: job.RunningTasks()}
 	switch {
--- a/internal/coordination/jobs/submit.go
+++ b/internal/coordination/jobs/submit.go
@@ -10,8 +10,9 @@
 	"rockrun/internal/storage"
 )
 
-// Submit takes a job. It is accepted once its record is durable; the record's key, which
-// must not exist yet, makes a repeat harmless.
+// Submit handles a submission. A job is accepted once its record is durable. The
+// precondition that the record's key does not exist yet makes a repeated submission
+// harmless.
 func (s *Service) Submit(body []byte, reply func(api.Answer)) {
 	spec, err := protocol.ParseSubmission(body)
 	if err != nil {
@@ -22,48 +23,51 @@
 		reply(api.FromError(err))
 		return
 	}
-	// A repeat of a known job is answered before anything else is checked: what was
-	// accepted once must not be refused later.
-	if s.known(spec.ID) {
-		s.answerRepeat(spec.ID, undecided(spec.ID), reply)
+	// A repeated submission of a known job is answered before any other check: an accepted
+	// job must not be refused later.
+	if s.knownAccepted(spec.ID) {
+		s.answerRepeat(spec.ID, undecidedError(spec.ID), reply)
 		return
 	}
 	if err := s.checkSatisfiable(spec); err != nil {
 		reply(api.FromError(err))
 		return
 	}
-	s.checkDependencies(spec.Dependencies, func(verdict dependencyVerdict) {
-		switch verdict {
-		case dependencyImpossible:
+	s.checkDependencies(spec.Dependencies, func(state dependencyState) {
+		switch state {
+		case dependencyInvalid:
 			reply(api.FromError(&api.UnsatisfiableError{Job: spec.ID, Reason: api.ErrImpossibleDependency}))
 		case dependencyUndecided:
 			reply(api.FromError(storeError(spec.ID, nil)))
 		default:
-			s.accept(spec, verdict == dependencyCancelled, reply)
+			s.accept(spec, state == dependencyCancelled, reply)
 		}
 	})
 }
 
-// known reports whether a job is known here to have been accepted.
-func (s *Service) known(id string) bool {
-	if _, ended := s.finals.get(id); ended {
+// knownAccepted reports whether this controller's view or cache shows that a job was
+// accepted.
+func (s *Service) knownAccepted(id string) bool {
+	if _, ended := s.finalRecords.get(id); ended {
 		return true
 	}
 	_, job := s.View.Jobs.Find(id)
 	return job != nil && !job.Ended()
 }
 
-// undecided says that a job changed while it was looked at.
-func undecided(job string) error { return &api.RetryLaterError{Reason: api.ErrUndecided, Job: job} }
+// undecidedError returns the error for a job that changed while its request was processed.
+func undecidedError(job string) error {
+	return &api.RetryLaterError{Reason: api.ErrUndecided, Job: job}
+}
 
-// answerRepeat answers a submission with what has become of its job, or with an error
-// where the job was never accepted.
-func (s *Service) answerRepeat(id string, neverAccepted error, reply func(api.Answer)) {
+// answerRepeat answers a repeated submission with the stage of the job, or with
+// notAcceptedErr if the job was never accepted.
+func (s *Service) answerRepeat(id string, notAcceptedErr error, reply func(api.Answer)) {
 	s.lookup(id, func(status *protocol.JobStatus, err error) {
 		var notFound *api.NotFoundError
 		switch {
 		case errors.As(err, &notFound):
-			reply(api.FromError(neverAccepted))
+			reply(api.FromError(notAcceptedErr))
 		case err != nil:
 			reply(api.FromError(err))
 		default:
@@ -72,13 +76,13 @@
 	})
 }
 
-// receipt is the answer about a job that is known.
+// receipt returns the answer to a submission or cancellation of an accepted job.
 func receipt(job, stage string) api.Answer {
 	return api.OK(protocol.JobReceipt{ID: job, Stage: stage})
 }
 
-// accept makes a job durable. One that depends on a cancelled job is accepted as
-// cancelled: its final record is all there ever is of it.
+// accept makes a job durable. A job that depends on a cancelled job is accepted as
+// cancelled: only its final record is written.
 func (s *Service) accept(spec *protocol.JobSpec, cancelled bool, reply func(api.Answer)) {
 	now := s.Generation.Wall().UnixMilli()
 	put := protocol.Operation{Put: storage.JobKey(spec.ID), Value: storage.Encode(storage.JobRecord{Spec: *spec, SubmittedAtMS: now})}
@@ -107,9 +111,9 @@
 			}
 			reply(api.Created(protocol.JobReceipt{ID: spec.ID, Stage: stage}))
 		case errors.Is(err, protocol.ErrConflict):
-			s.answerRepeat(spec.ID, undecided(spec.ID), reply)
+			s.answerRepeat(spec.ID, undecidedError(spec.ID), reply)
 		case errors.Is(err, protocol.ErrRejected):
-			// It may have been accepted when longer values fitted.
+			// The job may have been accepted when the limit of a value was higher.
 			s.answerRepeat(spec.ID, tooLong, reply)
 		default:
 			reply(api.FromError(storeError(spec.ID, err)))
@@ -117,47 +121,47 @@
 	})
 }
 
-// checkSatisfiable returns an error for a job that can never run, or of which that cannot
-// be told yet.
+// checkSatisfiable returns an error for a job that can never run, or for any job while the
+// machine types are not known.
 func (s *Service) checkSatisfiable(spec *protocol.JobSpec) error {
 	if s.View.MachineTypesVersion == 0 {
 		return &api.RetryLaterError{Reason: api.ErrMachineTypesUnknown, Job: spec.ID}
 	}
-	never := func(reason api.UnsatisfiableReason) error {
+	unsatisfiable := func(reason api.UnsatisfiableReason) error {
 		return &api.UnsatisfiableError{Job: spec.ID, Reason: reason}
 	}
 	team := s.View.TeamNames.Lookup(spec.Team)
 	switch {
 	case slices.Contains(spec.Dependencies, spec.ID):
-		return never(api.ErrDependsOnItself)
+		return unsatisfiable(api.ErrDependsOnItself)
 	case team < 0:
-		return never(api.ErrUnknownTeam)
-	case !slices.ContainsFunc(s.View.MachineTypes, func(t protocol.MachineType) bool { return mayRunOn(spec, &t) }):
-		return never(api.ErrNoFittingMachineType)
+		return unsatisfiable(api.ErrUnknownTeam)
+	case !slices.ContainsFunc(s.View.MachineTypes, func(t protocol.MachineType) bool { return fitsMachineType(spec, &t) }):
+		return unsatisfiable(api.ErrNoFittingMachineType)
 	case exceedsMaximums(spec, &s.View.Teams[team]):
-		return never(api.ErrMoreThanTeamsMaximums)
+		return unsatisfiable(api.ErrMoreThanTeamsMaximums)
 	}
 	return nil
 }
 
-// mayRunOn reports whether a task of a job fits an empty machine of a type that the job
-// allows.
-func mayRunOn(spec *protocol.JobSpec, t *protocol.MachineType) bool {
-	if t.CPUs <= 0 || spec.CPUs > t.CPUs || spec.GPUs > t.GPUs || spec.MemoryGB > t.MemoryGB {
+// fitsMachineType reports whether the job allows a machine type and one of its tasks fits an
+// empty machine of that type.
+func fitsMachineType(spec *protocol.JobSpec, machineType *protocol.MachineType) bool {
+	if machineType.CPUs <= 0 || spec.CPUs > machineType.CPUs || spec.GPUs > machineType.GPUs || spec.MemoryGB > machineType.MemoryGB {
 		return false
 	}
-	if len(spec.Types) > 0 && !slices.Contains(spec.Types, t.Name) {
+	if len(spec.Types) > 0 && !slices.Contains(spec.Types, machineType.Name) {
 		return false
 	}
-	return spec.Zone == "" || slices.Contains(t.Zones, spec.Zone)
+	return spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)
 }
 
-// exceedsMaximums reports whether what must run at once of a job is more than its team may
-// use: one task of an array, all tasks of any other.
+// exceedsMaximums reports whether the tasks of a job that must run at the same time (one
+// task of an array, all tasks of any other kind) exceed the maximum quota of its team.
 func exceedsMaximums(spec *protocol.JobSpec, team *storage.Team) bool {
-	atOnce := 1.0
+	concurrentTasks := 1.0
 	if spec.Kind != protocol.KindArray {
-		atOnce = float64(spec.Tasks)
+		concurrentTasks = float64(spec.Tasks)
 	}
-	return quota.Exceeds(spec.CPUs*atOnce, team.MaxCPUs) || quota.Exceeds(spec.GPUs*atOnce, team.MaxGPUs)
+	return quota.Exceeds(spec.CPUs*concurrentTasks, team.MaxCPUs) || quota.Exceeds(spec.GPUs*concurrentTasks, team.MaxGPUs)
 }
