--- a/internal/coordination/fixture_test.go
+++ b/internal/coordination/fixture_test.go
@@ -87,7 +87,8 @@
 	}
 	return statuses
 }
-func (b *testController) Ask(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {}
+func (b *testController) SendRequest(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {
+}
 
 // firstPage is the first page of the only job shard.
 var firstPage = storage.PageID{}
--- a/internal/coordination/jobs/cancel.go
+++ b/internal/coordination/jobs/cancel.go
@@ -52,7 +52,7 @@
 		switch {
 		case err == nil:
 			s.Log.Debug("cancellation confirmed", "job", id, "revision", revision)
-			s.Remember(id, final)
+			s.RecordOutcome(id, final)
 			s.propagateCancellation(id)
 			reply(receipt(id, final.Stage))
 		case errors.Is(err, protocol.ErrConflict) && attemptsLeft > 1:
--- a/internal/coordination/jobs/cancel_test.go
+++ b/internal/coordination/jobs/cancel_test.go
@@ -24,7 +24,7 @@
 		{"unfinished, not in the view", func(f *fixture) { f.storeUnseenJob("run-5", protocol.KindArray) }, "run-5", http.StatusOK, protocol.StageCancelled, true},
 		{"done, in the store only", func(f *fixture) { f.storeFinalRecord("run-5", protocol.StageDone) }, "run-5", http.StatusOK, protocol.StageDone, false},
 		{"cancelled by another controller", func(f *fixture) { f.storeFinalRecord("run-5", protocol.StageCancelled) }, "run-5", http.StatusOK, protocol.StageCancelled, true},
-		{"done, cached", func(f *fixture) { f.service.Remember("run-5", storage.FinalRecord{Stage: protocol.StageDone}) }, "run-5", http.StatusOK, protocol.StageDone, false},
+		{"done, cached", func(f *fixture) { f.service.RecordOutcome("run-5", storage.FinalRecord{Stage: protocol.StageDone}) }, "run-5", http.StatusOK, protocol.StageDone, false},
 		{"never accepted", func(*fixture) {}, "run-5", http.StatusNotFound, "", false},
 		{"store unavailable", func(f *fixture) { f.storeErr = protocol.ErrNotExecuted }, "run-1", http.StatusServiceUnavailable, "", false},
 		{"done before the transaction", func(f *fixture) {
@@ -98,7 +98,7 @@
 		t.Errorf("StopInactive called %d times, SchedulePass %d times; want 1 each", f.stopCalls, f.passRequests)
 	}
 	f.expectAnswer("dependent", f.status("run-20"), http.StatusOK, protocol.StageCancelled)
-	if got := f.service.Counters(); got != (Counters{CancelledWithAnother: 1}) {
+	if got := f.service.Counters(); got != (Counters{CancelledByDependency: 1}) {
 		t.Errorf("counters: %+v", got)
 	}
 }
--- a/internal/coordination/jobs/fixture_test.go
+++ b/internal/coordination/jobs/fixture_test.go
@@ -60,7 +60,7 @@
 func (f *fixture) StopInactive()                                { f.stopCalls++ }
 func (f *fixture) SchedulePass()                                { f.passRequests++ }
 
-func (f *fixture) Ask(controller string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
+func (f *fixture) SendRequest(controller string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	f.notified[controller] = request.Cancelled
 	done(protocol.PeerAnswer{}, f.peerErr)
 }
--- a/internal/coordination/jobs/notices.go
+++ b/internal/coordination/jobs/notices.go
@@ -70,7 +70,7 @@
 func (n *cancellationNotices) sendQueue(queue *noticeQueue) {
 	sent := queue.jobs
 	queue.jobs = nil
-	n.peers.Ask(queue.controller, protocol.PeerRequest{Cancelled: sent}, func(_ protocol.PeerAnswer, err error) {
+	n.peers.SendRequest(queue.controller, protocol.PeerRequest{Cancelled: sent}, func(_ protocol.PeerAnswer, err error) {
 		if err != nil {
 			queue.jobs = append(sent, queue.jobs...)
 			queue.dropOldest()
--- a/internal/coordination/jobs/outcomes.go
+++ b/internal/coordination/jobs/outcomes.go
@@ -159,7 +159,7 @@
 		}
 		final, err := storage.DecodeFinal(record.Value)
 		if err == nil {
-			s.Remember(id, final)
+			s.RecordOutcome(id, final)
 		}
 		done(final, err == nil, err)
 	})
--- a/internal/coordination/jobs/outcomes_test.go
+++ b/internal/coordination/jobs/outcomes_test.go
@@ -103,7 +103,7 @@
 	for i := range dependents {
 		f.applyJob(protocol.JobSpec{ID: fmt.Sprintf("run-2%02d", i), Tasks: 1, CPUs: 1, Dependencies: []string{"run-7"}})
 	}
-	f.service.Remember("run-7", storage.FinalRecord{Stage: protocol.StageCancelled})
+	f.service.RecordOutcome("run-7", storage.FinalRecord{Stage: protocol.StageCancelled})
 	f.holdCommits = true
 	for range 20 {
 		f.now += time.Second
@@ -120,7 +120,7 @@
 	if written != dependents {
 		t.Errorf("%d final records written; want %d", written, dependents)
 	}
-	if got := f.service.Counters(); got != (Counters{CancelledWithAnother: dependents}) {
+	if got := f.service.Counters(); got != (Counters{CancelledByDependency: dependents}) {
 		t.Errorf("counters: %+v", got)
 	}
 }
@@ -130,7 +130,7 @@
 func TestCancelledDependentsWriteRetry(t *testing.T) {
 	f := newFixture(t)
 	f.applyJob(protocol.JobSpec{ID: "run-20", Tasks: 1, CPUs: 1, Dependencies: []string{"run-7"}})
-	f.service.Remember("run-7", storage.FinalRecord{Stage: protocol.StageCancelled})
+	f.service.RecordOutcome("run-7", storage.FinalRecord{Stage: protocol.StageCancelled})
 	f.storeErr = protocol.ErrOutcomeUnknown
 	f.service.WriteCancelledDependents()
 	f.storeErr = nil
--- a/internal/coordination/jobs/service.go
+++ b/internal/coordination/jobs/service.go
@@ -30,9 +30,9 @@
 
 // Peers sends requests to other controllers.
 type Peers interface {
-	// Ask sends a request to a controller; done is called later on this controller's
+	// SendRequest sends a request to a controller; done is called later on this controller's
 	// goroutine.
-	Ask(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
+	SendRequest(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
 }
 
 // Config holds what a Service uses for the life of the process.
@@ -83,7 +83,7 @@
 	former := s.outcomes
 	s.GenerationConfig = c
 	s.notices = newCancellationNotices(c.Generation, s.Peers, s.PeerNames)
-	s.dependentsWriter = newDependentsWriter(s.Config, c, s.Remember)
+	s.dependentsWriter = newDependentsWriter(s.Config, c, s.RecordOutcome)
 	if former != nil {
 		former.failWaiters()
 	}
@@ -108,9 +108,9 @@
 // dependency was cancelled. It must be called at the end of every reconcile pass.
 func (s *Service) WriteCancelledDependents() { s.dependentsWriter.writeDueRecords() }
 
-// Remember caches a durable final record of a job and applies the outcome to the view and
+// RecordOutcome caches a durable final record of a job and applies the outcome to the view and
 // the job's dependents.
-func (s *Service) Remember(job string, final storage.FinalRecord) {
+func (s *Service) RecordOutcome(job string, final storage.FinalRecord) {
 	s.finalRecords.add(job, final)
 	s.applyOutcome(job, final)
 }
@@ -132,8 +132,8 @@
 // Counters counts the jobs, in shards held by this controller, that were released or
 // cancelled by a dependency.
 type Counters struct {
-	Released             uint64 // became startable when their last dependency was done
-	CancelledWithAnother uint64 // cancelled because a dependency was cancelled
+	Released              uint64 // became startable when their last dependency was done
+	CancelledByDependency uint64 // cancelled because a dependency was cancelled
 }
 
 type counters struct{ released, cancelledByDependency atomic.Uint64 }
@@ -141,7 +141,7 @@
 // Counters returns the counts since the process started; it may be called from any
 // goroutine.
 func (s *Service) Counters() Counters {
-	return Counters{Released: s.counters.released.Load(), CancelledWithAnother: s.counters.cancelledByDependency.Load()}
+	return Counters{Released: s.counters.released.Load(), CancelledByDependency: s.counters.cancelledByDependency.Load()}
 }
 
 // CountAwaitingDependencies counts the unfinished jobs in shards held by this controller
--- a/internal/coordination/jobs/submit.go
+++ b/internal/coordination/jobs/submit.go
@@ -107,7 +107,7 @@
 			s.Log.Debug("submission accepted", "job", spec.ID, "stage", stage, "revision", revision)
 			s.recent.add(spec.ID, spec.Kind, s.Generation.Now())
 			if cancelled {
-				s.Remember(spec.ID, final)
+				s.RecordOutcome(spec.ID, final)
 			}
 			reply(api.Created(protocol.JobReceipt{ID: spec.ID, Stage: stage}))
 		case errors.Is(err, protocol.ErrConflict):
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -186,7 +186,7 @@
 // silentPeers never answer.
 type silentPeers struct{}
 
-func (silentPeers) Ask(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {}
+func (silentPeers) SendRequest(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {}
 
 func (l *testLeader) reporter(holdings *testHoldings) *Reporter {
 	limits := config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 100, ValueKiB: 8, TransactionOperations: 8}.Limits()
--- a/internal/coordination/membership/reporter.go
+++ b/internal/coordination/membership/reporter.go
@@ -19,8 +19,8 @@
 // Peers carries messages to other controllers. done is called later on the controller's
 // goroutine.
 type Peers interface {
-	// Ask sends a request to one controller.
-	Ask(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
+	// SendRequest sends a request to one controller.
+	SendRequest(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
 }
 
 // Leases are the shard leases that a reply of the leader extends.
@@ -109,7 +109,7 @@
 		r.OnReply(registry.OnHeartbeat(h))
 		return
 	}
-	r.Peers.Ask(view.Leader.Controller, protocol.PeerRequest{Heartbeat: h}, func(a protocol.PeerAnswer, err error) {
+	r.Peers.SendRequest(view.Leader.Controller, protocol.PeerRequest{Heartbeat: h}, func(a protocol.PeerAnswer, err error) {
 		if err == nil && a.Reply != nil && !r.Generation.Ended() {
 			r.OnReply(a.Reply)
 		}
--- a/internal/coordination/reconcile/completion.go
+++ b/internal/coordination/reconcile/completion.go
@@ -109,7 +109,7 @@
 			return
 		}
 		progress.endWrite.Written(revision)
-		r.Outcomes.Remember(job.ID, final)
+		r.Outcomes.RecordOutcome(job.ID, final)
 		r.Log.Debug("job done", "job", job.ID)
 	})
 }
--- a/internal/coordination/reconcile/config.go
+++ b/internal/coordination/reconcile/config.go
@@ -33,8 +33,8 @@
 
 // Outcomes records how jobs ended.
 type Outcomes interface {
-	// Remember records the final record of a job, which is durable.
-	Remember(job string, final storage.FinalRecord)
+	// RecordOutcome records the final record of a job, which is durable.
+	RecordOutcome(job string, final storage.FinalRecord)
 }
 
 // Config holds the dependencies and settings of a Reconciler.
--- a/internal/coordination/reconcile/fixture_test.go
+++ b/internal/coordination/reconcile/fixture_test.go
@@ -43,7 +43,9 @@
 func (f *fixture) OpenLease(time.Duration, func(uint64, error))     {}
 func (f *fixture) RenewLease(uint64, func(error))                   {}
 func (f *fixture) RevokeLease(uint64, func(error))                  {}
-func (f *fixture) Remember(job string, _ storage.FinalRecord)       { f.endedJobs = append(f.endedJobs, job) }
+func (f *fixture) RecordOutcome(job string, _ storage.FinalRecord) {
+	f.endedJobs = append(f.endedJobs, job)
+}
 
 func (f *fixture) List(_, _ string, done func(protocol.KeyValuePage, error)) {
 	done(protocol.KeyValuePage{}, nil)
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -48,7 +48,7 @@
 		Standing:                  standing,
 		Passes:                    c.stats.passes.Load(),
 		JobsReleased:              counters.Released,
-		JobsCancelledByDependency: counters.CancelledWithAnother,
+		JobsCancelledByDependency: counters.CancelledByDependency,
 		JobsAwaitingDependencies:  c.stats.jobsAwaitingDependencies.Load(),
 		OversizedValues:           c.stats.oversizedValues.Load(),
 	}
--- a/internal/scenario/peer_link.go
+++ b/internal/scenario/peer_link.go
@@ -12,8 +12,8 @@
 // peerLink is a process's way to other controllers.
 type peerLink struct{ process *process }
 
-// Ask implements coordination.Peers.
-func (l peerLink) Ask(peer string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
+// SendRequest implements coordination.Peers.
+func (l peerLink) SendRequest(peer string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	from := l.process.host
 	sim := from.sim
 	sim.trace.asked(from.name, peer, request)
--- a/internal/transport/granting_cluster_test.go
+++ b/internal/transport/granting_cluster_test.go
@@ -100,9 +100,9 @@
 func (g *grantingCluster) Execute(string, protocol.CommandRequest, func(*protocol.AgentHeartbeat, bool, error)) {
 }
 
-// Ask implements membership.Peers: the first heartbeat tells the incarnation that
+// SendRequest implements membership.Peers: the first heartbeat tells the incarnation that
 // the grant must name.
-func (g *grantingCluster) Ask(_ string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
+func (g *grantingCluster) SendRequest(_ string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	if request.Heartbeat == nil {
 		return
 	}
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -30,9 +30,9 @@
 	return p
 }
 
-// Ask implements membership.Peers. While a request to a controller is under way another one
+// SendRequest implements membership.Peers. While a request to a controller is under way another one
 // to it is refused, so that no queue of them builds up.
-func (p *PeerCalls) Ask(controller string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
+func (p *PeerCalls) SendRequest(controller string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	link := p.links[controller]
 	if link == nil {
 		err := fmt.Errorf("%w: no controller %s", protocol.ErrNotExecuted, controller)
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -31,7 +31,7 @@
 	request := protocol.PeerRequest{Heartbeat: &protocol.PeerHeartbeat{
 		Controller: "a", Term: 6, Machines: []protocol.MachineStatus{{Name: "m-1"}},
 	}}
-	calls.Ask(controller, request, func(answer protocol.PeerAnswer, err error) { outcomes <- outcome{answer, err} })
+	calls.SendRequest(controller, request, func(answer protocol.PeerAnswer, err error) { outcomes <- outcome{answer, err} })
 	o := <-outcomes
 	return o.answer, o.err
 }
@@ -72,7 +72,7 @@
 	silent := listen(t, freePort) // takes connections and never answers
 	calls := NewPeerCalls(loop, map[string]string{"b": silent.Addr().String()})
 	first := make(chan error, 1)
-	calls.Ask("b", protocol.PeerRequest{}, func(_ protocol.PeerAnswer, err error) { first <- err })
+	calls.SendRequest("b", protocol.PeerRequest{}, func(_ protocol.PeerAnswer, err error) { first <- err })
 	if _, err := heartbeatTo(calls, "b"); !errors.Is(err, protocol.ErrNotExecuted) {
 		t.Errorf("a second request: %v", err)
 	}
