--- a/internal/coordination/quota/guarantee.go
+++ b/internal/coordination/quota/guarantee.go
@@ -2,29 +2,29 @@
 
 import "rockrun/internal/storage"
 
-// Guarantees works out which jobs are within their teams' guarantees, one job after the
-// other: the earlier ones of a team use up its guarantee first. Each job shard has its own
-// share of it.
+// Guarantees determines which jobs are within their teams' guaranteed quota. Jobs claim the
+// guarantee of their team in the order of the Claim calls. Each job shard has its own part
+// of a guarantee.
 type Guarantees struct {
 	view    *storage.View
-	claimed map[int][]Usage // by job shard and team: what the jobs so far take
+	claimed map[int][]Usage // by job shard and team: usage claimed by the jobs so far
 }
 
-// NewGuarantees begins with no job.
+// NewGuarantees returns a Guarantees without any claims.
 func NewGuarantees(view *storage.View) *Guarantees {
 	return &Guarantees{view: view, claimed: map[int][]Usage{}}
 }
 
-// Claim takes in a job with a number of tasks that are not completed, and reports whether
-// they are within the guarantee of its team, beside what its earlier jobs claimed.
-func (g *Guarantees) Claim(j *storage.Job, remaining int) bool {
-	if g.claimed[j.Shard] == nil {
-		g.claimed[j.Shard] = make([]Usage, len(g.view.Teams))
+// Claim adds a job's uncompleted tasks to the claims of its team and reports whether the
+// team's claims in the job's shard are within the shard's part of the guarantee.
+func (g *Guarantees) Claim(job *storage.Job, remaining int) bool {
+	if g.claimed[job.Shard] == nil {
+		g.claimed[job.Shard] = make([]Usage, len(g.view.Teams))
 	}
-	team, claimed := &g.view.Teams[j.TeamIndex], &g.claimed[j.Shard][j.TeamIndex]
-	claimed.Add(j, float64(remaining))
-	if !team.HasGuarantee || claimed.CPUs > g.view.QuotaShare(team, j.Shard, team.GuaranteedCPUs)+storage.RoundingTolerance {
+	team, teamUsage := &g.view.Teams[job.TeamIndex], &g.claimed[job.Shard][job.TeamIndex]
+	teamUsage.Add(job, float64(remaining))
+	if !team.HasGuarantee || teamUsage.CPUs > g.view.QuotaShare(team, job.Shard, team.GuaranteedCPUs)+storage.RoundingTolerance {
 		return false
 	}
-	return j.GPUs == 0 || claimed.GPUs <= g.view.QuotaShare(team, j.Shard, team.GuaranteedGPUs)+storage.RoundingTolerance
+	return job.GPUs == 0 || teamUsage.GPUs <= g.view.QuotaShare(team, job.Shard, team.GuaranteedGPUs)+storage.RoundingTolerance
 }
--- a/internal/coordination/quota/quota.go
+++ b/internal/coordination/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota keeps teams within their maximum and gives them what they are guaranteed.
-// Each job shard works with its own part of every quota; the leader's Splitter moves parts
-// to where they are needed, and a team's parts never sum above the whole.
+// Package quota enforces the maximum quota of teams and tracks their guaranteed quota. Each
+// job shard has its own part of every quota. The leader's Splitter reassigns quota to the
+// job shards that need it; the parts of a team never add up to more than its quota.
 package quota
 
 import (
@@ -9,54 +9,57 @@
 	"rockrun/internal/storage"
 )
 
-// Usage is what a team's tasks use, or wait for.
+// Usage is the resources that a team's tasks use or request.
 type Usage struct{ CPUs, GPUs float64 }
 
-// Add adds what a number of tasks of a job take; a negative number takes it off.
-func (u *Usage) Add(j *storage.Job, tasks float64) {
-	u.CPUs += tasks * j.CPUs
-	u.GPUs += tasks * j.GPUs
+// Add adds the resources of the given number of tasks of a job; a negative number subtracts
+// them.
+func (u *Usage) Add(job *storage.Job, tasks float64) {
+	u.CPUs += tasks * job.CPUs
+	u.GPUs += tasks * job.GPUs
 }
 
-// Exceeds reports whether an amount is above a maximum; 0 is no maximum.
+// Exceeds reports whether an amount is above a maximum; a maximum of 0 means unlimited.
 func Exceeds(amount, maximum float64) bool {
 	return maximum > 0 && amount > maximum+storage.RoundingTolerance
 }
 
-// Within reports whether an amount keeps a shard's share of a maximum; a maximum of 0
-// is none.
-func Within(amount, maximum, share float64) bool {
-	return maximum <= 0 || amount <= share+storage.RoundingTolerance
+// WithinPart reports whether an amount is within a shard's part of a maximum; a maximum of 0
+// means unlimited.
+func WithinPart(amount, maximum, part float64) bool {
+	return maximum <= 0 || amount <= part+storage.RoundingTolerance
 }
 
-// ShardWithin reports whether a team's usage in a job shard is within the shard's share of
+// ShardWithin reports whether a team's usage in a job shard is within the shard's part of
 // the team's maximum.
-func ShardWithin(view *storage.View, team *storage.Team, shard int, u Usage) bool {
-	return Within(u.CPUs, team.MaxCPUs, view.QuotaShare(team, shard, team.MaxCPUs)) &&
-		Within(u.GPUs, team.MaxGPUs, view.QuotaShare(team, shard, team.MaxGPUs))
+func ShardWithin(view *storage.View, team *storage.Team, shard int, usage Usage) bool {
+	return WithinPart(usage.CPUs, team.MaxCPUs, view.QuotaShare(team, shard, team.MaxCPUs)) &&
+		WithinPart(usage.GPUs, team.MaxGPUs, view.QuotaShare(team, shard, team.MaxGPUs))
 }
 
-// guaranteedPart is a team's guarantee in parts of its maximum, of storage.WholeQuota.
-func guaranteedPart(t *storage.Team) int {
-	part := 1.0
-	if t.MaxCPUs > 0 && t.GuaranteedCPUs > 0 {
-		part = min(part, t.GuaranteedCPUs/t.MaxCPUs)
+// guaranteedFraction returns a team's guarantee as a fraction of its maximum, in units of
+// 1/storage.WholeQuota. The smaller of the fractions for CPUs and GPUs counts.
+func guaranteedFraction(team *storage.Team) int {
+	fraction := 1.0
+	if team.MaxCPUs > 0 && team.GuaranteedCPUs > 0 {
+		fraction = min(fraction, team.GuaranteedCPUs/team.MaxCPUs)
 	}
-	if t.MaxGPUs > 0 && t.GuaranteedGPUs > 0 {
-		part = min(part, t.GuaranteedGPUs/t.MaxGPUs)
+	if team.MaxGPUs > 0 && team.GuaranteedGPUs > 0 {
+		fraction = min(fraction, team.GuaranteedGPUs/team.MaxGPUs)
 	}
-	return int(part * storage.WholeQuota)
+	return int(fraction * storage.WholeQuota)
 }
 
-// partOf is an amount in parts of a team's maximum, or of its guarantee where it has no
-// maximum: at most storage.WholeQuota, and 0 where it has neither.
-func partOf(amount, maximum, guarantee float64) int {
-	whole := maximum
-	if whole <= 0 {
-		whole = guarantee
+// fractionOfQuota returns an amount as a fraction of a team's maximum, or of its guarantee if
+// it has no maximum, in units of 1/storage.WholeQuota. The result is at most
+// storage.WholeQuota, and 0 if the team has neither.
+func fractionOfQuota(amount, maximum, guarantee float64) int {
+	total := maximum
+	if total <= 0 {
+		total = guarantee
 	}
-	if whole <= 0 {
+	if total <= 0 {
 		return 0
 	}
-	return int(min(math.Ceil(amount/whole*storage.WholeQuota), storage.WholeQuota))
+	return int(min(math.Ceil(amount/total*storage.WholeQuota), storage.WholeQuota))
 }
--- a/internal/coordination/quota/quota_test.go
+++ b/internal/coordination/quota/quota_test.go
@@ -17,89 +17,89 @@
 	"rockrun/internal/storage"
 )
 
-// TestWithin: what is within a maximum and a share of it, at their borders.
-func TestWithin(t *testing.T) {
+// TestWithinAndExceeds checks amounts at the bounds of a maximum and of a shard's part of it.
+func TestWithinAndExceeds(t *testing.T) {
 	for _, c := range []struct {
-		name                   string
-		amount, maximum, share float64
-		within, exceeds        bool
+		name                  string
+		amount, maximum, part float64
+		within, exceeds       bool
 	}{
 		{"no maximum", 100, 0, 0, true, false},
-		{"at the share", 4, 8, 4, true, false},
-		{"rounded sums at the share", 0.1 + 0.2, 0.3, 0.3, true, false},
-		{"above the share", 5, 8, 4, false, false},
+		{"equal to the part", 4, 8, 4, true, false},
+		{"rounded sum equal to the part", 0.1 + 0.2, 0.3, 0.3, true, false},
+		{"above the part", 5, 8, 4, false, false},
 		{"above the maximum", 9, 8, 8, false, true},
 	} {
-		if got := Within(c.amount, c.maximum, c.share); got != c.within {
-			t.Errorf("%s: within %t", c.name, got)
+		if got := WithinPart(c.amount, c.maximum, c.part); got != c.within {
+			t.Errorf("%s: within the part: %t", c.name, got)
 		}
 		if got := Exceeds(c.amount, c.maximum); got != c.exceeds {
-			t.Errorf("%s: exceeds %t", c.name, got)
+			t.Errorf("%s: exceeds the maximum: %t", c.name, got)
 		}
 	}
 }
 
 const half, quarter = storage.WholeQuota / 2, storage.WholeQuota / 4
 
-// TestSplit: how a quota is split among two job shards. Services are in the second.
+// TestSplit checks how a quota is split between two job shards. The second holds services.
 func TestSplit(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		present    []int
-		demands    []Demand
-		guaranteed int
-		settled    bool
-		check      func(next []int) bool
+		name         string
+		current      []int
+		demands      []Demand
+		guaranteed   int
+		acknowledged bool
+		check        func(next []int) bool
 	}{
-		{"a first split gives each what it uses", nil, []Demand{{Used: half}, {Used: quarter}}, storage.WholeQuota, false,
+		{"first split covers the usage of each shard", nil, []Demand{{Used: half}, {Used: quarter}}, storage.WholeQuota, false,
 			func(next []int) bool { return next[0] >= half && next[1] >= quarter }},
-		{"services come first where both wait for more than there is", nil,
-			[]Demand{{Waiting: storage.WholeQuota}, {Waiting: storage.WholeQuota}}, storage.WholeQuota, false,
+		{"services have precedence when pending demand exceeds the quota", nil,
+			[]Demand{{Pending: storage.WholeQuota}, {Pending: storage.WholeQuota}}, storage.WholeQuota, false,
 			func(next []int) bool { return next[1] == storage.WholeQuota && next[0] == 0 }},
-		{"nothing changes while not all keep to the present split", []int{half, half},
-			[]Demand{{Used: half, Waiting: half}, {}}, storage.WholeQuota, false,
+		{"split unchanged while not all holders acknowledge it", []int{half, half},
+			[]Demand{{Used: half, Pending: half}, {}}, storage.WholeQuota, false,
 			func(next []int) bool { return slices.Equal(next, []int{half, half}) }},
-		{"nothing changes where nobody lacks", []int{half, half}, []Demand{{Used: quarter}, {Used: quarter}}, storage.WholeQuota, true,
+		{"split unchanged when no shard is short", []int{half, half}, []Demand{{Used: quarter}, {Used: quarter}}, storage.WholeQuota, true,
 			func(next []int) bool { return slices.Equal(next, []int{half, half}) }},
-		{"what one is to get another gives up first", []int{half, half}, []Demand{{Used: half, Waiting: half}, {}}, storage.WholeQuota, true,
+		{"quota is taken from one shard before another gets it", []int{half, half}, []Demand{{Used: half, Pending: half}, {}}, storage.WholeQuota, true,
 			func(next []int) bool { return next[0] == half && next[1] < half }},
-		{"and then it gets it", []int{half, quarter}, []Demand{{Used: half, Waiting: half}, {}}, storage.WholeQuota, true,
+		{"unassigned quota goes to the shard that is short", []int{half, quarter}, []Demand{{Used: half, Pending: half}, {}}, storage.WholeQuota, true,
 			func(next []int) bool { return next[0] > half }},
 	} {
-		next := split(c.present, c.demands, c.guaranteed, c.settled)
+		next := split(c.current, c.demands, c.guaranteed, c.acknowledged)
 		if !c.check(next) {
-			t.Errorf("%s: %v", c.name, next)
+			t.Errorf("%s: split %v", c.name, next)
 		}
 		if sum := next[0] + next[1]; sum > storage.WholeQuota {
-			t.Errorf("%s: %v is more than there is", c.name, next)
+			t.Errorf("%s: split %v exceeds the whole quota", c.name, next)
 		}
 	}
 }
 
-// TestSplitsNeverExceedTheWhole: however demands change, the shares of a team sum to at
-// most the whole, with each step.
-func TestSplitsNeverExceedTheWhole(t *testing.T) {
+// TestSplitNeverExceedsWholeQuota checks that the parts of a team add up to at most the whole
+// quota after every step of randomly changing demands.
+func TestSplitNeverExceedsWholeQuota(t *testing.T) {
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 5))
-		var present []int
+		var current []int
 		for range 50 {
 			demands := make([]Demand, 3)
 			for i := range demands {
-				demands[i] = Demand{Used: random.IntN(storage.WholeQuota / 3), Waiting: random.IntN(storage.WholeQuota)}
+				demands[i] = Demand{Used: random.IntN(storage.WholeQuota / 3), Pending: random.IntN(storage.WholeQuota)}
 			}
-			present = split(present, demands, random.IntN(storage.WholeQuota), random.IntN(2) == 0)
+			current = split(current, demands, random.IntN(storage.WholeQuota), random.IntN(2) == 0)
 			sum := 0
-			for _, share := range present {
-				sum += share
+			for _, part := range current {
+				sum += part
 			}
 			if sum > storage.WholeQuota {
-				t.Fatalf("seed %d: %v", seed, present)
+				t.Fatalf("seed %d: split %v exceeds the whole quota", seed, current)
 			}
 		}
 	}
 }
 
-// testLeader is a leader whose store records what is written.
+// testLeader is a leader with a store that records the committed transactions.
 type testLeader struct {
 	now       time.Duration
 	committed []protocol.Transaction
@@ -161,10 +161,10 @@
 	}}, l.now)
 }
 
-// TestSharesNeedTheHoldersWord: what a controller said of the split before it was granted
-// a shard says nothing of what is on the machines there. Nobody's share may be raised on
-// that word.
-func TestSharesNeedTheHoldersWord(t *testing.T) {
+// TestPartsGrowOnlyAfterAcknowledgement guards against raising a part because of a heartbeat
+// that a controller sent before it was granted a shard: that heartbeat does not cover the
+// usage on the shard's machines.
+func TestPartsGrowOnlyAfterAcknowledgement(t *testing.T) {
 	const tokenA, tokenB = 5 << 44, 6 << 44
 	l := newTestLeader(storage.Team{Name: "red", MaxCPUs: 8})
 	l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 2})
@@ -175,30 +175,30 @@
 		ID: "run-5", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2, CPUs: 4, MemoryGB: 1,
 	}})
 	version := l.replica.View.QuotaSplitVersion
-	hear := func(controller string, incarnation uint64, tokens ...uint64) {
+	receiveHeartbeat := func(controller string, incarnation uint64, tokens ...uint64) {
 		l.members.OnHeartbeat(&protocol.PeerHeartbeat{
 			Controller: controller, Incarnation: incarnation, QuotaSplitVersion: version, GrantsWithinQuota: tokens,
 		})
 	}
-	hear("a", 3, tokenA)
-	hear("b", 7) // before it was granted the shard
+	receiveHeartbeat("a", 3, tokenA)
+	receiveHeartbeat("b", 7) // sent before b was granted the shard
 	l.splitter.Update()
 	if len(l.committed) != 0 {
-		t.Fatal("a share was raised on a word given before the grant")
+		t.Fatal("a part was raised because of a heartbeat sent before the grant")
 	}
-	hear("b", 7, tokenB)
+	receiveHeartbeat("b", 7, tokenB)
 	l.splitter.Update()
 	if len(l.committed) != 1 {
-		t.Fatal("no share is ever raised")
+		t.Fatal("no part was raised after both holders acknowledged the split")
 	}
-	if n := len(l.committed[0].Conditions); n != 4 {
-		t.Errorf("the split depends on %d records, not on the leader, itself and both grants", n)
+	if count := len(l.committed[0].Conditions); count != 4 {
+		t.Errorf("the write has %d conditions, want 4: the leader, the split and both grants", count)
 	}
 }
 
-// TestOnlyRunnableJobsWait: a job that waits for another has no part of a quota; once the
-// other is done it waits for one.
-func TestOnlyRunnableJobsWait(t *testing.T) {
+// TestOnlyRunnableJobsAddDemand checks that a job has no demand while a dependency is
+// unfinished, and has pending demand once the dependency is done.
+func TestOnlyRunnableJobsAddDemand(t *testing.T) {
 	for _, c := range []struct{ name, kind string }{{"array", protocol.KindArray}, {"service", protocol.KindService}} {
 		t.Run(c.name, func(t *testing.T) {
 			l := newTestLeader(storage.Team{Name: "red", MaxCPUs: 8})
@@ -207,11 +207,11 @@
 				ID: "run-20", Team: "red", Kind: c.kind, Priority: "normal", Tasks: 2, CPUs: 2, Dependencies: []string{"run-7"},
 			}})
 			if d := Demands(l.replica.View)[0][0]; d != (Demand{}) {
-				t.Errorf("while it waits: %+v", d)
+				t.Errorf("demand before the dependency is done: %+v", d)
 			}
 			l.replica.View.SetOutcome("run-7", storage.FinalRecord{Stage: protocol.StageDone})
-			if d := Demands(l.replica.View)[0][0]; d != (Demand{Waiting: half}) {
-				t.Errorf("released: %+v", d)
+			if d := Demands(l.replica.View)[0][0]; d != (Demand{Pending: half}) {
+				t.Errorf("demand after the dependency is done: %+v", d)
 			}
 		})
 	}
--- a/internal/coordination/quota/split.go
+++ b/internal/coordination/quota/split.go
@@ -6,86 +6,90 @@
 	"rockrun/internal/storage"
 )
 
-// Demand is what a team uses in a job shard and waits for there, in parts of
-// storage.WholeQuota.
-type Demand struct{ Used, Waiting int }
+// Demand is a team's used and pending resources in a job shard, in units of
+// 1/storage.WholeQuota of its quota.
+type Demand struct{ Used, Pending int }
 
-// total is what the team needs there.
-func (d Demand) total() int { return d.Used + d.Waiting }
+// total returns the sum of used and pending resources.
+func (d Demand) total() int { return d.Used + d.Pending }
 
-// split works out a team's next split from the present one and what each job shard needs.
-// A shard gets more only out of what nobody has, and only while all are known to keep to
-// the present split; when one lacks, what others have beyond their due is taken from them
-// first. It lacks when it needs more than its share, or more than its share of the
-// guarantee, which is given in parts of the maximum.
-func split(present []int, demands []Demand, guaranteed int, settled bool) []int {
-	due := dueShares(demands)
-	if len(present) != len(demands) {
-		return due
+// split computes a team's next split from the current one and the demand in each job shard.
+// A first split, or one for a new number of job shards, is the target. Otherwise the split
+// changes only while all holders acknowledge the current one and a shard is short. A part
+// grows only out of unassigned quota: quota that is taken from a part above its target is
+// unassigned first and can be given to another part by a later split.
+// guaranteed is the team's guarantee in units of 1/storage.WholeQuota of its maximum.
+func split(current []int, demands []Demand, guaranteed int, acknowledged bool) []int {
+	target := targetSplit(demands)
+	if len(current) != len(demands) {
+		return target
 	}
-	if !settled || !anyLacks(present, due, demands, guaranteed) {
-		return slices.Clone(present)
+	if !acknowledged || !anyShardShort(current, target, demands, guaranteed) {
+		return slices.Clone(current)
 	}
-	return shiftTowards(present, due)
+	return shiftTowards(current, target)
 }
 
-// dueShares is what each job shard should have. Services, which are in the shards after
-// the batch shard, come first.
-func dueShares(demands []Demand) []int {
-	shards := len(demands)
-	due := make([]int, shards)
-	left := storage.WholeQuota
+// targetSplit returns the part that each job shard should have. Pending demand of the
+// service shards, which follow the batch shard, has precedence.
+func targetSplit(demands []Demand) []int {
+	shardCount := len(demands)
+	target := make([]int, shardCount)
+	unassigned := storage.WholeQuota
 	for i, d := range demands {
-		due[i] = d.Used
-		left -= d.Used
+		target[i] = d.Used
+		unassigned -= d.Used
 	}
-	for i := range shards {
-		shard := (i + 1) % shards
-		more := max(0, min(demands[shard].Waiting, left))
-		due[shard] += more
-		left -= more
+	for i := range shardCount {
+		shard := (i + 1) % shardCount
+		extra := max(0, min(demands[shard].Pending, unassigned))
+		target[shard] += extra
+		unassigned -= extra
 	}
-	// What nobody waits for is room to grow, in proportion: as long as all of a team's
-	// work fits into its guarantee, each shard's part of it then does.
-	const roundingGuard = 0.999999 // never more than there is
-	whole := 0
+	// The rest is distributed in proportion to demand. Thus while all work of a team fits
+	// its guarantee, the work in each shard fits the shard's part of the guarantee.
+	const roundingGuard = 0.999999 // keeps the sum of rounded parts within the whole quota
+	totalDemand := 0
 	for _, d := range demands {
-		whole += d.total() + 1
+		totalDemand += d.total() + 1
 	}
 	for i, d := range demands {
-		due[i] += int(float64(max(left, 0)) * roundingGuard * float64(d.total()+1) / float64(whole))
+		target[i] += int(float64(max(unassigned, 0)) * roundingGuard * float64(d.total()+1) / float64(totalDemand))
 	}
-	return due
+	return target
 }
 
-// anyLacks reports whether a job shard needs more than it has and is due more.
-func anyLacks(present, due []int, demands []Demand, guaranteed int) bool {
-	for i, share := range present {
-		needs := demands[i].total()
-		shareOfGuarantee := int(float64(share) * float64(guaranteed) / storage.WholeQuota)
-		clearlyMore := share + share/8 + storage.WholeQuota/200
-		if needs > share && due[i] > share || needs > shareOfGuarantee && due[i] > clearlyMore {
+// anyShardShort reports whether a job shard is short of quota: its demand exceeds its part
+// and its target is larger than the part, or its demand exceeds its part of the guarantee
+// and its target is larger by a margin.
+func anyShardShort(current, target []int, demands []Demand, guaranteed int) bool {
+	for i, part := range current {
+		needed := demands[i].total()
+		partOfGuarantee := int(float64(part) * float64(guaranteed) / storage.WholeQuota)
+		reallocationThreshold := part + part/8 + storage.WholeQuota/200
+		if needed > part && target[i] > part || needed > partOfGuarantee && target[i] > reallocationThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-// shiftTowards takes what shards have beyond their due, and gives out what nobody has.
-func shiftTowards(present, due []int) []int {
+// shiftTowards lowers the parts above their target to the target, and raises those below it
+// out of the quota that is unassigned in the current split.
+func shiftTowards(current, target []int) []int {
 	unassigned := storage.WholeQuota
-	for _, share := range present {
-		unassigned -= share
+	for _, part := range current {
+		unassigned -= part
 	}
-	next := slices.Clone(present)
-	for i, share := range present {
+	next := slices.Clone(current)
+	for i, part := range current {
 		switch {
-		case due[i] < share:
-			next[i] = due[i]
-		case due[i] > share:
-			more := min(due[i]-share, unassigned)
-			next[i] += more
-			unassigned -= more
+		case target[i] < part:
+			next[i] = target[i]
+		case target[i] > part:
+			extra := min(target[i]-part, unassigned)
+			next[i] += extra
+			unassigned -= extra
 		}
 	}
 	return next
--- a/internal/coordination/quota/splitter.go
+++ b/internal/coordination/quota/splitter.go
@@ -12,16 +12,16 @@
 	"rockrun/internal/storage"
 )
 
-// updatePause is the least time between two updates of the split.
-const updatePause = time.Second
+// minUpdateInterval is the minimum time between two updates of the split.
+const minUpdateInterval = time.Second
 
-// Leadership is what a Splitter needs of the leader whose it is.
+// Leadership is what a Splitter needs from its leader.
 type Leadership interface {
-	// Condition makes a transaction depend on the leadership.
+	// Condition returns the precondition that this controller is still the leader.
 	Condition() protocol.Condition
 }
 
-// SplitterConfig is all that a Splitter is made of.
+// SplitterConfig holds the dependencies of a Splitter.
 type SplitterConfig struct {
 	Generation *loop.Generation
 	Replica    *replica.Replica
@@ -30,18 +30,19 @@
 	Members    *membership.Registry
 }
 
-// Splitter splits the teams' quotas among the job shards, for the leader. What one shard
-// is to get more, another gives up first, in a record of its own, and only once that
-// shard's holder has said that it keeps to the smaller share is it given on.
+// Splitter splits the teams' quotas among the job shards on behalf of the leader. To move
+// quota from one shard to another, it first writes a split with the smaller part. Only after
+// the holder of that shard has acknowledged this split does a later split give the quota to
+// the other shard.
 type Splitter struct {
 	SplitterConfig
 	call loop.Call
 }
 
-// NewSplitter makes a splitter.
+// NewSplitter returns a splitter with the given dependencies.
 func NewSplitter(c SplitterConfig) *Splitter { return &Splitter{SplitterConfig: c} }
 
-// Update writes a new split if one is due.
+// Update writes a new split if the split should change and no write is in progress.
 func (s *Splitter) Update() {
 	view := s.Replica.View
 	now := s.Generation.Now()
@@ -58,14 +59,14 @@
 		Conditions: s.conditions(),
 		Operations: []protocol.Operation{{Put: storage.KeyQuotaSplit, Value: storage.Encode(record)}},
 	}, func(uint64, error) {
-		s.call.Done(s.Generation.Now() + updatePause)
+		s.call.Done(s.Generation.Now() + minUpdateInterval)
 	})
 }
 
-// nextSplit works out the split that is due and reports whether it is another one.
+// nextSplit computes the next split and reports whether it differs from the current one.
 func (s *Splitter) nextSplit() (record storage.QuotaSplitRecord, changed bool) {
 	view := s.Replica.View
-	settled := s.settled()
+	acknowledged := s.splitAcknowledged()
 	demands := Demands(view)
 	record = storage.QuotaSplitRecord{}
 	for i := range view.Teams {
@@ -73,17 +74,17 @@
 		if !team.HasQuota() {
 			continue
 		}
-		next := split(team.QuotaSplit, demands[i], guaranteedPart(team), settled)
+		next := split(team.QuotaSplit, demands[i], guaranteedFraction(team), acknowledged)
 		record[team.Name] = next
 		changed = changed || !slices.Equal(next, team.QuotaSplit)
 	}
 	return record, changed
 }
 
-// settled reports whether the holders of all job shards keep to the present split. A
-// holder's word counts for the grants that it names: what it said before it was granted a
-// shard says nothing of what is on the machines there.
-func (s *Splitter) settled() bool {
+// splitAcknowledged reports whether the holders of all job shards keep to the current split.
+// A holder's heartbeat counts only for the grants that it names: one sent before the holder
+// was granted a shard does not cover the usage on the shard's machines.
+func (s *Splitter) splitAcknowledged() bool {
 	view := s.Replica.View
 	for shard := range view.JobShards {
 		grant := &view.Grants[shard]
@@ -96,8 +97,8 @@
 	return true
 }
 
-// conditions make a write depend on the leadership, on the present split and on the grants
-// of all job shards.
+// conditions returns the preconditions of a write: the leadership, the current split and the
+// grants of all job shards are unchanged.
 func (s *Splitter) conditions() []protocol.Condition {
 	view := s.Replica.View
 	conditions := []protocol.Condition{s.Leadership.Condition(), {Key: storage.KeyQuotaSplit, Version: view.QuotaSplitVersion}}
@@ -107,41 +108,43 @@
 	return conditions
 }
 
-// Demands is, by team and job shard, what the team uses and waits for there.
+// Demands returns the used and pending resources by team and job shard.
 func Demands(view *storage.View) [][]Demand {
-	used, waiting := usageByShard(view)
+	used, pending := usageByShard(view)
 	demands := make([][]Demand, len(view.Teams))
 	for i := range view.Teams {
 		team := &view.Teams[i]
 		for shard := range view.JobShards {
 			demands[i] = append(demands[i], Demand{
-				Used:    largestPart(team, used[i][shard]),
-				Waiting: largestPart(team, waiting[i][shard]),
+				Used:    dominantFraction(team, used[i][shard]),
+				Pending: dominantFraction(team, pending[i][shard]),
 			})
 		}
 	}
 	return demands
 }
 
-// largestPart is the larger of the parts that a usage takes of a team's CPUs and GPUs.
-func largestPart(t *storage.Team, u Usage) int {
-	return max(partOf(u.CPUs, t.MaxCPUs, t.GuaranteedCPUs), partOf(u.GPUs, t.MaxGPUs, t.GuaranteedGPUs))
+// dominantFraction returns the larger of the fractions that a usage takes of a team's CPU and
+// GPU quota.
+func dominantFraction(team *storage.Team, usage Usage) int {
+	return max(fractionOfQuota(usage.CPUs, team.MaxCPUs, team.GuaranteedCPUs), fractionOfQuota(usage.GPUs, team.MaxGPUs, team.GuaranteedGPUs))
 }
 
-// usageByShard sums, by team and job shard, what the intents name and what could start.
-func usageByShard(view *storage.View) (used, waiting [][]Usage) {
-	used, waiting = make([][]Usage, len(view.Teams)), make([][]Usage, len(view.Teams))
+// usageByShard sums by team and job shard: used covers the tasks named by intents, pending
+// the tasks that could start.
+func usageByShard(view *storage.View) (used, pending [][]Usage) {
+	used, pending = make([][]Usage, len(view.Teams)), make([][]Usage, len(view.Teams))
 	for i := range used {
-		used[i], waiting[i] = make([]Usage, view.JobShards), make([]Usage, view.JobShards)
+		used[i], pending[i] = make([]Usage, view.JobShards), make([]Usage, view.JobShards)
 	}
-	view.Jobs.All(func(_ int, j *storage.Job) {
-		if j.Ended() || j.Shard < 0 || j.Shard >= view.JobShards {
+	view.Jobs.All(func(_ int, job *storage.Job) {
+		if job.Ended() || job.Shard < 0 || job.Shard >= view.JobShards {
 			return
 		}
-		used[j.TeamIndex][j.Shard].Add(j, float64(j.RunningTasks()))
-		if j.Runnable() {
-			waiting[j.TeamIndex][j.Shard].Add(j, float64(j.OpenTasks()))
+		used[job.TeamIndex][job.Shard].Add(job, float64(job.RunningTasks()))
+		if job.Runnable() {
+			pending[job.TeamIndex][job.Shard].Add(job, float64(job.OpenTasks()))
 		}
 	})
-	return used, waiting
+	return used, pending
 }
