--- a/internal/coordination/kv/committer.go
+++ b/internal/coordination/kv/committer.go
@@ -11,20 +11,20 @@
 	"rockrun/internal/storage"
 )
 
-// RetryPause is the least pause before a request to the store is tried again.
+// RetryPause is the minimum delay before a request to the store is retried.
 const RetryPause = 200 * time.Millisecond
 
-// valueReserve is how much of the limit of a value is left free: sizes are worked out in
-// advance from the parts of a record.
-const valueReserve = 128
+// valueHeadroomBytes is the part of the value limit that planned values leave free, because
+// their sizes are estimated in advance from the parts of a record.
+const valueHeadroomBytes = 128
 
-// minValueBytes is how far rejected transactions lower the limit of a value.
+// minValueBytes is the lower bound to which rejected transactions reduce the value limit.
 const minValueBytes = 1024
 
-// Committer carries out transactions within the limits of the store. It lives as long
-// as the process, so what it has learned of the limits outlives a generation.
+// Committer sends transactions to the store and tracks the limits that transactions must keep
+// to. It lives as long as the process, so limits learned from rejections outlast a generation.
 type Committer struct {
-	// Budget is this controller's part of the writes that all controllers share.
+	// Budget is this controller's part of the write rate that all controllers share.
 	Budget loop.TokenBucket
 
 	store      Store
@@ -33,7 +33,7 @@
 	log        *slog.Logger
 }
 
-// NewCommitter makes a committer that keeps to the given limits.
+// NewCommitter returns a committer with the given limits.
 func NewCommitter(store Store, limits config.StoreLimits, log *slog.Logger) *Committer {
 	return &Committer{
 		Budget: loop.NewTokenBucket(limits.WriteRate / 4),
@@ -43,55 +43,55 @@
 	}
 }
 
-// BeginGeneration tells the generation to which the transactions from now on belong.
+// BeginGeneration sets the generation to which subsequent transactions belong.
 func (c *Committer) BeginGeneration(g *loop.Generation) { c.generation = g }
 
-// Limits are the limits in force: those of the settings, or lower ones where the store
-// has rejected a transaction within those.
+// Limits returns the current limits: those of the settings, or lower ones if the store has
+// rejected a transaction that was within them.
 func (c *Committer) Limits() config.StoreLimits { return c.limits }
 
-// SetLimits changes the limits that transactions keep to from now on.
+// SetLimits replaces the limits for subsequent transactions.
 func (c *Committer) SetLimits(limits config.StoreLimits) { c.limits = limits }
 
-// ValueCapacity is how many bytes a value may be planned to take.
-func (c *Committer) ValueCapacity() int { return c.limits.ValueBytes - valueReserve }
+// ValueCapacity returns the maximum planned size of a value in bytes.
+func (c *Committer) ValueCapacity() int { return c.limits.ValueBytes - valueHeadroomBytes }
 
-// Fits reports whether a record may be written as a value.
+// Fits reports whether the encoded record is within the value limit.
 func (c *Committer) Fits(record any) bool {
 	return len(storage.Encode(record)) <= c.limits.ValueBytes
 }
 
-// Commit carries out a transaction. One that the store rejects for good shows that its
-// limits are lower than the settings say: whatever is written from then on keeps to
-// lower ones, and the transaction must not be sent again as it is.
-func (c *Committer) Commit(t protocol.Transaction, done func(revision uint64, err error)) {
+// Commit sends a transaction to the store. A permanent rejection shows that the limits of the
+// store are lower than the configured ones: Commit lowers the limits for subsequent
+// transactions, and the caller must not send the rejected transaction again unchanged.
+func (c *Committer) Commit(transaction protocol.Transaction, done func(revision uint64, err error)) {
 	generation := c.generation
-	c.store.Commit(t, func(revision uint64, err error) {
+	c.store.Commit(transaction, func(revision uint64, err error) {
 		if errors.Is(err, protocol.ErrRejected) && generation == c.generation {
-			c.limits = reducedLimits(c.limits, t)
+			c.limits = reducedLimits(c.limits, transaction)
 			c.log.Error("transaction rejected",
-				"operations", len(t.Operations), "largest_value", LargestValue(t), "err", err,
+				"operations", len(transaction.Operations), "largest_value", LargestValue(transaction), "err", err,
 				"value_bytes", c.limits.ValueBytes, "txn_operations", c.limits.Operations)
 		}
 		done(revision, err)
 	})
 }
 
-// LargestValue is the size of the largest value of a transaction, in bytes.
-func LargestValue(t protocol.Transaction) int {
+// LargestValue returns the size of the largest value of a transaction in bytes.
+func LargestValue(transaction protocol.Transaction) int {
 	largest := 0
-	for _, op := range t.Operations {
+	for _, op := range transaction.Operations {
 		largest = max(largest, len(op.Value))
 	}
 	return largest
 }
 
-// reducedLimits are the limits after a transaction that kept to them was rejected.
-func reducedLimits(limits config.StoreLimits, t protocol.Transaction) config.StoreLimits {
-	if largest := LargestValue(t); largest > minValueBytes {
+// reducedLimits returns the limits after the rejection of a transaction that was within them.
+func reducedLimits(limits config.StoreLimits, transaction protocol.Transaction) config.StoreLimits {
+	if largest := LargestValue(transaction); largest > minValueBytes {
 		limits.ValueBytes = min(limits.ValueBytes, max(minValueBytes, largest*3/4))
 	}
-	if operations := len(t.Operations); operations > config.MinOperations {
+	if operations := len(transaction.Operations); operations > config.MinOperations {
 		limits.Operations = min(limits.Operations, max(config.MinOperations, operations*3/4))
 		limits.Conditions = config.ConditionsPerOperation * limits.Operations
 	}
--- a/internal/coordination/kv/write_share.go
+++ b/internal/coordination/kv/write_share.go
@@ -1,43 +1,44 @@
 package kv
 
-// Parts of the writes that all controllers share, by what a controller does. Together they
-// stay below the whole: users' requests and ends of jobs never wait for a budget and need
-// what is left.
+// Shares of the total write rate, by the role of a controller. Their sum stays below 1,
+// because user requests and final records are written without waiting for a budget and need
+// the rest.
 const (
-	basicPart    = 0.02 // every controller's
-	leaderPart   = 0.25
-	onlyPart     = 0.5 // of a job shard that is the only one
-	batchPart    = 0.4 // of the batch shard beside others: work that ends writes most
-	servicesPart = 0.1 // of all service shards together
+	baseShare          = 0.02 // for every controller
+	leaderShare        = 0.25
+	soleJobShardShare  = 0.5 // for the holder of the only job shard
+	batchShardShare    = 0.4 // for the batch shard if there are others; tasks that complete need the most writes
+	serviceShardsShare = 0.1 // for all service shards together
 )
 
-// Role is what a controller does.
+// Role describes the duties of a controller that determine its write share.
 type Role struct {
 	Leading bool
-	// JobShards is how many shards own jobs in the cluster.
+	// JobShards is the number of job shards in the cluster.
 	JobShards int
 	// HoldsBatchShard reports whether the controller holds the batch shard, or the only
 	// job shard.
 	HoldsBatchShard bool
-	// ServiceShards is how many of the other job shards it holds.
+	// ServiceShards is the number of other job shards that the controller holds.
 	ServiceShards int
 }
 
-// WriteShare is the part of all writes that a controller may make in its role.
+// WriteShare returns the fraction of the total write rate that a controller with this role
+// may use.
 func (r Role) WriteShare() float64 {
-	part := basicPart
+	share := baseShare
 	if r.Leading {
-		part += leaderPart
+		share += leaderShare
 	}
 	switch {
 	case !r.HoldsBatchShard:
 	case r.JobShards == 1:
-		part += onlyPart
+		share += soleJobShardShare
 	default:
-		part += batchPart
+		share += batchShardShare
 	}
 	for range r.ServiceShards {
-		part += servicesPart / float64(r.JobShards-1)
+		share += serviceShardsShare / float64(r.JobShards-1)
 	}
-	return part
+	return share
 }
