--- a/internal/coordination/loop/call.go
+++ b/internal/coordination/loop/call.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Call is the state of a call that has at most one attempt under way and pauses before
-// the next. The zero value is ready.
+// Call is the state of a repeated call with at most one attempt in flight and a delay before
+// the next attempt. The zero value is ready.
 type Call struct {
 	inFlight  bool
 	notBefore time.Duration
 }
 
-// Ready reports whether an attempt may begin.
+// Ready reports whether no attempt is in flight and the delay is over.
 func (c *Call) Ready(now time.Duration) bool { return !c.inFlight && now >= c.notBefore }
 
-// TryBegin begins an attempt if one may begin, and reports whether it did.
+// TryBegin begins an attempt if the call is ready, and reports whether it was ready.
 func (c *Call) TryBegin(now time.Duration) bool {
 	if !c.Ready(now) {
 		return false
@@ -21,45 +21,45 @@
 	return true
 }
 
-// Begin begins an attempt that was found ready.
+// Begin begins an attempt; the caller must have checked Ready.
 func (c *Call) Begin() { c.inFlight = true }
 
-// Done ends the attempt; the next may begin from the given time on.
+// Done ends the attempt and sets the time before which the next must not begin.
 func (c *Call) Done(notBefore time.Duration) {
 	c.inFlight = false
 	c.notBefore = notBefore
 }
 
-// Finish ends the attempt and leaves the time of the next as it is.
+// Finish ends the attempt without changing the time before which the next must not begin.
 func (c *Call) Finish() { c.inFlight = false }
 
-// RetryAt sets the time before which no attempt begins.
+// RetryAt sets the time before which the next attempt must not begin.
 func (c *Call) RetryAt(notBefore time.Duration) { c.notBefore = notBefore }
 
-// InFlight reports whether an attempt is under way.
+// InFlight reports whether an attempt has begun and not ended.
 func (c *Call) InFlight() bool { return c.inFlight }
 
-// NotBefore is the time before which no attempt begins.
+// NotBefore returns the time before which the next attempt must not begin.
 func (c *Call) NotBefore() time.Duration { return c.notBefore }
 
-// Write is the state of a record that is written repeatedly. The next write must wait
-// until the view shows the last, or it would be made with an old version. The zero value
-// is ready.
+// Write is the state of a record that is written repeatedly. The next write must wait until
+// the view includes the previous one; otherwise its precondition would use an outdated
+// version. The zero value is ready.
 type Write struct {
 	Call
 	revision uint64
 }
 
-// Ready reports whether a write may begin, given the revision that the view has reached.
+// Ready reports whether a write may begin while the view is at the given revision.
 func (w *Write) Ready(now time.Duration, viewRevision uint64) bool {
 	return w.Call.Ready(now) && viewRevision >= w.revision
 }
 
-// Written ends a write that was made at a revision.
+// Written ends a write that was committed at the given revision.
 func (w *Write) Written(revision uint64) {
 	w.Finish()
 	w.revision = revision
 }
 
-// Revision is the revision that the view must have reached before the next write.
+// Revision returns the revision that the view must reach before the next write.
 func (w *Write) Revision() uint64 { return w.revision }
--- a/internal/coordination/loop/doc.go
+++ b/internal/coordination/loop/doc.go
@@ -1,5 +1,5 @@
-// Package loop holds what the components of a controller need to work on its single
-// goroutine: the clock, the generation whose end drops the callbacks still under way,
-// calls that are tried again after a pause, conditions that must hold for a while, and a
-// token bucket. Nothing here is safe for use by several goroutines, and nothing blocks.
+// Package loop provides the building blocks for components that run on the single goroutine
+// of a controller: the clock, generations that discard pending callbacks when they end, the
+// state of calls with a delay between attempts, windows that track how long a condition has
+// held, and a token bucket. Its types are not safe for concurrent use, and no function blocks.
 package loop
--- a/internal/coordination/loop/loop_test.go
+++ b/internal/coordination/loop/loop_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestWindow: a condition counts once it has held for the whole window, without a gap.
+// TestWindow checks that a condition must hold for the whole window without interruption.
 func TestWindow(t *testing.T) {
 	const length = 20 * time.Second
 	var window Window
@@ -18,93 +18,96 @@
 		{25 * time.Second, false, false}, {26 * time.Second, true, false}, {45 * time.Second, true, false}, {46 * time.Second, true, true},
 	} {
 		if got := window.Observe(step.holds, step.at, length); got != step.want {
-			t.Errorf("at %s: %v", step.at, got)
+			t.Errorf("at %s: Observe returned %v", step.at, got)
 		}
 	}
 }
 
-// TestWindowsForget: a name whose condition does not hold is not kept.
-func TestWindowsForget(t *testing.T) {
+// TestWindowsRemoveUnmetConditions checks that no entry is retained for a name whose condition
+// does not hold.
+func TestWindowsRemoveUnmetConditions(t *testing.T) {
 	windows := Windows{}
 	windows.Observe("m-1", true, time.Second, time.Minute)
 	windows.Observe("m-2", false, time.Second, time.Minute)
 	if len(windows) != 1 {
-		t.Errorf("%d windows while one condition holds", len(windows))
+		t.Errorf("%d windows while one condition holds, want 1", len(windows))
 	}
 	windows.Observe("m-1", false, 2*time.Second, time.Minute)
 	if len(windows) != 0 {
-		t.Errorf("%d windows while none holds", len(windows))
+		t.Errorf("%d windows while no condition holds, want 0", len(windows))
 	}
 }
 
-// TestCall: one attempt at a time, and none before the pause is over.
+// TestCall checks that at most one attempt is in flight, and that none begins before the
+// delay is over.
 func TestCall(t *testing.T) {
 	var call Call
 	if !call.TryBegin(time.Second) {
-		t.Fatal("the first attempt does not begin")
+		t.Fatal("the first attempt did not begin")
 	}
 	if call.TryBegin(time.Minute) {
-		t.Error("a second attempt begins while one is under way")
+		t.Error("a second attempt began while one was in flight")
 	}
 	call.Done(2 * time.Second)
 	if call.TryBegin(2*time.Second - 1) {
-		t.Error("an attempt begins before the pause is over")
+		t.Error("an attempt began before the delay was over")
 	}
 	if !call.TryBegin(2 * time.Second) {
-		t.Error("no attempt begins after the pause")
+		t.Error("no attempt began after the delay")
 	}
 }
 
-// TestWrite: a record is not written again before the view shows its last write.
+// TestWrite checks that a record is not written again before the view includes its previous
+// write.
 func TestWrite(t *testing.T) {
 	var write Write
 	write.Begin()
 	write.Written(7)
 	if write.Ready(time.Second, 6) {
-		t.Error("ready before the view shows the write")
+		t.Error("ready before the view includes the previous write")
 	}
 	if !write.Ready(time.Second, 7) {
-		t.Error("not ready once it does")
+		t.Error("not ready once the view includes the previous write")
 	}
 }
 
-// TestTokenBucket: what is taken must have arrived, except for what cannot wait, which is
-// paid back first.
+// TestTokenBucket checks that tokens are available only once they have arrived, and that the
+// debt of TakeAnyway must be paid back before more tokens are available.
 func TestTokenBucket(t *testing.T) {
 	bucket := NewTokenBucket(10)
 	if !bucket.Take(0, 10) || bucket.Take(0, 1) {
-		t.Fatal("not exactly a second's tokens were there")
+		t.Fatal("the new bucket did not hold exactly the tokens of one second")
 	}
 	if wait := bucket.TimeUntil(5); wait != 500*time.Millisecond+time.Millisecond {
-		t.Errorf("%s until five tokens", wait)
+		t.Errorf("%s until five tokens are available, want 501ms", wait)
 	}
 	if bucket.Take(499*time.Millisecond, 5) || !bucket.Take(501*time.Millisecond, 5) {
-		t.Error("five tokens do not arrive in half a second")
+		t.Error("five tokens did not become available between 499ms and 501ms")
 	}
 	bucket.TakeAnyway(501*time.Millisecond, 100)
 	if bucket.Level() != -10 {
-		t.Errorf("a debt of %v", bucket.Level())
+		t.Errorf("level %v, want a debt of 10 tokens", bucket.Level())
 	}
 	if bucket.Take(1500*time.Millisecond, 1) {
-		t.Error("a token was taken before the debt was paid")
+		t.Error("a token was taken before the debt was paid back")
 	}
 	if !bucket.Take(3*time.Second, 100) {
-		t.Error("more than the bucket holds is never taken")
+		t.Error("a full bucket refused a request larger than its capacity")
 	}
 }
 
-// timers is a clock whose timers are called by the test.
-type timers struct{ callbacks []func() }
+// manualClock is a clock whose timers are fired by the test.
+type manualClock struct{ callbacks []func() }
 
-func (c *timers) Now() time.Duration              { return 0 }
-func (c *timers) Wall() time.Time                 { return time.Unix(0, 0) }
-func (c *timers) After(_ time.Duration, f func()) { c.callbacks = append(c.callbacks, f) }
-func newTestGeneration(clock *timers) *Generation {
+func (c *manualClock) Now() time.Duration              { return 0 }
+func (c *manualClock) Wall() time.Time                 { return time.Unix(0, 0) }
+func (c *manualClock) After(_ time.Duration, f func()) { c.callbacks = append(c.callbacks, f) }
+func newTestGeneration(clock *manualClock) *Generation {
 	return NewGeneration(clock, rand.New(rand.NewPCG(1, 2)))
 }
 
-// TestGenerationDropsCallbacks: what an earlier generation scheduled does not happen, nor
-// anything once the controller shuts down.
+// TestGenerationDropsCallbacks checks that scheduled callbacks run neither after the
+// generation has ended nor while the controller is shutting down.
 func TestGenerationDropsCallbacks(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -115,24 +118,24 @@
 		{"ended", (*Generation).End, 0},
 		{"stopping", (*Generation).Stop, 0},
 	} {
-		clock := &timers{}
+		clock := &manualClock{}
 		generation := newTestGeneration(clock)
 		called := 0
 		generation.Later(time.Second, func() { called++ })
 		c.end(generation)
 		clock.callbacks[0]()
 		if called != c.want {
-			t.Errorf("%s: called %d times", c.name, called)
+			t.Errorf("%s: called %d times, want %d", c.name, called, c.want)
 		}
 	}
 }
 
-// TestJitter: pauses are spread between once and twice the time asked for.
+// TestJitter checks that delays are between once and twice the given duration.
 func TestJitter(t *testing.T) {
-	generation := newTestGeneration(&timers{})
+	generation := newTestGeneration(&manualClock{})
 	for range 100 {
 		if d := generation.Jitter(time.Second); d < time.Second || d > 2*time.Second {
-			t.Fatalf("a pause of %s", d)
+			t.Fatalf("delay %s is not between 1s and 2s", d)
 		}
 	}
 }
--- a/internal/coordination/loop/token_bucket.go
+++ b/internal/coordination/loop/token_bucket.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// TokenBucket limits a rate. It holds at most what arrives in a second.
+// TokenBucket is a rate limiter. Its capacity is the number of tokens that arrive in a second.
 type TokenBucket struct {
-	rate     float64 // tokens a second
-	level    float64 // tokens that may be taken; below 0 after TakeAnyway
-	filledAt time.Duration
+	rate       float64 // tokens per second
+	level      float64 // available tokens; may be negative after TakeAnyway
+	refilledAt time.Duration
 }
 
-// NewTokenBucket makes a full bucket with a rate in tokens a second.
+// NewTokenBucket returns a full bucket with a rate in tokens per second.
 func NewTokenBucket(rate float64) TokenBucket { return TokenBucket{rate: rate, level: rate} }
 
-// SetRate changes the rate from now on.
+// SetRate changes the rate and the capacity. The level is capped at the next refill.
 func (b *TokenBucket) SetRate(rate float64) { b.rate = rate }
 
-// Rate is the rate in tokens a second.
+// Rate returns the rate in tokens per second.
 func (b *TokenBucket) Rate() float64 { return b.rate }
 
-// Level is how many tokens there were when the bucket was last filled.
+// Level returns the number of available tokens as of the last refill or removal.
 func (b *TokenBucket) Level() float64 { return b.level }
 
-// Fill adds the tokens that have arrived since the last call.
+// Fill adds the tokens that have arrived since the last refill.
 func (b *TokenBucket) Fill(now time.Duration) {
-	b.level = min(b.rate, b.level+b.rate*(now-b.filledAt).Seconds())
-	b.filledAt = now
+	b.level = min(b.rate, b.level+b.rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
-// Take takes n tokens and reports whether they were there. More than the bucket can hold
-// are taken when it is full, and paid back before the next.
+// Take removes n tokens if they are available, and reports whether they were available. If n
+// exceeds the capacity, a full bucket suffices; the debt must be paid back before more tokens
+// are available.
 func (b *TokenBucket) Take(now time.Duration, n int) bool {
 	b.Fill(now)
 	if b.level < min(float64(n), b.rate) {
@@ -38,13 +39,15 @@
 	return true
 }
 
-// TakeAnyway takes n tokens for what cannot wait. The debt is bounded by the rate.
+// TakeAnyway removes n tokens even if they are not available, for operations that cannot wait.
+// The debt is at most the tokens of one second.
 func (b *TokenBucket) TakeAnyway(now time.Duration, n int) {
 	b.Fill(now)
 	b.level = max(b.level-float64(n), -b.rate)
 }
 
-// TimeUntil is how long it takes until there are n tokens.
+// TimeUntil returns the time from the last refill until n tokens are available, or until the
+// bucket is full if n exceeds the capacity.
 func (b *TokenBucket) TimeUntil(n int) time.Duration {
 	missing := max(0, min(float64(n), b.rate)-b.level)
 	return time.Duration(missing/b.rate*float64(time.Second)) + time.Millisecond
