--- a/internal/coordination/election/elector.go
+++ b/internal/coordination/election/elector.go
@@ -92,7 +92,7 @@
 		switch {
 		case !e.Generation.Active():
 		case err != nil:
-			e.Generation.Later(e.Generation.Jitter(kv.RetryPause), e.endCampaign)
+			e.Generation.Later(e.Generation.Jitter(kv.RetryDelay), e.endCampaign)
 		case !e.vacant():
 			// Another has won while the lease was being opened; conditions on the record
 			// that is in the view by now would depose it.
@@ -134,7 +134,7 @@
 	}, func(_ uint64, err error) {
 		// With no answer the transaction may still be applied; its record then arrives
 		// with the changes and is recognised by the lease.
-		pause := e.Generation.Jitter(kv.RetryPause)
+		pause := e.Generation.Jitter(kv.RetryDelay)
 		if errors.Is(err, protocol.ErrOutcomeUnknown) {
 			pause = e.Generation.Jitter(renewInterval)
 		}
--- a/internal/coordination/jobs/cancel.go
+++ b/internal/coordination/jobs/cancel.go
@@ -44,7 +44,7 @@
 // cancelUnfinished ends a job, with the version of its record as the precondition.
 func (s *Service) cancelUnfinished(id string, version uint64, attemptsLeft int, reply func(api.Answer)) {
 	final := storage.FinalRecord{Stage: protocol.StageCancelled, EndedAtMS: s.Generation.Wall().UnixMilli()}
-	s.Committer.Budget.TakeAnyway(s.Generation.Now(), 2)
+	s.Committer.Budget.ForceConsume(s.Generation.Now(), 2)
 	s.Committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: storage.JobKey(id), Version: version}},
 		Operations: storage.EndJobOperations(id, final),
--- a/internal/coordination/jobs/cancelled_dependents.go
+++ b/internal/coordination/jobs/cancelled_dependents.go
@@ -37,7 +37,7 @@
 		if !w.isDue(job, now) {
 			continue
 		}
-		if !w.Committer.Budget.Take(now, operationsPerJob) {
+		if !w.Committer.Budget.TryConsume(now, operationsPerJob) {
 			break
 		}
 		batch = append(batch, job)
@@ -95,7 +95,7 @@
 	switch {
 	case write == nil: // the view already shows that the job ended
 	case err != nil:
-		write.Done(w.Generation.Now() + w.Generation.Jitter(kv.RetryPause))
+		write.FinishAndDelayUntil(w.Generation.Now() + w.Generation.Jitter(kv.RetryDelay))
 	default:
 		write.Written(revision)
 		w.recordOutcome(job.ID, final)
--- a/internal/coordination/jobs/notices.go
+++ b/internal/coordination/jobs/notices.go
@@ -74,7 +74,7 @@
 		if err != nil {
 			queue.jobs = append(sent, queue.jobs...)
 			queue.dropOldest()
-			queue.retry.RetryAt(n.generation.Now() + noticeRetryDelay)
+			queue.retry.DelayUntil(n.generation.Now() + noticeRetryDelay)
 		}
 	})
 }
--- a/internal/coordination/jobs/outcomes_test.go
+++ b/internal/coordination/jobs/outcomes_test.go
@@ -74,7 +74,7 @@
 	f.peerErr = protocol.ErrOutcomeUnknown
 	f.expectAnswer("cancellation", f.cancel("run-1"), http.StatusOK, protocol.StageCancelled)
 	f.applyJob(protocol.JobSpec{ID: "run-20", Tasks: 1, CPUs: 1, Dependencies: []string{"run-7"}})
-	f.service.outcomes.readBudget.TakeAnyway(f.now, 100) // the read is deferred
+	f.service.outcomes.readBudget.ForceConsume(f.now, 100) // the read is deferred
 	var answers []api.Answer
 	f.service.Status("run-20", func(a api.Answer) { answers = append(answers, a) })
 	f.advanceOneSecond()
--- a/internal/coordination/jobs/submit.go
+++ b/internal/coordination/jobs/submit.go
@@ -97,7 +97,7 @@
 		s.answerRepeat(spec.ID, tooLong, reply)
 		return
 	}
-	s.Committer.Budget.TakeAnyway(s.Generation.Now(), 1)
+	s.Committer.Budget.ForceConsume(s.Generation.Now(), 1)
 	s.Committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
 		Operations: []protocol.Operation{put},
@@ -163,5 +163,5 @@
 	if spec.Kind != protocol.KindArray {
 		concurrentTasks = float64(spec.Tasks)
 	}
-	return quota.Exceeds(spec.CPUs*concurrentTasks, team.MaxCPUs) || quota.Exceeds(spec.GPUs*concurrentTasks, team.MaxGPUs)
+	return quota.ExceedsMaximum(spec.CPUs*concurrentTasks, team.MaxCPUs) || quota.ExceedsMaximum(spec.GPUs*concurrentTasks, team.MaxGPUs)
 }
--- a/internal/coordination/kv/committer.go
+++ b/internal/coordination/kv/committer.go
@@ -11,8 +11,8 @@
 	"rockrun/internal/storage"
 )
 
-// RetryPause is the minimum delay before a request to the store is retried.
-const RetryPause = 200 * time.Millisecond
+// RetryDelay is the minimum delay before a request to the store is retried.
+const RetryDelay = 200 * time.Millisecond
 
 // valueHeadroomBytes is the part of the value limit that planned values leave free, because
 // their sizes are estimated in advance from the parts of a record.
--- a/internal/coordination/loop/call.go
+++ b/internal/coordination/loop/call.go
@@ -24,8 +24,8 @@
 // Begin begins an attempt; the caller must have checked Ready.
 func (c *Call) Begin() { c.inFlight = true }
 
-// Done ends the attempt and sets the time before which the next must not begin.
-func (c *Call) Done(notBefore time.Duration) {
+// FinishAndDelayUntil ends the attempt and sets the time before which the next must not begin.
+func (c *Call) FinishAndDelayUntil(notBefore time.Duration) {
 	c.inFlight = false
 	c.notBefore = notBefore
 }
@@ -33,8 +33,8 @@
 // Finish ends the attempt without changing the time before which the next must not begin.
 func (c *Call) Finish() { c.inFlight = false }
 
-// RetryAt sets the time before which the next attempt must not begin.
-func (c *Call) RetryAt(notBefore time.Duration) { c.notBefore = notBefore }
+// DelayUntil sets the time before which the next attempt must not begin.
+func (c *Call) DelayUntil(notBefore time.Duration) { c.notBefore = notBefore }
 
 // InFlight reports whether an attempt has begun and not ended.
 func (c *Call) InFlight() bool { return c.inFlight }
--- a/internal/coordination/loop/loop_test.go
+++ b/internal/coordination/loop/loop_test.go
@@ -48,7 +48,7 @@
 	if call.TryBegin(time.Minute) {
 		t.Error("a second attempt began while one was in flight")
 	}
-	call.Done(2 * time.Second)
+	call.FinishAndDelayUntil(2 * time.Second)
 	if call.TryBegin(2*time.Second - 1) {
 		t.Error("an attempt began before the delay was over")
 	}
@@ -72,26 +72,26 @@
 }
 
 // TestTokenBucket checks that tokens are available only once they have arrived, and that the
-// debt of TakeAnyway must be paid back before more tokens are available.
+// debt of ForceConsume must be paid back before more tokens are available.
 func TestTokenBucket(t *testing.T) {
 	bucket := NewTokenBucket(10)
-	if !bucket.Take(0, 10) || bucket.Take(0, 1) {
+	if !bucket.TryConsume(0, 10) || bucket.TryConsume(0, 1) {
 		t.Fatal("the new bucket did not hold exactly the tokens of one second")
 	}
 	if wait := bucket.TimeUntil(5); wait != 500*time.Millisecond+time.Millisecond {
 		t.Errorf("%s until five tokens are available, want 501ms", wait)
 	}
-	if bucket.Take(499*time.Millisecond, 5) || !bucket.Take(501*time.Millisecond, 5) {
+	if bucket.TryConsume(499*time.Millisecond, 5) || !bucket.TryConsume(501*time.Millisecond, 5) {
 		t.Error("five tokens did not become available between 499ms and 501ms")
 	}
-	bucket.TakeAnyway(501*time.Millisecond, 100)
+	bucket.ForceConsume(501*time.Millisecond, 100)
 	if bucket.Level() != -10 {
 		t.Errorf("level %v, want a debt of 10 tokens", bucket.Level())
 	}
-	if bucket.Take(1500*time.Millisecond, 1) {
+	if bucket.TryConsume(1500*time.Millisecond, 1) {
 		t.Error("a token was taken before the debt was paid back")
 	}
-	if !bucket.Take(3*time.Second, 100) {
+	if !bucket.TryConsume(3*time.Second, 100) {
 		t.Error("a full bucket refused a request larger than its capacity")
 	}
 }
--- a/internal/coordination/loop/token_bucket.go
+++ b/internal/coordination/loop/token_bucket.go
@@ -5,7 +5,7 @@
 // TokenBucket is a rate limiter. Its capacity is the number of tokens that arrive in a second.
 type TokenBucket struct {
 	rate       float64 // tokens per second
-	level      float64 // available tokens; may be negative after TakeAnyway
+	level      float64 // available tokens; may be negative after ForceConsume
 	refilledAt time.Duration
 }
 
@@ -21,17 +21,17 @@
 // Level returns the number of available tokens as of the last refill or removal.
 func (b *TokenBucket) Level() float64 { return b.level }
 
-// Fill adds the tokens that have arrived since the last refill.
-func (b *TokenBucket) Fill(now time.Duration) {
+// Refill adds the tokens that have arrived since the last refill.
+func (b *TokenBucket) Refill(now time.Duration) {
 	b.level = min(b.rate, b.level+b.rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
 }
 
-// Take removes n tokens if they are available, and reports whether they were available. If n
+// TryConsume removes n tokens if they are available, and reports whether they were available. If n
 // exceeds the capacity, a full bucket suffices; the debt must be paid back before more tokens
 // are available.
-func (b *TokenBucket) Take(now time.Duration, n int) bool {
-	b.Fill(now)
+func (b *TokenBucket) TryConsume(now time.Duration, n int) bool {
+	b.Refill(now)
 	if b.level < min(float64(n), b.rate) {
 		return false
 	}
@@ -39,10 +39,10 @@
 	return true
 }
 
-// TakeAnyway removes n tokens even if they are not available, for operations that cannot wait.
+// ForceConsume removes n tokens even if they are not available, for operations that cannot wait.
 // The debt is at most the tokens of one second.
-func (b *TokenBucket) TakeAnyway(now time.Duration, n int) {
-	b.Fill(now)
+func (b *TokenBucket) ForceConsume(now time.Duration, n int) {
+	b.Refill(now)
 	b.level = max(b.level-float64(n), -b.rate)
 }
 
--- a/internal/coordination/membership/reporter.go
+++ b/internal/coordination/membership/reporter.go
@@ -174,15 +174,15 @@
 	if len(shards) == 0 {
 		return
 	}
-	r.livenessWrite.RetryAt(now + interval)
-	r.Committer.Budget.TakeAnyway(now, 1)
+	r.livenessWrite.DelayUntil(now + interval)
+	r.Committer.Budget.ForceConsume(now, 1)
 	r.Committer.Commit(transaction, func(_ uint64, err error) {
 		if r.Generation.Ended() {
 			return
 		}
 		if err != nil {
 			r.Log.Debug("liveness record not written", "err", err)
-			r.livenessWrite.RetryAt(r.Generation.Now() + r.Generation.Jitter(kv.RetryPause))
+			r.livenessWrite.DelayUntil(r.Generation.Now() + r.Generation.Jitter(kv.RetryDelay))
 			return
 		}
 		for _, shard := range shards {
--- a/internal/coordination/provisioning/adoption.go
+++ b/internal/coordination/provisioning/adoption.go
@@ -105,7 +105,7 @@
 	a.groupFoundMachines()
 	a.removeRecorded()
 	for _, group := range a.groups {
-		if group.write.Ready(now) && a.Committer.Budget.Take(now, 1) {
+		if group.write.Ready(now) && a.Committer.Budget.TryConsume(now, 1) {
 			a.commit(group)
 		}
 	}
@@ -156,11 +156,11 @@
 		Conditions: []protocol.Condition{a.Leadership.Condition(), {Key: key}},
 		Operations: []protocol.Operation{{Put: key, Value: storage.Encode(group.record)}},
 	}, func(_ uint64, err error) {
-		delay := kv.RetryPause
+		delay := kv.RetryDelay
 		if err == nil {
 			delay = writtenGroupRetryDelay
 		}
-		group.write.Done(a.now() + delay)
+		group.write.FinishAndDelayUntil(a.now() + delay)
 	})
 }
 
--- a/internal/coordination/provisioning/cloud_list.go
+++ b/internal/coordination/provisioning/cloud_list.go
@@ -61,13 +61,13 @@
 }
 
 func (l *cloudList) onListed(list []protocol.CloudMachine, err error) {
-	l.call.Done(l.now() + listInterval(len(list), l.Cluster.Cloud.RequestsPerSecond))
+	l.call.FinishAndDelayUntil(l.now() + listInterval(len(list), l.Cluster.Cloud.RequestsPerSecond))
 	if !l.Leadership.Current() {
 		return
 	}
 	if err != nil {
 		l.Log.Debug("machine list request failed", "err", err)
-		l.call.RetryAt(l.now() + l.Generation.Jitter(listRetryDelay))
+		l.call.DelayUntil(l.now() + l.Generation.Jitter(listRetryDelay))
 		return
 	}
 	listed := l.compare(list)
--- a/internal/coordination/provisioning/deletion.go
+++ b/internal/coordination/provisioning/deletion.go
@@ -73,13 +73,13 @@
 }
 
 func (d *deletions) onAnswer(names []string, err error) {
-	d.call.Done(d.now() + kv.RetryPause)
+	d.call.FinishAndDelayUntil(d.now() + kv.RetryDelay)
 	if !d.Leadership.Current() {
 		return
 	}
 	if err != nil {
 		d.Log.Debug("machine deletion failed", "err", err)
-		d.call.RetryAt(d.now() + d.Generation.Jitter(deleteRetryDelay))
+		d.call.DelayUntil(d.now() + d.Generation.Jitter(deleteRetryDelay))
 		return
 	}
 	for _, name := range names {
--- a/internal/coordination/provisioning/group_writer.go
+++ b/internal/coordination/provisioning/group_writer.go
@@ -90,7 +90,7 @@
 		if !ok {
 			continue
 		}
-		if !w.Committer.Budget.Take(now, len(write.operations)) {
+		if !w.Committer.Budget.TryConsume(now, len(write.operations)) {
 			break
 		}
 		if !batch.hasRoomFor(write) {
--- a/internal/coordination/provisioning/loss_test.go
+++ b/internal/coordination/provisioning/loss_test.go
@@ -17,7 +17,7 @@
 	list := l.provisioner.list
 	forgettable := func(ago time.Duration) map[string]bool {
 		l.putGroup("b", storage.MachineEntry{Name: "m-1", Phase: storage.PhaseDeleted, DeletedAtMS: l.Wall().Add(-ago).UnixMilli()})
-		list.call.RetryAt(0)
+		list.call.DelayUntil(0)
 		list.refresh(l.now)
 		return list.expiredRecords
 	}
--- a/internal/coordination/provisioning/machine_types.go
+++ b/internal/coordination/provisioning/machine_types.go
@@ -44,21 +44,21 @@
 func (t *machineTypes) onRead(catalogue protocol.MachineTypeCatalogue, err error) {
 	retryAt := t.now() + t.Generation.Jitter(typesRetryBackoff)
 	if err != nil || len(catalogue.Types) == 0 {
-		t.read.Done(retryAt)
+		t.read.FinishAndDelayUntil(retryAt)
 		t.Log.Debug("machine types read failed", "err", err)
 		return
 	}
-	t.read.Done(t.now() + typesInterval)
+	t.read.FinishAndDelayUntil(t.now() + typesInterval)
 	t.catalogue = catalogue
 }
 
 func (t *machineTypes) record(now time.Duration) {
-	t.Committer.Budget.TakeAnyway(now, 1)
+	t.Committer.Budget.ForceConsume(now, 1)
 	t.Committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{t.Leadership.Condition(), {Key: storage.KeyMachineTypes, Version: t.view().MachineTypesVersion}},
 		Operations: []protocol.Operation{{Put: storage.KeyMachineTypes, Value: storage.Encode(t.catalogue)}},
 	}, func(uint64, error) {
-		t.Generation.Later(kv.RetryPause, t.write.Finish)
+		t.Generation.Later(kv.RetryDelay, t.write.Finish)
 	})
 }
 
--- a/internal/coordination/provisioning/moves.go
+++ b/internal/coordination/provisioning/moves.go
@@ -47,7 +47,7 @@
 	const operations = 2
 	for _, move := range slices.SortedFunc(maps.Keys(v.machines), compareMoves) {
 		group := v.view().MachineGroups[move.group]
-		if group == nil || !v.writer.ready(move.group) || !v.Committer.Budget.Take(v.now(), operations) {
+		if group == nil || !v.writer.ready(move.group) || !v.Committer.Budget.TryConsume(v.now(), operations) {
 			continue
 		}
 		v.writeMove(move, group)
--- a/internal/coordination/provisioning/scale_outs.go
+++ b/internal/coordination/provisioning/scale_outs.go
@@ -89,7 +89,7 @@
 	case errors.Is(err, protocol.ErrOutcomeUnknown):
 		s.Log.Info("machine creation unanswered", "request", call.Request, "count", call.Count, "type", call.Type, "zone", call.Zone, "spot", call.Spot,
 			"shard", call.shard, "term", s.Leadership.Term(), "err", err)
-		call.RetryAt(s.now() + s.Generation.Jitter(scaleOutRetryBackoff))
+		call.DelayUntil(s.now() + s.Generation.Jitter(scaleOutRetryBackoff))
 	default:
 		s.Log.Debug("machine creation failed", "err", err)
 		s.remove(call)
--- a/internal/coordination/provisioning/target.go
+++ b/internal/coordination/provisioning/target.go
@@ -28,7 +28,7 @@
 // update writes the scaling target if it has changed.
 func (w *targetWriter) update(now time.Duration, supplies []*autoscaler.Supply) {
 	record := scalingTarget(w.Leadership.Term(), supplies)
-	if sameTarget(&w.view().ScalingTarget, &record) || !w.call.Ready(now) || !w.Committer.Budget.Take(now, 1) {
+	if sameTarget(&w.view().ScalingTarget, &record) || !w.call.Ready(now) || !w.Committer.Budget.TryConsume(now, 1) {
 		return
 	}
 	w.call.Begin()
@@ -36,7 +36,7 @@
 		Conditions: []protocol.Condition{w.Leadership.Condition(), {Key: storage.KeyScalingTarget, Version: w.view().ScalingTargetVersion}},
 		Operations: []protocol.Operation{{Put: storage.KeyScalingTarget, Value: storage.Encode(record)}},
 	}, func(uint64, error) {
-		w.call.Done(w.now() + targetInterval)
+		w.call.FinishAndDelayUntil(w.now() + targetInterval)
 	})
 }
 
--- a/internal/coordination/quota/quota.go
+++ b/internal/coordination/quota/quota.go
@@ -19,8 +19,8 @@
 	u.GPUs += tasks * job.GPUs
 }
 
-// Exceeds reports whether an amount is above a maximum; a maximum of 0 means unlimited.
-func Exceeds(amount, maximum float64) bool {
+// ExceedsMaximum reports whether an amount is above a maximum; a maximum of 0 means unlimited.
+func ExceedsMaximum(amount, maximum float64) bool {
 	return maximum > 0 && amount > maximum+storage.RoundingTolerance
 }
 
@@ -30,9 +30,9 @@
 	return maximum <= 0 || amount <= part+storage.RoundingTolerance
 }
 
-// ShardWithin reports whether a team's usage in a job shard is within the shard's part of
+// WithinShardQuota reports whether a team's usage in a job shard is within the shard's part of
 // the team's maximum.
-func ShardWithin(view *storage.View, team *storage.Team, shard int, usage Usage) bool {
+func WithinShardQuota(view *storage.View, team *storage.Team, shard int, usage Usage) bool {
 	return WithinPart(usage.CPUs, team.MaxCPUs, view.QuotaShare(team, shard, team.MaxCPUs)) &&
 		WithinPart(usage.GPUs, team.MaxGPUs, view.QuotaShare(team, shard, team.MaxGPUs))
 }
--- a/internal/coordination/quota/quota_test.go
+++ b/internal/coordination/quota/quota_test.go
@@ -33,7 +33,7 @@
 		if got := WithinPart(c.amount, c.maximum, c.part); got != c.within {
 			t.Errorf("%s: within the part: %t", c.name, got)
 		}
-		if got := Exceeds(c.amount, c.maximum); got != c.exceeds {
+		if got := ExceedsMaximum(c.amount, c.maximum); got != c.exceeds {
 			t.Errorf("%s: exceeds the maximum: %t", c.name, got)
 		}
 	}
--- a/internal/coordination/quota/splitter.go
+++ b/internal/coordination/quota/splitter.go
@@ -54,12 +54,12 @@
 		return
 	}
 	s.call.Begin()
-	s.Committer.Budget.TakeAnyway(now, 1)
+	s.Committer.Budget.ForceConsume(now, 1)
 	s.Committer.Commit(protocol.Transaction{
 		Conditions: s.conditions(),
 		Operations: []protocol.Operation{{Put: storage.KeyQuotaSplit, Value: storage.Encode(record)}},
 	}, func(uint64, error) {
-		s.call.Done(s.Generation.Now() + minUpdateInterval)
+		s.call.FinishAndDelayUntil(s.Generation.Now() + minUpdateInterval)
 	})
 }
 
--- a/internal/coordination/reconcile/commands.go
+++ b/internal/coordination/reconcile/commands.go
@@ -144,7 +144,7 @@
 		if err != nil {
 			// The agent may have executed the commands; its next heartbeat shows whether it has.
 			r.Log.Debug("command request failed", "machine", agent.machine.Name, "err", err)
-			channel.RetryAt(r.now() + r.Generation.Jitter(commandRetryDelay))
+			channel.DelayUntil(r.now() + r.Generation.Jitter(commandRetryDelay))
 			return
 		}
 		r.onCommandAnswer(agent, heartbeat, !executed && heartbeat.Epoch != request.Epoch)
--- a/internal/coordination/reconcile/completion.go
+++ b/internal/coordination/reconcile/completion.go
@@ -94,7 +94,7 @@
 		},
 		Operations: operations,
 	}
-	r.Committer.Budget.TakeAnyway(r.now(), len(operations))
+	r.Committer.Budget.ForceConsume(r.now(), len(operations))
 	progress.endWrite.Begin()
 	r.completions.finalRecordsInFlight++
 	r.Committer.Commit(transaction, func(revision uint64, err error) {
@@ -105,7 +105,7 @@
 		}
 		if err != nil {
 			r.Log.Debug("final record write failed", "job", job.ID, "err", err)
-			progress.endWrite.RetryAt(r.now() + r.Generation.Jitter(kv.RetryPause/2))
+			progress.endWrite.DelayUntil(r.now() + r.Generation.Jitter(kv.RetryDelay/2))
 			return
 		}
 		progress.endWrite.Written(revision)
--- a/internal/coordination/reconcile/fixture_test.go
+++ b/internal/coordination/reconcile/fixture_test.go
@@ -141,7 +141,7 @@
 func (f *fixture) setWriteRate(rate float64) {
 	budget := &f.committer.Budget
 	*budget = loop.NewTokenBucket(1)
-	budget.Fill(f.now)
+	budget.Refill(f.now)
 	budget.SetRate(rate)
 }
 
--- a/internal/coordination/reconcile/page_batch.go
+++ b/internal/coordination/reconcile/page_batch.go
@@ -131,7 +131,7 @@
 	w.Log.Debug("page write failed", "shard", w.shard, "err", err)
 	now := w.now()
 	for _, state := range batch.states() {
-		state.write.Done(now + w.Generation.Jitter(kv.RetryPause/2))
+		state.write.FinishAndDelayUntil(now + w.Generation.Jitter(kv.RetryDelay/2))
 		state.urgent, state.pendingSince = true, max(1, now-removalDelay)
 	}
 	w.maxOperations = max(1, w.maxOperations/2)
--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -149,7 +149,7 @@
 	view := p.reconciler.View
 	used := p.reconciler.usage.ofShard(job.Shard)[job.TeamIndex]
 	used.Add(job, 1)
-	return quota.ShardWithin(view, &view.Teams[job.TeamIndex], job.Shard, used)
+	return quota.WithinShardQuota(view, &view.Teams[job.TeamIndex], job.Shard, used)
 }
 
 // RunsBelow reports whether any live attempt has a lower priority than rank.
--- a/internal/coordination/reconcile/record_writer.go
+++ b/internal/coordination/reconcile/record_writer.go
@@ -164,13 +164,13 @@
 	w.shrinkOversized(now)
 	w.assignPages()
 	budget := &w.Committer.Budget
-	budget.Fill(now)
+	budget.Refill(now)
 	if budget.Level() < min(1, budget.Rate()) {
 		return // no write is possible, so skip the encoding
 	}
 	batch := w.dueWrites(now)
 	operations := len(batch.transaction.Operations)
-	if operations == 0 || !budget.Take(now, operations) {
+	if operations == 0 || !budget.TryConsume(now, operations) {
 		return
 	}
 	w.nextFlushAt = now + flushInterval
--- a/internal/coordination/reconcile/usage.go
+++ b/internal/coordination/reconcile/usage.go
@@ -59,7 +59,7 @@
 func (u *usageLedger) withinQuota(view *storage.View, shard int) bool {
 	within := true
 	for team, usage := range u.ofShard(shard) {
-		within = within && quota.ShardWithin(view, &view.Teams[team], shard, usage)
+		within = within && quota.WithinShardQuota(view, &view.Teams[team], shard, usage)
 	}
 	return within
 }
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -91,7 +91,7 @@
 		}
 		if err != nil {
 			r.Log.Debug("records not read", "err", err)
-			r.Generation.Later(r.Generation.Jitter(kv.RetryPause), func() { r.readRecords(after, from, upTo) })
+			r.Generation.Later(r.Generation.Jitter(kv.RetryDelay), func() { r.readRecords(after, from, upTo) })
 			return
 		}
 		for _, item := range page.Items {
@@ -132,9 +132,9 @@
 }
 
 func (r *Replica) followAfterFailure(upTo uint64, failures int) {
-	pause := r.Generation.Jitter(kv.RetryPause)
+	pause := r.Generation.Jitter(kv.RetryDelay)
 	if failures > manyFailures {
-		pause = r.Generation.Jitter(2 * kv.RetryPause)
+		pause = r.Generation.Jitter(2 * kv.RetryDelay)
 	}
 	r.Generation.Later(pause, func() { r.follow(upTo, failures+1) })
 }
