--- a/internal/coordination/election/elector.go
+++ b/internal/coordination/election/elector.go
@@ -1,7 +1,7 @@
-// Package election decides which controller is the leader. The leader's record is
-// attached to a lease in the key-value store; taking the record and the next term is one
-// transaction, so there is one leader a term and terms only rise. A leadership issues the
-// fencing tokens of its term.
+// Package election elects one controller as the leader. The leader record is attached to a
+// lease in the key-value store. One transaction writes this record and the next term, so each
+// term has one leader and terms only increase. A Leadership issues the fencing tokens of its
+// term.
 package election
 
 import (
@@ -19,47 +19,48 @@
 const (
 	leaseTTL      = 4 * time.Second
 	renewInterval = time.Second
-	// candidacySpread spreads the candidates so that mostly one campaigns.
-	candidacySpread = 400 * time.Millisecond
+	// maxCampaignDelay limits the random delay before a campaign. The delay spreads the
+	// candidates, so that usually only one campaigns.
+	maxCampaignDelay = 400 * time.Millisecond
 )
 
-// Config is all that an Elector is made of.
+// Config holds the dependencies and settings of an Elector.
 type Config struct {
 	Generation *loop.Generation
 	Store      kv.Store
 	Committer  *kv.Committer
 	Replica    *replica.Replica
-	// MaxStaleness is how old a leader's last renewal may be while it still answers as
-	// the leader.
+	// MaxStaleness is the maximum age of a leader's last successful lease renewal at which
+	// the leader still answers peers.
 	MaxStaleness time.Duration
 	Log          *slog.Logger
 
-	// OnElected is called when this controller has become the leader.
+	// OnElected is called when this controller becomes the leader.
 	OnElected func(*Leadership)
-	// OnDeposed is called when it is the leader no longer, or has resigned.
+	// OnDeposed is called when this controller stops being the leader.
 	OnDeposed func()
 }
 
-// Elector campaigns for this controller while nobody leads, and renews its lease while
-// it does.
+// Elector campaigns for this controller while there is no leader, and renews the leader
+// lease while this controller leads.
 type Elector struct {
 	Config
-	campaigning bool
-	campaignAt  time.Duration   // when to campaign; 0: not settled, or no need
-	leases      map[uint64]bool // opened for a campaign of this generation
-	leadership  *Leadership     // nil unless this controller leads
+	campaigning    bool
+	campaignAt     time.Duration   // 0: no campaign scheduled
+	campaignLeases map[uint64]bool // opened for campaigns of this generation
+	leadership     *Leadership     // nil unless this controller leads
 }
 
-// New makes an elector.
-func New(c Config) *Elector { return &Elector{Config: c, leases: map[uint64]bool{}} }
+// New creates an elector.
+func New(c Config) *Elector { return &Elector{Config: c, campaignLeases: map[uint64]bool{}} }
 
-// Tick renews the leader's lease, or campaigns when nobody leads.
+// Tick renews the leader lease if this controller leads, and campaigns if there is no leader.
 func (e *Elector) Tick() {
 	now := e.Generation.Now()
 	switch {
 	case e.leadership != nil:
 		e.leadership.renewLease(now)
-	case !e.vacant():
+	case !e.mayCampaign():
 		e.campaignAt = 0
 	case e.campaigning:
 	default:
@@ -69,23 +70,24 @@
 
 func (e *Elector) campaignWhenDue(now time.Duration) {
 	if e.campaignAt == 0 {
-		e.campaignAt = now + time.Duration(e.Generation.Rand.Int64N(int64(candidacySpread)))
+		e.campaignAt = now + time.Duration(e.Generation.Rand.Int64N(int64(maxCampaignDelay)))
 	}
 	if now >= e.campaignAt {
 		e.campaign()
 	}
 }
 
-// vacant reports whether nobody leads. A former incarnation of this very controller that
-// still seems to lead is known to have ended and is succeeded at once.
-func (e *Elector) vacant() bool {
+// mayCampaign reports whether there is no leader. It ignores a leader record of an earlier
+// incarnation of this controller: that incarnation has certainly ended, so the controller
+// campaigns at once.
+func (e *Elector) mayCampaign() bool {
 	view := e.Replica.View
 	return view.LeaderVersion == 0 ||
 		view.Leader.Controller == e.Replica.Controller && view.Leader.Incarnation != e.Replica.Incarnation
 }
 
-// campaign opens a lease and tries to take the leader's record. Winning shows when the
-// record comes back with the changes.
+// campaign opens a lease and tries to write the leader record. The controller is elected
+// once the record appears in the view, see ObserveRecord.
 func (e *Elector) campaign() {
 	e.campaigning = true
 	e.Store.OpenLease(leaseTTL, func(lease uint64, err error) {
@@ -93,12 +95,13 @@
 		case !e.Generation.Active():
 		case err != nil:
 			e.Generation.Later(e.Generation.Jitter(kv.RetryPause), e.endCampaign)
-		case !e.vacant():
-			// Another has won while the lease was being opened; conditions on the record
-			// that is in the view by now would depose it.
+		case !e.mayCampaign():
+			// Another controller was elected while the lease was being opened. A
+			// transaction conditioned on the record now in the view would replace that
+			// leader.
 			e.Store.RevokeLease(lease, func(error) { e.endCampaign() })
 		default:
-			e.takeLeadership(lease)
+			e.writeLeaderRecord(lease)
 		}
 	})
 }
@@ -111,9 +114,9 @@
 	e.campaignAt = 0
 }
 
-// takeLeadership writes the leader's record and the next term in one transaction.
-func (e *Elector) takeLeadership(lease uint64) {
-	e.leases[lease] = true
+// writeLeaderRecord writes the leader record and the next term in one transaction.
+func (e *Elector) writeLeaderRecord(lease uint64) {
+	e.campaignLeases[lease] = true
 	view := e.Replica.View
 	term := view.Term + 1
 	leader := storage.LeaderRecord{
@@ -132,8 +135,8 @@
 			{Put: storage.KeyTerm, Value: storage.Encode(storage.TermRecord{Term: term})},
 		},
 	}, func(_ uint64, err error) {
-		// With no answer the transaction may still be applied; its record then arrives
-		// with the changes and is recognised by the lease.
+		// If the outcome is unknown, the transaction may still be applied. Its record
+		// then appears in the view and is identified by the lease.
 		pause := e.Generation.Jitter(kv.RetryPause)
 		if errors.Is(err, protocol.ErrOutcomeUnknown) {
 			pause = e.Generation.Jitter(renewInterval)
@@ -142,29 +145,29 @@
 	})
 }
 
-// ObserveRecord compares the leader's record with what this controller takes itself for.
+// ObserveRecord starts or ends this controller's leadership to match the leader record.
 func (e *Elector) ObserveRecord() {
 	record := &e.Replica.View.Leader
-	leads := e.leads()
+	leading := e.ownsLeaderRecord()
 	switch {
-	case leads && (e.leadership == nil || e.leadership.term != record.Term):
-		e.begin(record)
-	case !leads && e.leadership != nil:
+	case leading && (e.leadership == nil || e.leadership.term != record.Term):
+		e.beginLeadership(record)
+	case !leading && e.leadership != nil:
 		e.Log.Info("leadership lost", "term", e.leadership.term, "leader", record.Controller, "revision", e.Replica.Revision())
 		e.leadership = nil
 		e.OnDeposed()
 	}
 }
 
-// leads reports whether the leader's record is one that this generation has written.
-func (e *Elector) leads() bool {
+// ownsLeaderRecord reports whether this generation wrote the leader record in the view.
+func (e *Elector) ownsLeaderRecord() bool {
 	view := e.Replica.View
 	record := &view.Leader
 	return view.LeaderVersion != 0 && record.Controller == e.Replica.Controller &&
-		record.Incarnation == e.Replica.Incarnation && e.leases[record.Lease]
+		record.Incarnation == e.Replica.Incarnation && e.campaignLeases[record.Lease]
 }
 
-func (e *Elector) begin(record *storage.LeaderRecord) {
+func (e *Elector) beginLeadership(record *storage.LeaderRecord) {
 	now := e.Generation.Now()
 	e.leadership = &Leadership{
 		elector: e, generation: e.Generation, replica: e.Replica, log: e.Log,
@@ -174,16 +177,17 @@
 	e.OnElected(e.leadership)
 }
 
-// resign ends a leadership whose record may still be in the view: it must not be taken up
-// again from there, for the tokens of the term would be issued anew.
+// resign ends a leadership whose record may still be in the view. It deletes the lease from
+// campaignLeases, so that the elector does not resume the term from that record and issue the
+// term's tokens again.
 func (e *Elector) resign(l *Leadership) {
-	delete(e.leases, l.lease)
+	delete(e.campaignLeases, l.lease)
 	e.leadership = nil
 	e.OnDeposed()
 }
 
-// Stop ends a leadership because the controller shuts down. It returns the lease to be
-// revoked, or false where this controller does not lead.
+// Stop ends the leadership at shutdown and returns the lease to revoke. leading is false if
+// this controller does not lead.
 func (e *Elector) Stop() (lease uint64, leading bool) {
 	if e.leadership == nil {
 		return 0, false
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -22,49 +22,48 @@
 	term          uint64
 	lease         uint64
 	since         time.Duration
-	renewedAt     time.Duration // when the last renewal that succeeded was sent
+	renewedAt     time.Duration // when the last successful renewal was sent
 	nextRenewalAt time.Duration
-	// storeHeardSince is since when this leader has heard from the store without a gap.
+	// storeHeardSince is when the current uninterrupted contact with the store began.
 	storeHeardSince time.Duration
 	tokenCounter    uint64
 }
 
-// Term is the number of the leadership.
+// Term returns the leader's term.
 func (l *Leadership) Term() uint64 { return l.term }
 
-// Lease is the lease to which the leader's record is attached.
+// Lease returns the lease to which the leader record is attached.
 func (l *Leadership) Lease() uint64 { return l.lease }
 
-// Since is when the leadership began.
+// Since returns when the leadership began.
 func (l *Leadership) Since() time.Duration { return l.since }
 
-// StoreHeardSince is since when the leader has heard from the store without a gap.
+// StoreHeardSince returns when the leader's current uninterrupted contact with the store began.
 func (l *Leadership) StoreHeardSince() time.Duration { return l.storeHeardSince }
 
-// Current reports whether the leadership is still in office as far as this controller
-// knows.
+// Current reports whether this leadership is still in force as far as this controller knows.
 func (l *Leadership) Current() bool { return !l.generation.Ended() && l.elector.leadership == l }
 
-// MayAnswer reports whether the leader may still speak as one: a leader that is
-// partitioned from the store cannot know whether it has been succeeded.
+// MayAnswer reports whether this controller may still answer peers as the leader. A leader
+// that is partitioned from the store cannot know whether another controller was elected.
 func (l *Leadership) MayAnswer() bool {
 	return l.generation.Now()-l.renewedAt < l.elector.MaxStaleness
 }
 
-// Condition makes a transaction depend on this controller still being the leader.
+// Condition returns the precondition that this controller is still the leader.
 func (l *Leadership) Condition() protocol.Condition {
 	return protocol.Condition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
 }
 
-// NextFencingToken returns a fencing token above every earlier one.
+// NextFencingToken returns a fencing token higher than all earlier ones.
 func (l *Leadership) NextFencingToken() uint64 {
 	l.tokenCounter++
 	return l.term<<termShift | l.tokenCounter<<counterShift
 }
 
-// Tick looks at what only the passing of time changes, and reports whether the leader may
-// begin anything. One whose lease may have expired begins nothing: another may lead by
-// now, and while nobody can be elected nothing could be recorded either.
+// Tick checks the conditions that depend on elapsed time and reports whether the leader may
+// start new actions. A leader whose lease may have expired starts none: another controller may
+// lead by now, and while no leader can be elected, no action could be recorded either.
 func (l *Leadership) Tick() bool {
 	now := l.generation.Now()
 	if l.replica.Staleness() > 2*replica.WatchTimeout {
@@ -74,20 +73,20 @@
 		return false
 	}
 	if l.tokenCounter >= maxTokenCounter {
-		l.resignOutOfTokens()
+		l.resignOnTokenExhaustion()
 		return false
 	}
 	return true
 }
 
-// resignOutOfTokens ends the term before its tokens run into those of the next.
-func (l *Leadership) resignOutOfTokens() {
-	l.log.Info("leadership given up, term has no tokens left", "term", l.term)
+// resignOnTokenExhaustion ends the term before its tokens overlap those of the next term.
+func (l *Leadership) resignOnTokenExhaustion() {
+	l.log.Info("leadership resigned, fencing tokens exhausted", "term", l.term)
 	l.elector.resign(l)
 	l.elector.Store.RevokeLease(l.lease, func(error) {})
 }
 
-// renewLease renews the leader's lease about once a second.
+// renewLease renews the leader lease about once per renewInterval.
 func (l *Leadership) renewLease(now time.Duration) {
 	if now < l.nextRenewalAt {
 		return
--- a/internal/coordination/membership/peer.go
+++ b/internal/coordination/membership/peer.go
@@ -6,39 +6,41 @@
 	"rockrun/internal/protocol"
 )
 
-// Peer is what the leader knows of a controller, itself among them. Times are the
-// leader's.
+// Peer is the leader's state of one controller, which may be the leader itself. All times are
+// on the leader's clock.
 type Peer struct {
 	Incarnation uint64
-	// WellSince is when the controller was first heard without a gap since.
+	// WellSince is when the uninterrupted contact with the current incarnation began.
 	WellSince time.Duration
-	// HeardAt is when the controller was last heard, by a heartbeat or by its liveness
-	// record.
+	// HeardAt is when the leader last received a heartbeat of the controller or observed a new
+	// version of its liveness record.
 	HeardAt time.Duration
-	// HeartbeatAt is when its last heartbeat came.
+	// HeartbeatAt is when its last heartbeat arrived.
 	HeartbeatAt time.Duration
-	// ConfirmedAt is when its shard leases were last extended.
+	// ConfirmedAt is when its grants were last confirmed, which extends its shard leases.
 	ConfirmedAt time.Duration
-	// Staleness is how long it had not heard from the store when it was heard.
+	// Staleness is the staleness of its view at the last contact.
 	Staleness time.Duration
-	// Fresh reports whether its knowledge was young enough to act on for a while.
+	// Fresh reports whether that staleness was below half the maximum, so that the controller
+	// could act on its view for a while.
 	Fresh bool
-	// Leaving reports whether it has ended and given up what it held.
+	// Leaving reports whether it is shutting down and has released its shards.
 	Leaving bool
-	// QuotaSplitVersion is the version of the quota split that it keeps to.
+	// QuotaSplitVersion is the version of the quota split that it applies.
 	QuotaSplitVersion uint64
-	// GrantsWithinQuota are the fencing tokens of the grants under which it holds a job
-	// shard whose usage is within the shard's quota.
+	// GrantsWithinQuota are the fencing tokens of its grants for job shards whose usage is
+	// within the shard's quota.
 	GrantsWithinQuota []uint64
 
 	machines     map[string]protocol.MachineStatus
-	shardHeardAt []time.Duration // 0: never
+	shardHeardAt []time.Duration // by shard; 0: never
 }
 
-// Alive reports whether the controller has been heard lately and is not leaving.
+// Alive reports whether the controller was heard within PeerTimeout and is not leaving.
 func (p *Peer) Alive(now time.Duration) bool { return !p.Leaving && now-p.HeardAt < PeerTimeout }
 
-// ShardHeardAt is when an agent of a shard was last heard by the controller, or 0.
+// ShardHeardAt returns when the controller last received a heartbeat from an agent of a shard,
+// or 0 if it has received none.
 func (p *Peer) ShardHeardAt(shard int) time.Duration {
 	if !p.ReportsShard(shard) {
 		return 0
@@ -46,11 +48,12 @@
 	return p.shardHeardAt[shard]
 }
 
-// ReportsShard reports whether the controller says when it has heard agents of a shard.
+// ReportsShard reports whether the controller's last heartbeat said when it last heard an agent
+// of a shard.
 func (p *Peer) ReportsShard(shard int) bool { return shard < len(p.shardHeardAt) }
 
-// HeardAnyShardSince reports whether an agent of any shard was heard by the controller
-// after a time.
+// HeardAnyShardSince reports whether the controller received a heartbeat from an agent of any
+// shard after the given time.
 func (p *Peer) HeardAnyShardSince(at time.Duration) bool {
 	for _, heardAt := range p.shardHeardAt {
 		if heardAt > at {
@@ -60,8 +63,8 @@
 	return false
 }
 
-// takeIn takes in a heartbeat, except for what it says of machines.
-func (p *Peer) takeIn(heartbeat *protocol.PeerHeartbeat, now, maxStaleness time.Duration) {
+// applyHeartbeat records a heartbeat, except for its machine statuses.
+func (p *Peer) applyHeartbeat(heartbeat *protocol.PeerHeartbeat, now, maxStaleness time.Duration) {
 	if heartbeat.Incarnation > p.Incarnation || now-p.HeardAt > PeerTimeout {
 		p.WellSince = now
 	}
--- a/internal/coordination/membership/registry.go
+++ b/internal/coordination/membership/registry.go
@@ -1,6 +1,6 @@
-// Package membership tells which controllers are alive and well. Every controller sends
-// the leader heartbeats; the leader's Registry keeps what they say. Where the leader
-// cannot be reached, a liveness record in the key-value store takes the heartbeat's place.
+// Package membership tracks which controllers are alive and healthy. Every controller sends
+// heartbeats to the leader, which records them in a Registry. A controller that cannot reach
+// the leader writes a liveness record to the key-value store instead.
 package membership
 
 import (
@@ -14,55 +14,58 @@
 )
 
 const (
-	// HeartbeatInterval is the time between two heartbeats of a controller.
+	// HeartbeatInterval is the interval between a controller's heartbeats to the leader.
 	HeartbeatInterval = 500 * time.Millisecond
-	// PeerTimeout is how old a heartbeat may be while its controller counts as alive.
+	// PeerTimeout is the time after the last contact at which a controller no longer counts as
+	// alive.
 	PeerTimeout = 3 * time.Second
-	// AgentAnswerTimeout is how long an agent waits for the answer to its heartbeat.
+	// AgentAnswerTimeout is how long an agent waits for the response to its heartbeat.
 	AgentAnswerTimeout = 4 * time.Second
 )
 
-// Leadership is what a Registry needs to know of the leader whose it is.
+// Leadership is the leadership under which a Registry acts.
 type Leadership interface {
-	// Term is the term of the leadership.
+	// Term returns the leader's term.
 	Term() uint64
-	// MayAnswer reports whether the leader may still speak as one.
+	// MayAnswer reports whether this controller may still answer peers as the leader.
 	MayAnswer() bool
-	// StoreHeardSince is since when the leader has heard from the store without a gap.
+	// StoreHeardSince returns when the leader's current uninterrupted contact with the store
+	// began.
 	StoreHeardSince() time.Duration
 }
 
-// RegistryConfig is all that a Registry is made of.
+// RegistryConfig holds the dependencies and settings of a Registry.
 type RegistryConfig struct {
 	Generation  *loop.Generation
 	Replica     *replica.Replica
 	Leadership  Leadership
-	Controllers []string // all controllers, by name
+	Controllers []string // the names of all controllers
 	Agents      config.Agents
-	// ShardLease is how long a holder may act without a word of the leader.
+	// ShardLease is how long a holder may act for a shard without contact to the leader.
 	ShardLease time.Duration
-	// OnUnrecordedAgent is called with a heartbeat of an agent that no record names.
+	// OnUnrecordedAgent is called with the heartbeat of an agent whose machine no record names.
 	OnUnrecordedAgent func(*protocol.AgentHeartbeat)
 }
 
-// Registry is what a leader knows of the controllers. Every leader builds it anew from
-// their heartbeats.
+// Registry is the leader's state of all controllers. Every new leader builds it from their
+// heartbeats.
 type Registry struct {
 	RegistryConfig
 	peers map[string]*Peer
-	// confirmed is, by machine, what a holder that had heard its agent said last.
-	confirmed map[string]protocol.MachineStatus
-	// appliedLiveness are the versions of the liveness records taken in.
+	// lastSeenStatus holds, by machine, the last status from a holder that had received a
+	// heartbeat from the machine's agent.
+	lastSeenStatus map[string]protocol.MachineStatus
+	// appliedLiveness holds, by controller, the version of the last liveness record applied.
 	appliedLiveness map[string]uint64
 }
 
-// NewRegistry makes a registry that has heard nobody. How old the liveness records are
-// that are there already is not known, so they count for nothing.
+// NewRegistry creates a registry without peers. It ignores liveness records that exist already,
+// because their age is unknown.
 func NewRegistry(c RegistryConfig) *Registry {
 	registry := &Registry{
 		RegistryConfig:  c,
 		peers:           map[string]*Peer{},
-		confirmed:       map[string]protocol.MachineStatus{},
+		lastSeenStatus:  map[string]protocol.MachineStatus{},
 		appliedLiveness: map[string]uint64{},
 	}
 	for controller, liveness := range c.Replica.View.Liveness {
@@ -71,10 +74,10 @@
 	return registry
 }
 
-// Peer returns what is known of a controller, or nil where it has not been heard.
+// Peer returns the state of a controller, or nil if the leader has not heard from it.
 func (r *Registry) Peer(controller string) *Peer { return r.peers[controller] }
 
-// peerOrNew returns what is known of a controller, if only that it exists.
+// peerOrNew returns the state of a controller and creates it if necessary.
 func (r *Registry) peerOrNew(controller string) *Peer {
 	p := r.peers[controller]
 	if p == nil {
@@ -84,7 +87,7 @@
 	return p
 }
 
-// OnHeartbeat takes in a controller's heartbeat and confirms what it holds.
+// OnHeartbeat records a controller's heartbeat and confirms the controller's grants.
 func (r *Registry) OnHeartbeat(heartbeat *protocol.PeerHeartbeat) *protocol.PeerHeartbeatReply {
 	if !r.Leadership.MayAnswer() {
 		return &protocol.PeerHeartbeatReply{}
@@ -92,18 +95,18 @@
 	now := r.Generation.Now()
 	peer := r.peerOrNew(heartbeat.Controller)
 	if heartbeat.Incarnation < peer.Incarnation {
-		return &protocol.PeerHeartbeatReply{} // a late copy from an incarnation that has ended
+		return &protocol.PeerHeartbeatReply{} // a delayed heartbeat from an earlier incarnation
 	}
-	peer.takeIn(heartbeat, now, r.MaxStaleness())
-	peer.machines = r.machineStatuses(heartbeat.Machines)
+	peer.applyHeartbeat(heartbeat, now, r.MaxStaleness())
+	peer.machines = r.recordMachineStatuses(heartbeat.Machines)
 	for i := range heartbeat.UnrecordedAgents {
 		r.OnUnrecordedAgent(&heartbeat.UnrecordedAgents[i])
 	}
 	reply := &protocol.PeerHeartbeatReply{
-		Leader: true, Term: r.Leadership.Term(), SentAt: heartbeat.SentAt, HealthyPeers: r.healthyBesides(heartbeat.Controller),
+		Leader: true, Term: r.Leadership.Term(), SentAt: heartbeat.SentAt, HealthyPeers: r.countHealthyExcept(heartbeat.Controller),
 	}
 	if r.PartitionedFromStore(peer) {
-		return reply // its shard leases run out
+		return reply // confirms no grants, so its shard leases expire
 	}
 	peer.ConfirmedAt = now
 	for shard := range r.Replica.View.Grants {
@@ -115,18 +118,19 @@
 	return reply
 }
 
-// MaxStaleness is how old a controller's knowledge may be while it acts on it.
+// MaxStaleness returns the maximum staleness at which a controller acts on its view.
 func (r *Registry) MaxStaleness() time.Duration { return r.Agents.MaxStaleness() }
 
-// machineStatuses takes in what a holder says of its machines.
-func (r *Registry) machineStatuses(list []protocol.MachineStatus) map[string]protocol.MachineStatus {
+// recordMachineStatuses records the machine statuses in a holder's heartbeat and returns them by
+// machine.
+func (r *Registry) recordMachineStatuses(list []protocol.MachineStatus) map[string]protocol.MachineStatus {
 	statuses := make(map[string]protocol.MachineStatus, len(list))
 	for _, m := range list {
 		if m.Seen {
-			r.confirmed[m.Name] = m
-		} else if last, ok := r.confirmed[m.Name]; ok && last.Silent > r.HeartbeatTolerance() {
-			// It was silent before its holder changed, and goes on being so: the new
-			// holder must not begin to wait anew.
+			r.lastSeenStatus[m.Name] = m
+		} else if last, ok := r.lastSeenStatus[m.Name]; ok && last.Silent > r.HeartbeatTolerance() {
+			// The machine was silent before its holder changed and is still silent. Adding
+			// the earlier silence keeps the change from restarting the timeout.
 			m.Silent += last.Silent
 		}
 		statuses[m.Name] = m
@@ -134,7 +138,7 @@
 	return statuses
 }
 
-// ApplyLiveness takes in liveness records that are new in the view.
+// ApplyLiveness applies the liveness records that are new in the view.
 func (r *Registry) ApplyLiveness() {
 	now := r.Generation.Now()
 	for controller, liveness := range r.Replica.View.Liveness {
@@ -155,22 +159,22 @@
 	}
 }
 
-// healthyBesides counts the controllers other than the one given to which users had
-// better go: alive, with fresh knowledge, and not holding the batch shard.
-func (r *Registry) healthyBesides(except string) int {
+// countHealthyExcept counts the controllers, other than the given one, that users should
+// prefer: they are alive, have a fresh view and do not hold the batch shard.
+func (r *Registry) countHealthyExcept(except string) int {
 	now := r.Generation.Now()
 	count := 0
 	for _, controller := range r.Controllers {
 		p := r.peers[controller]
-		busy := controller == r.Replica.View.Grants[storage.BatchShard].Controller
-		if controller != except && !busy && p != nil && p.Fresh && p.Alive(now) {
+		holdsBatchShard := controller == r.Replica.View.Grants[storage.BatchShard].Controller
+		if controller != except && !holdsBatchShard && p != nil && p.Fresh && p.Alive(now) {
 			count++
 		}
 	}
 	return count
 }
 
-// AllAlive reports whether every controller has been heard lately.
+// AllAlive reports whether every controller is alive.
 func (r *Registry) AllAlive() bool {
 	now := r.Generation.Now()
 	for _, controller := range r.Controllers {
@@ -181,16 +185,17 @@
 	return true
 }
 
-// PartitionedFromStore reports whether a controller can be heard but has not heard from
-// the store for long, while the leader has: refused alone, it can neither start anything
-// nor learn of it, and others must take over what it holds.
+// PartitionedFromStore reports whether a controller that the leader hears has had no contact
+// with the store for more than a shard lease, while the leader has had contact for longer than
+// that. Such a controller can neither start anything nor observe changes, so its shards must
+// move to other controllers.
 func (r *Registry) PartitionedFromStore(p *Peer) bool {
 	storeHeardFor := r.Generation.Now() - r.Leadership.StoreHeardSince()
 	return p.Staleness > r.ShardLease && storeHeardFor > r.ShardLease+2*HeartbeatInterval
 }
 
-// HearsAgents reports whether agents of a shard have lately sent their heartbeats to a
-// controller.
+// HearsAgents reports whether a controller has recently received heartbeats from agents of a
+// shard.
 func (r *Registry) HearsAgents(controller string, shard int) bool {
 	p := r.peers[controller]
 	if p == nil {
@@ -201,22 +206,23 @@
 	return now-p.HeartbeatAt < PeerTimeout && heardAt > 0 && now-heardAt < PeerTimeout
 }
 
-// AgentsUp counts the machines of a shard whose agents were up by the word of a holder,
-// this one or an earlier one: a holder that could never be reached has heard none of
-// those that were up before it was granted them.
+// AgentsUp counts the machines of a shard whose agents have been up according to the holder or
+// an earlier one. Statuses from earlier holders count because a holder that agents could never
+// reach has heard none of the agents that were up before its grant.
 func (r *Registry) AgentsUp(p *Peer, shard int) int {
 	count := 0
 	for name, status := range p.machines {
-		_, heardBefore := r.confirmed[name]
+		_, seenBefore := r.lastSeenStatus[name]
 		_, m := r.Replica.View.Machines.Find(name)
-		if m != nil && m.Shard == shard && (status.Seen || status.Tasks > 0 || heardBefore) {
+		if m != nil && m.Shard == shard && (status.Seen || status.Tasks > 0 || seenBefore) {
 			count++
 		}
 	}
 	return count
 }
 
-// MachineStatus returns what the holder of a machine last said of it.
+// MachineStatus returns the latest status of a machine from its holder. known is false if the
+// incarnation that holds the machine's shard has sent none.
 func (r *Registry) MachineStatus(m *storage.Machine) (status protocol.MachineStatus, known bool) {
 	grant := &r.Replica.View.Grants[m.Shard]
 	p := r.peers[grant.Controller]
@@ -227,12 +233,12 @@
 	return status, known
 }
 
-// ForgetMachine forgets what holders have said of a machine.
-func (r *Registry) ForgetMachine(name string) { delete(r.confirmed, name) }
+// ForgetMachine discards the last seen status of a machine.
+func (r *Registry) ForgetMachine(name string) { delete(r.lastSeenStatus, name) }
 
-// HeartbeatTolerance is how long an agent that is well and can be heard is silent at
-// most, and a little more. One that is silent for longer may have had a heartbeat lost;
-// most of a zone's have not.
+// HeartbeatTolerance returns the longest silence expected of a healthy, reachable agent, with a
+// small margin. A longer silence of a single agent may be due to a lost heartbeat; that of most
+// agents of a zone is not.
 func (r *Registry) HeartbeatTolerance() time.Duration {
 	return r.Agents.HeartbeatInterval()*5/4 + 2*time.Second
 }
--- a/internal/coordination/membership/reporter.go
+++ b/internal/coordination/membership/reporter.go
@@ -13,36 +13,37 @@
 	"rockrun/internal/storage"
 )
 
-// maxUnrecorded bounds the agents that a heartbeat names and no record does.
-const maxUnrecorded = 200
+// maxUnrecordedAgents limits the number of unrecorded agents in a heartbeat to the leader.
+const maxUnrecordedAgents = 200
 
-// Peers carries messages to other controllers. done is called later on the controller's
+// Peers sends requests to other controllers. done is called later on the controller's
 // goroutine.
 type Peers interface {
 	// Ask sends a request to one controller.
 	Ask(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
 }
 
-// Leases are the shard leases that a reply of the leader extends.
+// Leases provides the shard leases of this controller, which the leader's replies extend.
 type Leases interface {
 	// Holds reports whether the view grants a shard to this incarnation.
 	Holds(shard int) bool
 	// Extend extends the lease of a shard, counted from a time.
 	Extend(shard int, from time.Duration)
-	// HeardAt is, by shard, when one of its agents was last heard here; 0: never.
+	// HeardAt returns, by shard, when this controller last heard an agent of the shard; 0:
+	// never.
 	HeardAt() []time.Duration
 }
 
-// Holdings is what a controller says of the shards that it holds.
+// Holdings provides the state of the shards that this controller holds.
 type Holdings interface {
-	// MachineStatuses are its machines and what is on them.
+	// MachineStatuses returns the statuses of the machines in these shards.
 	MachineStatuses() []protocol.MachineStatus
-	// GrantsWithinQuota are the fencing tokens of the grants under which nothing takes more
+	// GrantsWithinQuota returns the fencing tokens of the grants whose job shards use no more
 	// than the quota split allows.
 	GrantsWithinQuota() []uint64
 }
 
-// ReporterConfig is all that a Reporter is made of.
+// ReporterConfig holds the dependencies and settings of a Reporter.
 type ReporterConfig struct {
 	Generation *loop.Generation
 	Replica    *replica.Replica
@@ -52,23 +53,24 @@
 	Holdings   Holdings
 	ShardLease time.Duration
 	Log        *slog.Logger
-	// HealthyPeers is what the leader last said in the former generation.
+	// HealthyPeers is the number of healthy peers in the leader's last reply to the previous
+	// generation.
 	HealthyPeers int
-	// Registry returns the registry of this controller while it is the leader, or nil:
-	// the leader sends its heartbeats to itself.
+	// Registry returns the registry of this controller if it is the leader, else nil. A leader
+	// passes its heartbeats to its own registry.
 	Registry func() *Registry
 }
 
-// Reporter tells the leader about this controller.
+// Reporter sends this controller's heartbeats to the leader and writes its liveness record.
 type Reporter struct {
 	ReporterConfig
-	unrecorded       map[string]protocol.AgentHeartbeat // since the last heartbeat, by machine
-	leaderAnsweredAt time.Duration                      // when the leader's last answer that counts came
-	healthyPeers     int                                // what it said of the others then
+	unrecorded       map[string]protocol.AgentHeartbeat // by machine, since the last heartbeat
+	leaderAnsweredAt time.Duration                      // when the last accepted reply arrived
+	healthyPeers     int                                // in that reply
 	livenessWrite    loop.Call
 }
 
-// NewReporter makes a reporter. The leader counts as heard just now.
+// NewReporter creates a reporter. It treats the leader as having answered just now.
 func NewReporter(c ReporterConfig) *Reporter {
 	return &Reporter{
 		ReporterConfig:   c,
@@ -78,15 +80,16 @@
 	}
 }
 
-// AddUnrecorded takes up the heartbeat of an agent that no record names, for the leader.
+// AddUnrecorded adds the heartbeat of an agent whose machine no record names to the next
+// heartbeat to the leader.
 func (r *Reporter) AddUnrecorded(h *protocol.AgentHeartbeat) {
-	if len(r.unrecorded) < maxUnrecorded {
+	if len(r.unrecorded) < maxUnrecordedAgents {
 		r.unrecorded[h.Machine] = *h
 	}
 }
 
-// KnownHealthyPeers is how many other controllers the leader has lately said to be well;
-// 0 where it has not been heard for a while.
+// KnownHealthyPeers returns how many peers are healthy according to the leader's last reply, or
+// 0 if that reply is older than PeerTimeout.
 func (r *Reporter) KnownHealthyPeers() int {
 	if r.Generation.Now()-r.leaderAnsweredAt >= PeerTimeout {
 		return 0
@@ -94,24 +97,25 @@
 	return r.healthyPeers
 }
 
-// LastHealthyPeers is what the leader last said, however long ago.
+// LastHealthyPeers returns how many peers are healthy according to the leader's last reply,
+// whatever its age.
 func (r *Reporter) LastHealthyPeers() int { return r.healthyPeers }
 
-// SendHeartbeat tells the leader about this controller.
+// SendHeartbeat sends a heartbeat to the leader.
 func (r *Reporter) SendHeartbeat() {
 	view := r.Replica.View
 	if !r.Replica.Ready() || view.LeaderVersion == 0 {
 		return
 	}
-	h := r.heartbeat()
+	heartbeat := r.heartbeat()
 	clear(r.unrecorded)
 	if registry := r.Registry(); registry != nil {
-		r.OnReply(registry.OnHeartbeat(h))
+		r.OnReply(registry.OnHeartbeat(heartbeat))
 		return
 	}
-	r.Peers.Ask(view.Leader.Controller, protocol.PeerRequest{Heartbeat: h}, func(a protocol.PeerAnswer, err error) {
-		if err == nil && a.Reply != nil && !r.Generation.Ended() {
-			r.OnReply(a.Reply)
+	r.Peers.Ask(view.Leader.Controller, protocol.PeerRequest{Heartbeat: heartbeat}, func(answer protocol.PeerAnswer, err error) {
+		if err == nil && answer.Reply != nil && !r.Generation.Ended() {
+			r.OnReply(answer.Reply)
 		}
 	})
 }
@@ -142,8 +146,9 @@
 	return heartbeat
 }
 
-// OnReply extends the shard leases that the leader has confirmed, counted from when the
-// heartbeat was sent.
+// OnReply extends the shard leases of the grants that the leader has confirmed, counted from
+// when the heartbeat was sent. It ignores replies from controllers that do not lead and from
+// earlier terms.
 func (r *Reporter) OnReply(reply *protocol.PeerHeartbeatReply) {
 	if !reply.Leader || reply.Term < r.Replica.View.Leader.Term {
 		return
@@ -157,11 +162,11 @@
 	r.healthyPeers = reply.HealthyPeers
 }
 
-// WriteLiveness shows in the records that this controller is alive while the leader does
-// not answer it: where controllers cannot reach each other, but all reach the store, job
-// shards stay where they are instead of gathering at the leader. The write depends on the
-// grants of the job shards held, so its success extends their leases as a reply would;
-// the leader counts from when it sees the record.
+// WriteLiveness writes this controller's liveness record while the leader does not answer its
+// heartbeats. If controllers cannot reach each other but all reach the store, job shards then
+// stay with their holders instead of all moving to the leader. The preconditions of the write
+// are the grants of the job shards held, so its success extends their leases as a reply would.
+// The leader counts the leases from when it observes the record.
 func (r *Reporter) WriteLiveness() {
 	now := r.Generation.Now()
 	interval := r.ShardLease / 2
@@ -181,7 +186,7 @@
 			return
 		}
 		if err != nil {
-			r.Log.Debug("liveness record not written", "err", err)
+			r.Log.Debug("liveness record write failed", "err", err)
 			r.livenessWrite.RetryAt(r.Generation.Now() + r.Generation.Jitter(kv.RetryPause))
 			return
 		}
@@ -193,8 +198,9 @@
 	})
 }
 
-// livenessTransaction writes this controller's liveness record. It depends on the grants
-// of the job shards held, as far as a transaction has room for conditions.
+// livenessTransaction returns the transaction that writes this controller's liveness record, and
+// the shards whose leases it extends: the job shards held whose grants are among its
+// preconditions. A transaction has room for a limited number of these.
 func (r *Reporter) livenessTransaction() (t protocol.Transaction, shards []int) {
 	view := r.Replica.View
 	key := storage.LivenessKey(r.Replica.Controller)
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica keeps a controller's view of the records up to date. It reads all
-// records once, follows the changes from there, and tells how old the view may be. The
-// view shows a write of this controller only once it comes back with the changes.
+// Package replica keeps a controller's view of the records up to date. It reads all records
+// once, then watches the store for changes, and tracks the staleness of the view. A write of
+// this controller appears in the view only once the watch returns it.
 package replica
 
 import (
@@ -15,102 +15,102 @@
 	"rockrun/internal/storage"
 )
 
-// WatchTimeout is how long a read of the changes waits for one.
+// WatchTimeout is how long a watch request waits for a change.
 const WatchTimeout = time.Second
 
-// manyFailures is how many reads of the changes fail in a row before the pauses between
-// them double.
-const manyFailures = 10
+// failuresBeforeSlowRetry is the number of consecutive failed watch requests after which the
+// pause before a retry doubles.
+const failuresBeforeSlowRetry = 10
 
-// Config is all that a Replica is made of.
+// Config holds the dependencies and settings of a Replica.
 type Config struct {
 	Generation *loop.Generation
 	Store      kv.Store
 	View       *storage.View
-	// Controller and Incarnation are the name and the incarnation under which this
-	// controller acts; Replica raises the incarnation above all that the records name.
+	// Controller and Incarnation are the name and the incarnation of this controller. Replica
+	// raises the incarnation above all those of this controller in the records.
 	Controller  string
 	Incarnation uint64
-	// WatchPause is the least time between two reads of the changes; between two that
-	// Sync asks for it is twice that.
+	// WatchPause is the minimum time between two watch requests. Between two requests of Sync
+	// it is twice that.
 	WatchPause time.Duration
-	// SyncNotBefore is the time before which Sync does not read the changes.
+	// SyncNotBefore is the earliest time of the first watch request of Sync.
 	SyncNotBefore time.Duration
 	Log           *slog.Logger
 
-	// OnChange is called after a read of the changes once all records were read; changed
-	// is false where the read brought none.
+	// OnChange is called after each successful watch request once all records have been read.
+	// changed is false if the request returned no changes.
 	OnChange func(changed bool)
-	// OnCompacted is called when the store no longer keeps the changes that follow the
-	// view. The generation must end then.
+	// OnCompacted is called when the store no longer retains the changes that follow the view's
+	// revision. It must end the generation.
 	OnCompacted func()
 }
 
 // Replica is a controller's copy of the records.
 type Replica struct {
 	Config
-	revision uint64        // the view holds all changes up to here
+	revision uint64        // the view contains all changes up to this revision
 	ready    bool          // all records have been read
-	freshAt  time.Duration // the view held everything that was durable at this time
+	freshAt  time.Duration // the view contains everything that was durable at this time
 
-	waiters       []func(error) // callers of Sync that wait for the next read
+	waiters       []func(error) // callbacks of Sync calls that the next watch request serves
 	syncInFlight  bool
 	syncScheduled bool
 	nextSyncAt    time.Duration
 }
 
-// New makes a replica; Start begins to read.
+// New creates a replica. It reads nothing until Start is called.
 func New(c Config) *Replica { return &Replica{Config: c, nextSyncAt: c.SyncNotBefore} }
 
-// Start begins to read the records.
+// Start starts reading the records.
 func (r *Replica) Start() { r.readRecords("", 0, 0) }
 
 // Ready reports whether all records have been read.
 func (r *Replica) Ready() bool { return r.ready }
 
-// Revision is the revision up to which the view holds all changes.
+// Revision returns the revision up to which the view contains all changes.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// FreshAt is the last time of which it is known that the view holds everything that was
+// FreshAt returns the latest time for which the view is known to contain everything that was
 // durable then.
 func (r *Replica) FreshAt() time.Duration { return r.freshAt }
 
-// NextSyncAt is the time before which Sync does not read the changes again.
+// NextSyncAt returns the earliest time of the next watch request of Sync.
 func (r *Replica) NextSyncAt() time.Duration { return r.nextSyncAt }
 
-// Staleness is the time since FreshAt.
+// Staleness returns the time since FreshAt.
 func (r *Replica) Staleness() time.Duration { return r.Generation.Now() - r.freshAt }
 
-// readRecords reads all records page by page and then follows the changes. Pages of
-// different ages are made whole by following from the first page's revision; the view
-// counts as read once it has caught up with the last.
-func (r *Replica) readRecords(after string, from, upTo uint64) {
+// readRecords reads all records page by page and then watches for changes. Pages may be read at
+// different revisions, so the watch starts at the revision of the first page, and the view is
+// ready once it has reached the revision of the last one.
+func (r *Replica) readRecords(after string, firstRevision, readyRevision uint64) {
 	r.Store.List(storage.Prefix, after, func(page protocol.KeyValuePage, err error) {
 		if !r.Generation.Active() {
 			return
 		}
 		if err != nil {
-			r.Log.Debug("records not read", "err", err)
-			r.Generation.Later(r.Generation.Jitter(kv.RetryPause), func() { r.readRecords(after, from, upTo) })
+			r.Log.Debug("record read failed", "err", err)
+			r.Generation.Later(r.Generation.Jitter(kv.RetryPause), func() { r.readRecords(after, firstRevision, readyRevision) })
 			return
 		}
 		for _, item := range page.Items {
 			r.applyRecord(item.Key, item.Value, item.Version)
 		}
-		if from == 0 {
-			from = page.Revision
+		if firstRevision == 0 {
+			firstRevision = page.Revision
 		}
 		if page.More && len(page.Items) > 0 {
-			r.readRecords(page.Items[len(page.Items)-1].Key, from, page.Revision)
+			r.readRecords(page.Items[len(page.Items)-1].Key, firstRevision, page.Revision)
 			return
 		}
-		r.revision = from
-		r.follow(page.Revision, 0)
+		r.revision = firstRevision
+		r.watchChanges(page.Revision, 0)
 	})
 }
 
-// follow keeps the view up to date for the rest of the generation.
-func (r *Replica) follow(upTo uint64, failures int) {
+// watchChanges watches for changes and applies them to the view, for the rest of the generation.
+func (r *Replica) watchChanges(readyRevision uint64, failures int) {
 	sentAt := r.Generation.Now()
 	wait := WatchTimeout
 	if !r.ready {
@@ -123,26 +123,26 @@
 			r.Log.Warn("changes compacted, reading all records again")
 			r.OnCompacted()
 		case err != nil:
-			r.followAfterFailure(upTo, failures)
+			r.retryWatch(readyRevision, failures)
 		default:
-			r.takeIn(changes, sentAt, upTo)
-			r.followNext(sentAt, upTo)
+			r.processChanges(changes, sentAt, readyRevision)
+			r.continueWatch(sentAt, readyRevision)
 		}
 	})
 }
 
-func (r *Replica) followAfterFailure(upTo uint64, failures int) {
+func (r *Replica) retryWatch(readyRevision uint64, failures int) {
 	pause := r.Generation.Jitter(kv.RetryPause)
-	if failures > manyFailures {
+	if failures > failuresBeforeSlowRetry {
 		pause = r.Generation.Jitter(2 * kv.RetryPause)
 	}
-	r.Generation.Later(pause, func() { r.follow(upTo, failures+1) })
+	r.Generation.Later(pause, func() { r.watchChanges(readyRevision, failures+1) })
 }
 
-// takeIn applies changes and says so.
-func (r *Replica) takeIn(changes protocol.Changes, sentAt time.Duration, upTo uint64) {
+// processChanges applies changes, marks the view as ready if it is and calls OnChange.
+func (r *Replica) processChanges(changes protocol.Changes, sentAt time.Duration, readyRevision uint64) {
 	r.Apply(changes, sentAt)
-	if !r.ready && r.revision >= upTo {
+	if !r.ready && r.revision >= readyRevision {
 		r.ready = true
 		r.raiseIncarnation()
 		r.Log.Info("records read", "revision", r.revision, "incarnation", r.Incarnation)
@@ -152,19 +152,20 @@
 	}
 }
 
-// followNext reads the changes again. They come one by one under load; gathering them for
-// a moment keeps the reads of all controllers far below what the store allows.
-func (r *Replica) followNext(sentAt time.Duration, upTo uint64) {
+// continueWatch sends the next watch request, at least WatchPause after the previous one. Under
+// load, changes arrive one at a time. The pause batches them and keeps the requests of all
+// controllers far below the limit of the store.
+func (r *Replica) continueWatch(sentAt time.Duration, readyRevision uint64) {
 	if pause := sentAt + r.WatchPause - r.Generation.Now(); pause > 0 && r.ready {
-		r.Generation.Later(pause, func() { r.follow(upTo, 0) })
+		r.Generation.Later(pause, func() { r.watchChanges(readyRevision, 0) })
 		return
 	}
-	r.follow(upTo, 0)
+	r.watchChanges(readyRevision, 0)
 }
 
-// raiseIncarnation raises the incarnation above all former ones that the records name.
-// The time of day, from which it is drawn, may step back within its bound between the end
-// of a process and a start within a fraction of a second.
+// raiseIncarnation raises the incarnation above all earlier ones of this controller in the
+// records. Incarnations derive from the wall clock, which may step back within its bound between
+// the end of a process and a restart within a fraction of a second.
 func (r *Replica) raiseIncarnation() {
 	former := r.View.Liveness[r.Controller].Incarnation
 	if r.View.Leader.Controller == r.Controller {
@@ -181,12 +182,12 @@
 	}
 }
 
-// Apply puts changes that were asked for at a time into the view.
+// Apply applies the changes returned by a watch request that was sent at sentAt.
 func (r *Replica) Apply(changes protocol.Changes, sentAt time.Duration) {
 	for _, event := range changes.Events {
-		// Two reads can be under way at once, and the later one may be answered first.
-		// What the other then brings is old: a key that it puts may have been removed
-		// since, and nothing else would tell.
+		// Two watch requests can be in flight at once, and the later one may be answered
+		// first. The other response then contains old events: a key that it puts may have
+		// been removed since, and no later event would remove the key again.
 		if event.Version <= r.revision {
 			continue
 		}
@@ -197,8 +198,8 @@
 		}
 	}
 	r.revision = max(r.revision, changes.Revision)
-	// The store answered after the request was sent, so everything durable by then is in
-	// the view.
+	// The store answered after the request was sent, so the view contains everything that was
+	// durable at sentAt.
 	r.freshAt = max(r.freshAt, sentAt)
 }
 
--- a/internal/coordination/replica/replica_test.go
+++ b/internal/coordination/replica/replica_test.go
@@ -12,8 +12,8 @@
 	"rockrun/internal/storage"
 )
 
-// fakeStore holds records that are read once; its changes are handed to the replica by
-// the tests.
+// fakeStore is a store with fixed records. Its watch returns no changes; tests apply changes to
+// the replica directly.
 type fakeStore struct {
 	items []protocol.KeyValue
 	now   time.Duration
@@ -35,7 +35,7 @@
 	done(protocol.Changes{Revision: after}, nil)
 }
 
-// newTestReplica makes a replica that has read the given records.
+// newTestReplica creates a replica that has read the given records.
 func newTestReplica(t *testing.T, items ...protocol.KeyValue) *Replica {
 	t.Helper()
 	store := &fakeStore{now: time.Minute, items: items}
@@ -46,14 +46,14 @@
 	})
 	r.Start()
 	if !r.Ready() {
-		t.Fatal("the records are not read")
+		t.Fatal("replica is not ready after reading all records")
 	}
 	return r
 }
 
-// TestAnswersOutOfOrder: two reads of the changes may be answered in the wrong order.
-// What the view has seen removed must not come back with the older answer.
-func TestAnswersOutOfOrder(t *testing.T) {
+// TestOutOfOrderWatchResponses: two watch requests may be answered in reverse order. A record
+// whose removal the view has applied must not reappear with the older response.
+func TestOutOfOrderWatchResponses(t *testing.T) {
 	r := newTestReplica(t)
 	const revision = 100
 	job := storage.Encode(storage.JobRecord{Spec: protocol.JobSpec{
@@ -65,11 +65,11 @@
 		value     []byte
 		exists    func() bool
 	}{
-		{"a job", storage.JobKey("run-7"), job, func() bool {
+		{"job", storage.JobKey("run-7"), job, func() bool {
 			_, j := r.View.Jobs.Find("run-7")
 			return j != nil && !j.Ended()
 		}},
-		{"a machine", storage.MachineGroupKey("c"), group, func() bool {
+		{"machine", storage.MachineGroupKey("c"), group, func() bool {
 			_, m := r.View.Machines.Find("m-9")
 			return m != nil && m.Exists()
 		}},
@@ -80,24 +80,24 @@
 		r.Apply(protocol.Changes{Revision: first + 1, Events: []protocol.Event{put, removed}}, time.Minute)
 		r.Apply(protocol.Changes{Revision: first, Events: []protocol.Event{put}}, time.Minute)
 		if c.exists() {
-			t.Errorf("%s that was removed came back", c.name)
+			t.Errorf("removed %s reappeared", c.name)
 		}
 	}
 }
 
-// TestIncarnationAboveFormer: the time of day may step back between the end of a process
-// and its start. The new incarnation is still above the former one.
+// TestIncarnationAboveFormer: the wall clock may step back between the end of a process and its
+// restart. The new incarnation must still be higher than the former one.
 func TestIncarnationAboveFormer(t *testing.T) {
 	const former = 15
 	grant := storage.Encode(storage.GrantRecord{Controller: "a", Incarnation: former, FencingToken: 1 << 44})
 	r := newTestReplica(t, protocol.KeyValue{Key: storage.GrantKey(0), Value: grant, Version: 1})
 	if r.Incarnation <= former {
-		t.Errorf("incarnation %d after %d", r.Incarnation, former)
+		t.Errorf("incarnation %d is not above the former one, %d", r.Incarnation, former)
 	}
 }
 
-// TestSyncSharesReads: those who ask while a read is under way or scheduled wait for one
-// read together, and an end of the generation leaves nobody without an answer.
+// TestSyncSharesReads: calls of Sync made while a watch request is in flight or scheduled share
+// the next one. The end of a generation must not leave a caller without a response.
 func TestSyncSharesReads(t *testing.T) {
 	r := newTestReplica(t)
 	answers := 0
@@ -105,6 +105,6 @@
 		r.Sync(func(error) { answers++ })
 	}
 	if waiting := r.Abandon(); len(waiting) != 3 || answers != 0 {
-		t.Errorf("%d wait, %d were answered", len(waiting), answers)
+		t.Errorf("%d callers waiting and %d answered, want 3 and 0", len(waiting), answers)
 	}
 }
--- a/internal/coordination/replica/sync.go
+++ b/internal/coordination/replica/sync.go
@@ -5,9 +5,9 @@
 	"rockrun/internal/storage"
 )
 
-// Sync calls done once the view holds everything that was durable when Sync was called,
-// or with an error. One read of the changes serves all who wait, so questions from users
-// cost the store a few reads a second, however many they are.
+// Sync calls done once the view contains everything that was durable when Sync was called, or
+// with an error. One watch request serves all waiting callers, so status queries cost the store
+// only a few requests a second, regardless of their number.
 func (r *Replica) Sync(done func(error)) {
 	r.waiters = append(r.waiters, done)
 	if !r.syncInFlight && !r.syncScheduled {
@@ -15,8 +15,8 @@
 	}
 }
 
-// Abandon takes out the callers of Sync that still wait; the one who ends the generation
-// must tell them so.
+// Abandon removes the callbacks of the Sync calls that still wait and returns them. Whoever ends
+// the generation must call them with an error.
 func (r *Replica) Abandon() []func(error) {
 	waiters := r.waiters
 	r.waiters = nil
@@ -28,7 +28,7 @@
 	r.Generation.Later(max(0, r.nextSyncAt-r.Generation.Now()), r.readChanges)
 }
 
-// readChanges reads the changes for all who wait.
+// readChanges sends one watch request for all waiting callers of Sync.
 func (r *Replica) readChanges() {
 	sentAt := r.Generation.Now()
 	waiters := r.Abandon()
@@ -36,7 +36,7 @@
 	r.nextSyncAt = sentAt + 2*r.WatchPause
 	r.Store.Watch(storage.Prefix, r.revision, 0, func(changes protocol.Changes, err error) {
 		if !r.Generation.Active() {
-			answer(waiters, protocol.ErrNotExecuted)
+			notifyWaiters(waiters, protocol.ErrNotExecuted)
 			return
 		}
 		r.syncInFlight = false
@@ -46,14 +46,14 @@
 				r.OnChange(len(changes.Events) > 0)
 			}
 		}
-		answer(waiters, err)
+		notifyWaiters(waiters, err)
 		if len(r.waiters) > 0 && !r.syncScheduled {
 			r.scheduleSync()
 		}
 	})
 }
 
-func answer(waiters []func(error), err error) {
+func notifyWaiters(waiters []func(error), err error) {
 	for _, done := range waiters {
 		done(err)
 	}
