--- a/internal/coordination/election/elector.go
+++ b/internal/coordination/election/elector.go
@@ -94,7 +94,7 @@
 		switch {
 		case !e.Generation.Active():
 		case err != nil:
-			e.Generation.Later(e.Generation.Jitter(kv.RetryPause), e.endCampaign)
+			e.Generation.Later(e.Generation.Jitter(kv.RetryDelay), e.endCampaign)
 		case !e.mayCampaign():
 			// Another controller was elected while the lease was being opened. A
 			// transaction conditioned on the record now in the view would replace that
@@ -137,7 +137,7 @@
 	}, func(_ uint64, err error) {
 		// If the outcome is unknown, the transaction may still be applied. Its record
 		// then appears in the view and is identified by the lease.
-		pause := e.Generation.Jitter(kv.RetryPause)
+		pause := e.Generation.Jitter(kv.RetryDelay)
 		if errors.Is(err, protocol.ErrOutcomeUnknown) {
 			pause = e.Generation.Jitter(renewInterval)
 		}
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -101,7 +101,7 @@
 			l.log.Info("leadership lost, lease expired", "term", l.term)
 			l.elector.resign(l)
 		default:
-			l.nextRenewalAt = l.generation.Now() + l.generation.Jitter(kv.RetryPause)
+			l.nextRenewalAt = l.generation.Now() + l.generation.Jitter(kv.RetryDelay)
 		}
 	})
 }
--- a/internal/coordination/membership/reporter.go
+++ b/internal/coordination/membership/reporter.go
@@ -19,8 +19,8 @@
 // Peers sends requests to other controllers. done is called later on the controller's
 // goroutine.
 type Peers interface {
-	// Ask sends a request to one controller.
-	Ask(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
+	// SendRequest sends a request to one controller.
+	SendRequest(controller string, r protocol.PeerRequest, done func(protocol.PeerAnswer, error))
 }
 
 // Leases provides the shard leases of this controller, which the leader's replies extend.
@@ -113,7 +113,7 @@
 		r.OnReply(registry.OnHeartbeat(heartbeat))
 		return
 	}
-	r.Peers.Ask(view.Leader.Controller, protocol.PeerRequest{Heartbeat: heartbeat}, func(answer protocol.PeerAnswer, err error) {
+	r.Peers.SendRequest(view.Leader.Controller, protocol.PeerRequest{Heartbeat: heartbeat}, func(answer protocol.PeerAnswer, err error) {
 		if err == nil && answer.Reply != nil && !r.Generation.Ended() {
 			r.OnReply(answer.Reply)
 		}
@@ -179,15 +179,15 @@
 	if len(shards) == 0 {
 		return
 	}
-	r.livenessWrite.RetryAt(now + interval)
-	r.Committer.Budget.TakeAnyway(now, 1)
+	r.livenessWrite.DelayUntil(now + interval)
+	r.Committer.Budget.ForceConsume(now, 1)
 	r.Committer.Commit(transaction, func(_ uint64, err error) {
 		if r.Generation.Ended() {
 			return
 		}
 		if err != nil {
 			r.Log.Debug("liveness record write failed", "err", err)
-			r.livenessWrite.RetryAt(r.Generation.Now() + r.Generation.Jitter(kv.RetryPause))
+			r.livenessWrite.DelayUntil(r.Generation.Now() + r.Generation.Jitter(kv.RetryDelay))
 			return
 		}
 		for _, shard := range shards {
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -91,7 +91,7 @@
 		}
 		if err != nil {
 			r.Log.Debug("record read failed", "err", err)
-			r.Generation.Later(r.Generation.Jitter(kv.RetryPause), func() { r.readRecords(after, firstRevision, readyRevision) })
+			r.Generation.Later(r.Generation.Jitter(kv.RetryDelay), func() { r.readRecords(after, firstRevision, readyRevision) })
 			return
 		}
 		for _, item := range page.Items {
@@ -132,9 +132,9 @@
 }
 
 func (r *Replica) retryWatch(readyRevision uint64, failures int) {
-	pause := r.Generation.Jitter(kv.RetryPause)
+	pause := r.Generation.Jitter(kv.RetryDelay)
 	if failures > failuresBeforeSlowRetry {
-		pause = r.Generation.Jitter(2 * kv.RetryPause)
+		pause = r.Generation.Jitter(2 * kv.RetryDelay)
 	}
 	r.Generation.Later(pause, func() { r.watchChanges(readyRevision, failures+1) })
 }
