--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -71,8 +71,8 @@
 	committer.BeginGeneration(generation)
 	f.elector = New(Config{
 		Generation: generation, Store: f, Committer: committer, Replica: f.replica, MaxStaleness: 10 * time.Second, Log: log,
-		OnElected: func(l *Leadership) { f.leader = l },
-		OnDeposed: func() { f.leader = nil },
+		OnElected:       func(l *Leadership) { f.leader = l },
+		OnLeadershipEnd: func() { f.leader = nil },
 	})
 	return f
 }
@@ -236,7 +236,7 @@
 	if !(a < b && b < second.NextFencingToken()) {
 		t.Error("tokens do not increase")
 	}
-	if last := DerivedNumber(a, HolderSteps-1); last >= b || TokenSerial(last) != TokenSerial(a) {
+	if last := DerivedNumber(a, DerivedNumbersPerGrant-1); last >= b || TokenSerial(last) != TokenSerial(a) {
 		t.Errorf("%x is not between %x and %x", last, a, b)
 	}
 }
--- a/internal/coordination/election/elector.go
+++ b/internal/coordination/election/elector.go
@@ -37,8 +37,8 @@
 
 	// OnElected is called when this controller becomes the leader.
 	OnElected func(*Leadership)
-	// OnDeposed is called when this controller stops being the leader.
-	OnDeposed func()
+	// OnLeadershipEnd is called when this controller stops being the leader.
+	OnLeadershipEnd func()
 }
 
 // Elector campaigns for this controller while there is no leader, and renews the leader
@@ -155,7 +155,7 @@
 	case !leading && e.leadership != nil:
 		e.Log.Info("leadership lost", "term", e.leadership.term, "leader", record.Controller, "revision", e.Replica.Revision())
 		e.leadership = nil
-		e.OnDeposed()
+		e.OnLeadershipEnd()
 	}
 }
 
@@ -183,7 +183,7 @@
 func (e *Elector) resign(l *Leadership) {
 	delete(e.campaignLeases, l.lease)
 	e.leadership = nil
-	e.OnDeposed()
+	e.OnLeadershipEnd()
 }
 
 // Stop ends the leadership at shutdown and returns the lease to revoke. leading is false if
@@ -194,6 +194,6 @@
 	}
 	lease = e.leadership.lease
 	e.leadership = nil
-	e.OnDeposed()
+	e.OnLeadershipEnd()
 	return lease, true
 }
--- a/internal/coordination/election/token.go
+++ b/internal/coordination/election/token.go
@@ -8,9 +8,9 @@
 	counterShift = 24
 )
 
-// HolderSteps is the number of tokens, and of attempt numbers, that the holder of a grant may
+// DerivedNumbersPerGrant is the number of tokens, and of attempt numbers, that the holder of a grant may
 // derive from the grant's token.
-const HolderSteps = 1 << counterShift
+const DerivedNumbersPerGrant = 1 << counterShift
 
 // maxTokenCounter limits the leader's counter. The counter values left between the limit and
 // the term bits are more than a leader can use between two checks of the counter.
@@ -26,5 +26,5 @@
 // DerivedNumber returns the number at an index of the range that a holder derives from its
 // grant's token.
 func DerivedNumber(token, index uint64) uint64 {
-	return TokenSerial(token)<<counterShift | index&(HolderSteps-1)
+	return TokenSerial(token)<<counterShift | index&(DerivedNumbersPerGrant-1)
 }
--- a/internal/coordination/generation.go
+++ b/internal/coordination/generation.go
@@ -38,7 +38,7 @@
 	c.beginMembership()
 	c.beginElection()
 	c.beginJobs()
-	for _, done := range former.Abandon() {
+	for _, done := range former.RemoveWaiters() {
 		done(protocol.ErrNotExecuted)
 	}
 	c.replica.Start()
@@ -138,14 +138,14 @@
 // beginElection makes what campaigns for this controller.
 func (c *Controller) beginElection() {
 	c.elector = election.New(election.Config{
-		Generation:   c.generation,
-		Store:        c.Store,
-		Committer:    c.committer,
-		Replica:      c.replica,
-		MaxStaleness: c.maxStaleness,
-		Log:          c.Log,
-		OnElected:    c.beginLeadership,
-		OnDeposed:    func() { c.leader = nil },
+		Generation:      c.generation,
+		Store:           c.Store,
+		Committer:       c.committer,
+		Replica:         c.replica,
+		MaxStaleness:    c.maxStaleness,
+		Log:             c.Log,
+		OnElected:       c.beginLeadership,
+		OnLeadershipEnd: func() { c.leader = nil },
 	})
 }
 
--- a/internal/coordination/membership/peer.go
+++ b/internal/coordination/membership/peer.go
@@ -10,8 +10,8 @@
 // on the leader's clock.
 type Peer struct {
 	Incarnation uint64
-	// WellSince is when the uninterrupted contact with the current incarnation began.
-	WellSince time.Duration
+	// HealthySince is when the uninterrupted contact with the current incarnation began.
+	HealthySince time.Duration
 	// HeardAt is when the leader last received a heartbeat of the controller or observed a new
 	// version of its liveness record.
 	HeardAt time.Duration
@@ -66,7 +66,7 @@
 // applyHeartbeat records a heartbeat, except for its machine statuses.
 func (p *Peer) applyHeartbeat(heartbeat *protocol.PeerHeartbeat, now, maxStaleness time.Duration) {
 	if heartbeat.Incarnation > p.Incarnation || now-p.HeardAt > PeerTimeout {
-		p.WellSince = now
+		p.HealthySince = now
 	}
 	p.Incarnation = heartbeat.Incarnation
 	p.HeardAt, p.HeartbeatAt = now, now
--- a/internal/coordination/reconcile/config.go
+++ b/internal/coordination/reconcile/config.go
@@ -64,6 +64,6 @@
 
 // defaultMaxAttemptNumbers is the default limit of the attempt counter. The numbers left above the limit
 // are more than can be used between two checks of AttemptNumbersExhausted.
-const defaultMaxAttemptNumbers = election.HolderSteps - 1<<16
+const defaultMaxAttemptNumbers = election.DerivedNumbersPerGrant - 1<<16
 
 func (c *Config) now() time.Duration { return c.Generation.Now() }
--- a/internal/coordination/reconcile/heartbeat_test.go
+++ b/internal/coordination/reconcile/heartbeat_test.go
@@ -184,7 +184,7 @@
 		t.Error("exhausted with one number left")
 	}
 	last := f.reconciler.nextAttemptNumber(f.agent())
-	if election.TokenSerial(last) != election.TokenSerial(grantToken) || last&(election.HolderSteps-1) != defaultMaxAttemptNumbers {
+	if election.TokenSerial(last) != election.TokenSerial(grantToken) || last&(election.DerivedNumbersPerGrant-1) != defaultMaxAttemptNumbers {
 		t.Errorf("attempt %x under grant %x", last, uint64(grantToken))
 	}
 	if !f.reconciler.AttemptNumbersExhausted() {
--- a/internal/coordination/replica/replica_test.go
+++ b/internal/coordination/replica/replica_test.go
@@ -104,7 +104,7 @@
 	for range 3 {
 		r.Sync(func(error) { answers++ })
 	}
-	if waiting := r.Abandon(); len(waiting) != 3 || answers != 0 {
+	if waiting := r.RemoveWaiters(); len(waiting) != 3 || answers != 0 {
 		t.Errorf("%d callers waiting and %d answered, want 3 and 0", len(waiting), answers)
 	}
 }
--- a/internal/coordination/replica/sync.go
+++ b/internal/coordination/replica/sync.go
@@ -15,9 +15,9 @@
 	}
 }
 
-// Abandon removes the callbacks of the Sync calls that still wait and returns them. Whoever ends
+// RemoveWaiters removes the callbacks of the Sync calls that still wait and returns them. Whoever ends
 // the generation must call them with an error.
-func (r *Replica) Abandon() []func(error) {
+func (r *Replica) RemoveWaiters() []func(error) {
 	waiters := r.waiters
 	r.waiters = nil
 	return waiters
@@ -31,7 +31,7 @@
 // readChanges sends one watch request for all waiting callers of Sync.
 func (r *Replica) readChanges() {
 	sentAt := r.Generation.Now()
-	waiters := r.Abandon()
+	waiters := r.RemoveWaiters()
 	r.syncInFlight, r.syncScheduled = true, false
 	r.nextSyncAt = sentAt + 2*r.WatchPause
 	r.Store.Watch(storage.Prefix, r.revision, 0, func(changes protocol.Changes, err error) {
--- a/internal/coordination/sharding/rebalance.go
+++ b/internal/coordination/sharding/rebalance.go
@@ -91,7 +91,7 @@
 	now := a.Generation.Now()
 	p := a.Members.Peer(controller)
 	return p != nil && held[controller] == 0 && p.Fresh && p.Alive(now) && !a.Members.PartitionedFromStore(p) &&
-		now-p.WellSince > rebalanceAfter && !a.recentlyRelieved(controller)
+		now-p.HealthySince > rebalanceAfter && !a.recentlyRelieved(controller)
 }
 
 // recentlyRelieved reports whether a controller lost a shard since none of its agents
