--- a/internal/coordination/agents.go
+++ b/internal/coordination/agents.go
@@ -6,21 +6,22 @@
 	"rockrun/internal/storage"
 )
 
-// OnAgentHeartbeat answers an agent's heartbeat. The holder of its shard takes it in and
-// answers with commands; other controllers name the holder, or have the agent come back.
+// OnAgentHeartbeat answers an agent's heartbeat. The holder of the agent's shard processes the
+// heartbeat and answers with commands. Other controllers redirect the agent to the holder, or
+// tell it to retry later.
 func (c *Controller) OnAgentHeartbeat(heartbeat *protocol.AgentHeartbeat, reply func(api.Answer)) {
 	if !c.replica.Ready() {
-		reply(refuseHeartbeat(heartbeat, api.ErrStarting))
+		reply(rejectHeartbeat(heartbeat, api.ErrStarting))
 		return
 	}
 	_, machine := c.replica.View.Machines.Find(heartbeat.Machine)
 	if machine == nil || machine.Group == "" {
 		c.reporter.AddUnrecorded(heartbeat)
-		reply(refuseHeartbeat(heartbeat, api.ErrMachineUnknown))
+		reply(rejectHeartbeat(heartbeat, api.ErrMachineUnknown))
 		return
 	}
 	if !machine.Exists() || machine.Shard < 0 || machine.Shard >= len(c.controllers) {
-		reply(refuseHeartbeat(heartbeat, api.ErrMachineGone))
+		reply(rejectHeartbeat(heartbeat, api.ErrMachineGone))
 		return
 	}
 	c.leases.NoteAgentHeard(machine.Shard)
@@ -36,17 +37,18 @@
 	}
 }
 
-// refuseHeartbeat asks an agent to come back, for a reason.
-func refuseHeartbeat(heartbeat *protocol.AgentHeartbeat, reason api.RetryReason) api.Answer {
+// rejectHeartbeat returns the answer that tells an agent to retry later.
+func rejectHeartbeat(heartbeat *protocol.AgentHeartbeat, reason api.RetryReason) api.Answer {
 	return api.FromError(&api.RetryLaterError{Reason: reason, Machine: heartbeat.Machine})
 }
 
-// redirectAgent names the holder of a machine's shard to its agent.
+// redirectAgent returns the answer that redirects an agent to the holder of its machine's
+// shard.
 func (c *Controller) redirectAgent(heartbeat *protocol.AgentHeartbeat, machine *storage.Machine) api.Answer {
 	grant := &c.replica.View.Grants[machine.Shard]
 	if grant.Version == 0 || grant.Controller == c.Settings.Controller {
-		return refuseHeartbeat(heartbeat, api.ErrNoHolder)
+		return rejectHeartbeat(heartbeat, api.ErrNoHolder)
 	}
 	c.Log.Debug("agent redirected", "machine", heartbeat.Machine, "holder", grant.Controller)
-	return api.FromError(&api.ElsewhereError{Machine: heartbeat.Machine, Controller: grant.Controller})
+	return api.FromError(&api.RedirectError{Machine: heartbeat.Machine, Controller: grant.Controller})
 }
--- a/internal/coordination/api/answer.go
+++ b/internal/coordination/api/answer.go
@@ -8,45 +8,45 @@
 	"rockrun/internal/protocol"
 )
 
-// Answer is what a request over HTTP gets.
+// Answer is the answer to a request over HTTP.
 type Answer struct {
 	Status     int
-	Body       any           // encoded as JSON; nil: none
-	RetryAfter time.Duration // when to ask again, rounded up to whole seconds; 0: not said
+	Body       any           // encoded as JSON; nil: no body
+	RetryAfter time.Duration // sent as Retry-After, rounded up to whole seconds; 0: no header
 }
 
-// OK is the answer to a request that was carried out.
+// OK returns the answer to a request that was executed.
 func OK(body any) Answer { return Answer{Status: http.StatusOK, Body: body} }
 
-// Created is the answer to a request that made something durable.
+// Created returns the answer to a request that created a durable record.
 func Created(body any) Answer { return Answer{Status: http.StatusCreated, Body: body} }
 
-// FromError is the answer to a request that ended with an error. An error that is none of
-// this package's, nor a protocol.ErrMalformed, is a fault of the program: 500.
+// FromError returns the answer to a request that failed. An error that is neither from this
+// package nor a protocol.ErrMalformed is a fault of the program and becomes status 500.
 func FromError(err error) Answer {
 	var (
 		retryLater    *RetryLaterError
 		unsatisfiable *UnsatisfiableError
 		notFound      *NotFoundError
-		elsewhere     *ElsewhereError
+		redirect      *RedirectError
 		overload      *OverloadError
 		status        *StatusError
 	)
 	switch {
 	case errors.As(err, &retryLater):
-		return Answer{Status: http.StatusServiceUnavailable, Body: errorBody(string(retryLater.Reason)), RetryAfter: retryLater.pause()}
+		return Answer{Status: http.StatusServiceUnavailable, Body: errorBody(string(retryLater.Reason)), RetryAfter: retryLater.retryAfter()}
 	case errors.As(err, &unsatisfiable):
 		return Answer{Status: http.StatusUnprocessableEntity, Body: errorBody(string(unsatisfiable.Reason))}
 	case errors.As(err, &notFound):
 		return Answer{Status: http.StatusNotFound, Body: errorBody(notFound.Error())}
-	case errors.As(err, &elsewhere):
-		return Answer{Status: http.StatusMisdirectedRequest, Body: protocol.Redirect{Controller: elsewhere.Controller}}
+	case errors.As(err, &redirect):
+		return Answer{Status: http.StatusMisdirectedRequest, Body: protocol.Redirect{Controller: redirect.Controller}}
 	case errors.As(err, &overload):
-		return Answer{Status: http.StatusTooManyRequests, Body: errorBody(overload.Error()), RetryAfter: retryPause}
+		return Answer{Status: http.StatusTooManyRequests, Body: errorBody(overload.Error()), RetryAfter: defaultRetryAfter}
 	case errors.As(err, &status):
 		return Answer{Status: status.Status, Body: errorBody(status.Error())}
 	case errors.Is(err, ErrUnhealthy):
-		return Answer{Status: http.StatusServiceUnavailable, RetryAfter: retryPause}
+		return Answer{Status: http.StatusServiceUnavailable, RetryAfter: defaultRetryAfter}
 	case errors.Is(err, protocol.ErrMalformed):
 		return Answer{Status: http.StatusBadRequest, Body: errorBody(err.Error())}
 	}
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -11,12 +11,12 @@
 	"rockrun/internal/protocol"
 )
 
-// TestAnswersOfErrors: status, body and Retry-After of every error, as senders see them.
+// TestAnswersOfErrors checks the status, body and Retry-After that senders see for each error.
 func TestAnswersOfErrors(t *testing.T) {
-	later := func(reason RetryReason) error {
+	retryLater := func(reason RetryReason) error {
 		return &RetryLaterError{Reason: reason, Job: "run-1", Machine: "m-1", Cause: protocol.ErrOutcomeUnknown}
 	}
-	never := func(reason UnsatisfiableReason) error { return &UnsatisfiableError{Job: "run-1", Reason: reason} }
+	unsatisfiable := func(reason UnsatisfiableReason) error { return &UnsatisfiableError{Job: "run-1", Reason: reason} }
 	for _, c := range []struct {
 		name       string
 		err        error
@@ -24,30 +24,30 @@
 		body       string
 		retryAfter time.Duration
 	}{
-		{"starting", later(ErrStarting), 503, `{"error":"starting"}`, time.Second},
-		{"undecided", later(ErrUndecided), 503, `{"error":"undecided"}`, time.Second},
-		{"machine types", later(ErrMachineTypesUnknown), 503, `{"error":"machine types not known yet"}`, time.Second},
-		{"store", later(ErrStoreUnavailable), 503, `{"error":"state service does not answer"}`, time.Second},
-		{"machine unknown", later(ErrMachineUnknown), 503, `{"error":"machine not known yet"}`, time.Second},
-		{"machine gone", later(ErrMachineGone), 503, `{"error":"machine was given back"}`, time.Second},
-		{"not entitled", later(ErrNotEntitled), 503, `{"error":"not entitled to this machine now"}`, time.Second},
-		{"old heartbeat", later(ErrOldHeartbeat), 503, `{"error":"an old report"}`, time.Second},
-		{"no holder", later(ErrNoHolder), 503, `{"error":"no holder yet"}`, time.Second},
-		{"busy", later(ErrBusy), 503, `{"error":"busy"}`, 2 * time.Second},
-		{"depends on itself", never(ErrDependsOnItself), 422, `{"error":"waitsOn: names the job itself"}`, 0},
-		{"dependency", never(ErrImpossibleDependency), 422, `{"error":"waitsOn: names a job that was never accepted, or a service"}`, 0},
-		{"team", never(ErrUnknownTeam), 422, `{"error":"unknown team"}`, 0},
-		{"no machine type", never(ErrNoFittingMachineType), 422, `{"error":"a task fits no allowed machine type"}`, 0},
-		{"maximums", never(ErrMoreThanTeamsMaximums), 422, `{"error":"needs more than the team's limit"}`, 0},
+		{"starting", retryLater(ErrStarting), 503, `{"error":"starting"}`, time.Second},
+		{"undecided", retryLater(ErrUndecided), 503, `{"error":"undecided"}`, time.Second},
+		{"machine types", retryLater(ErrMachineTypesUnknown), 503, `{"error":"machine types not known yet"}`, time.Second},
+		{"store", retryLater(ErrStoreUnavailable), 503, `{"error":"state service does not answer"}`, time.Second},
+		{"machine unknown", retryLater(ErrMachineUnknown), 503, `{"error":"machine not known yet"}`, time.Second},
+		{"machine gone", retryLater(ErrMachineGone), 503, `{"error":"machine was given back"}`, time.Second},
+		{"not entitled", retryLater(ErrNotEntitled), 503, `{"error":"not entitled to this machine now"}`, time.Second},
+		{"old heartbeat", retryLater(ErrOldHeartbeat), 503, `{"error":"an old report"}`, time.Second},
+		{"no holder", retryLater(ErrNoHolder), 503, `{"error":"no holder yet"}`, time.Second},
+		{"busy", retryLater(ErrBusy), 503, `{"error":"busy"}`, 2 * time.Second},
+		{"depends on itself", unsatisfiable(ErrDependsOnItself), 422, `{"error":"waitsOn: names the job itself"}`, 0},
+		{"dependency", unsatisfiable(ErrImpossibleDependency), 422, `{"error":"waitsOn: names a job that was never accepted, or a service"}`, 0},
+		{"team", unsatisfiable(ErrUnknownTeam), 422, `{"error":"unknown team"}`, 0},
+		{"no machine type", unsatisfiable(ErrNoFittingMachineType), 422, `{"error":"a task fits no allowed machine type"}`, 0},
+		{"maximums", unsatisfiable(ErrMoreThanTeamsMaximums), 422, `{"error":"needs more than the team's limit"}`, 0},
 		{"not found", &NotFoundError{Job: "run-1"}, 404, `{"error":"no such job"}`, 0},
 		{"too long", &TooLongError{Job: "run-1", Bytes: 9000}, 400, `{"error":"malformed: description too long to be kept"}`, 0},
 		{"malformed", fmt.Errorf("%w: shape: unknown", protocol.ErrMalformed), 400, `{"error":"malformed: shape: unknown"}`, 0},
-		{"elsewhere", &ElsewhereError{Machine: "m-1", Controller: "b"}, 421, string(mustEncode(t, protocol.Redirect{Controller: "b"})), 0},
+		{"redirect", &RedirectError{Machine: "m-1", Controller: "b"}, 421, string(mustEncode(t, protocol.Redirect{Controller: "b"})), 0},
 		{"overload", &OverloadError{Class: "submit"}, 429, `{"error":"too many requests in progress"}`, time.Second},
 		{"status", &StatusError{Status: http.StatusMethodNotAllowed}, 405, `{"error":"Method Not Allowed"}`, 0},
 		{"unhealthy", ErrUnhealthy, 503, "", time.Second},
-		{"other", errors.New("disk on fire"), 500, `{"error":"Internal Server Error"}`, 0},
-		{"wrapped", fmt.Errorf("status of run-1: %w", later(ErrStarting)), 503, `{"error":"starting"}`, time.Second},
+		{"other", errors.New("disk read failed"), 500, `{"error":"Internal Server Error"}`, 0},
+		{"wrapped", fmt.Errorf("status of run-1: %w", retryLater(ErrStarting)), 503, `{"error":"starting"}`, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer := FromError(c.err)
@@ -56,7 +56,7 @@
 				body = string(mustEncode(t, answer.Body))
 			}
 			if answer.Status != c.status || body != c.body || answer.RetryAfter != c.retryAfter {
-				t.Errorf("%d %s, Retry-After %s", answer.Status, body, answer.RetryAfter)
+				t.Errorf("status %d, body %s, Retry-After %s", answer.Status, body, answer.RetryAfter)
 			}
 		})
 	}
@@ -71,18 +71,18 @@
 	return data
 }
 
-// TestErrorsAreMatched: the reason and the cause of an error are found by errors.Is, and
-// what it is about by errors.As.
+// TestErrorsAreMatched: errors.Is finds the reason and the cause of an error, and errors.As
+// gives access to its job.
 func TestErrorsAreMatched(t *testing.T) {
-	later := fmt.Errorf("submission: %w", &RetryLaterError{Reason: ErrStoreUnavailable, Job: "run-1", Cause: protocol.ErrNotExecuted})
+	storeUnavailable := fmt.Errorf("submission: %w", &RetryLaterError{Reason: ErrStoreUnavailable, Job: "run-1", Cause: protocol.ErrNotExecuted})
 	for _, c := range []struct {
 		name        string
 		err, target error
 		want        bool
 	}{
-		{"reason", later, ErrStoreUnavailable, true},
-		{"other reason", later, ErrStarting, false},
-		{"cause", later, protocol.ErrNotExecuted, true},
+		{"reason", storeUnavailable, ErrStoreUnavailable, true},
+		{"other reason", storeUnavailable, ErrStarting, false},
+		{"cause", storeUnavailable, protocol.ErrNotExecuted, true},
 		{"no cause", &RetryLaterError{Reason: ErrBusy}, protocol.ErrNotExecuted, false},
 		{"unsatisfiable", &UnsatisfiableError{Job: "run-1", Reason: ErrUnknownTeam}, ErrUnknownTeam, true},
 		{"too long is malformed", &TooLongError{Job: "run-1"}, protocol.ErrMalformed, true},
@@ -90,12 +90,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if errors.Is(c.err, c.target) != c.want {
-				t.Errorf("%v is %v: %t", c.err, c.target, !c.want)
+				t.Errorf("errors.Is(%v, %v) = %t", c.err, c.target, !c.want)
 			}
 		})
 	}
 	var retryLater *RetryLaterError
-	if !errors.As(later, &retryLater) || retryLater.Job != "run-1" {
-		t.Errorf("not about run-1: %v", later)
+	if !errors.As(storeUnavailable, &retryLater) || retryLater.Job != "run-1" {
+		t.Errorf("no RetryLaterError of run-1: %v", storeUnavailable)
 	}
 }
--- a/internal/coordination/api/doc.go
+++ b/internal/coordination/api/doc.go
@@ -1,5 +1,5 @@
-// Package api holds what controllers answer to requests over HTTP: the Answer, the errors
-// that stand behind answers other than success, and the one place that turns an error
-// into a status, a body and a Retry-After. The texts of the bodies are part of the
-// interface: users and agents see them as they stand here.
+// Package api defines the answers of controllers to requests over HTTP: Answer, the errors
+// of requests that fail, and FromError, which alone translates an error into a status, a body
+// and a Retry-After header. The error texts in the bodies are part of the interface to users
+// and agents.
 package api
--- a/internal/coordination/budget.go
+++ b/internal/coordination/budget.go
@@ -5,8 +5,8 @@
 	"rockrun/internal/storage"
 )
 
-// updateWriteBudget gives this controller its part of the writes that all controllers
-// share, by what it does now.
+// updateWriteBudget sets the rate of this controller's write budget. All controllers share the
+// write rate of the store, and the part of each depends on its current role.
 func (c *Controller) updateWriteBudget() {
 	rate := c.role().WriteShare() * c.committer.Limits().WriteRate
 	c.committer.Budget.SetRate(max(1, rate))
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -1,11 +1,10 @@
-// Package coordination is a controller: it wires the packages below it on one event loop and
-// decides nothing itself.
+// Package coordination implements the controller. It connects the packages below it on one
+// event loop and contains no policy itself.
 //
-// A Controller runs on one goroutine. Everything that happens to it (an agent's heartbeat, a
-// user's request, an answer, a timer) is a call on that goroutine, and everything it wants
-// done leaves through small interfaces that answer by calling back. Time comes from the
-// clock alone, so the same code runs against real sockets and, in package scenario, against
-// stand-ins in virtual time.
+// A Controller runs on one goroutine. Every input (an agent's heartbeat, a user's request, an
+// answer, a timer) is a call on that goroutine. Every output goes through a small interface
+// whose methods return their results by callback. Time comes only from the clock, so the same
+// code runs on real sockets and, in package scenario, on simulated ones in virtual time.
 package coordination
 
 import (
@@ -27,14 +26,15 @@
 )
 
 const (
-	// tickInterval is the time between two looks at what only the passing of time
-	// changes. It is far below the leases that it serves.
+	// tickInterval is the interval of the periodic work. It is far below the durations of the
+	// leases that this work renews and checks.
 	tickInterval = 250 * time.Millisecond
-	// farewellTime is how long a controller that ends gives the leader to hear so.
-	farewellTime = 300 * time.Millisecond
+	// shutdownDelay is how long a controller that shuts down waits for its last heartbeat to
+	// reach the leader.
+	shutdownDelay = 300 * time.Millisecond
 )
 
-// Config is all that a Controller is made of.
+// Config holds the dependencies and settings of a Controller.
 type Config struct {
 	Settings *config.Settings
 	Options  config.Options
@@ -47,21 +47,21 @@
 	Log      *slog.Logger
 }
 
-// Controller is one process of the service. Its methods must be called on its goroutine,
+// Controller is one controller of the cluster. Its methods must be called on its goroutine,
 // except for Stats.
 type Controller struct {
 	Config
-	controllers  []string // all controllers, by name; there is a shard for each
-	shardLease   time.Duration
-	maxStaleness time.Duration
-	maxAttempts  uint64 // attempt numbers used under one grant; 0: all
+	controllers       []string // names of all controllers, sorted; there is one shard per controller
+	shardLease        time.Duration
+	maxStaleness      time.Duration
+	maxAttemptNumbers uint64 // limit of the attempt numbers used under one grant; 0: the default
 
-	// These live as long as the process.
+	// State of the process.
 	committer *kv.Committer
 	jobs      *jobs.Service
 	stats     stats
 
-	// These belong to a generation.
+	// State of the current generation.
 	generation *loop.Generation
 	replica    *replica.Replica
 	leases     *sharding.Leases
@@ -71,7 +71,7 @@
 	reconciler *reconcile.Reconciler
 }
 
-// New makes a controller; Start sets it going.
+// New creates a controller. Start must be called next.
 func New(parts Config) *Controller {
 	agents := parts.Settings.Cluster.Agents
 	peers := peerNames(parts.Settings)
@@ -93,7 +93,7 @@
 	return controller
 }
 
-// peerNames are the other controllers, in the order of the settings.
+// peerNames returns the names of the other controllers, in the order of the settings.
 func peerNames(settings *config.Settings) []string {
 	var names []string
 	for _, peer := range settings.Peers {
@@ -102,7 +102,7 @@
 	return names
 }
 
-// Start begins the first generation and the controller's loops.
+// Start begins the first generation and the periodic work.
 func (c *Controller) Start() {
 	c.beginGeneration()
 	c.tick()
@@ -123,34 +123,34 @@
 	c.Clock.After(interval, next)
 }
 
-// Stop ends the controller's part in the service: it acts for no shard any more, tells
-// the leader so, or gives up the leadership. done is called once that is known, or got
-// no answer.
+// Stop shuts the controller down. It stops acting for its shards and sends a last heartbeat to
+// the leader. If it is the leader, it revokes its leader lease instead. done is called after
+// shutdownDelay, or once the revocation has succeeded or failed.
 func (c *Controller) Stop(done func()) {
 	c.generation.Stop()
 	lease, leading := c.elector.Stop()
 	if !leading {
 		c.reporter.SendHeartbeat()
-		c.Clock.After(farewellTime, done)
+		c.Clock.After(shutdownDelay, done)
 		return
 	}
 	c.Store.RevokeLease(lease, func(error) { done() })
 }
 
-// tick does what only the passing of time asks for.
+// tick does the periodic work.
 func (c *Controller) tick() {
 	if !c.replica.Ready() {
 		return
 	}
 	if c.reconciler.AttemptNumbersExhausted() {
-		c.Log.Warn("attempt numbers exhausted, starting over")
+		c.Log.Warn("attempt numbers exhausted, generation restarted")
 		c.beginGeneration()
 		return
 	}
 	c.updateWriteBudget()
 	c.reporter.WriteLiveness()
 	c.jobs.Tick()
-	c.noteStanding()
+	c.publishSnapshot()
 	c.refreshGauges()
 	c.elector.Tick()
 	if c.leader != nil {
@@ -159,8 +159,8 @@
 	c.reconciler.Tick()
 }
 
-// recordsChanged works out what follows from a read of the changes; changed is false where
-// it brought none.
+// recordsChanged applies the consequences of a read of the store's changes. changed is false
+// if the read returned no change.
 func (c *Controller) recordsChanged(changed bool) {
 	c.elector.ObserveRecord()
 	if !changed {
--- a/internal/coordination/fixture_test.go
+++ b/internal/coordination/fixture_test.go
@@ -14,216 +14,217 @@
 	"rockrun/internal/storage"
 )
 
-// testController is a controller whose surroundings do what a test says: it is its clock, its
-// store, its agents and its peers.
-type testController struct {
+// fixture is a controller whose clock, store, agents and peers the test controls.
+type fixture struct {
 	t               testing.TB
 	controller      *Controller
 	now             time.Duration
 	timers          []func()
-	transactions    []protocol.Transaction
+	transactions    []protocol.Transaction // sent to the store, not answered
 	commandRequests []protocol.CommandRequest
-	commandAnswers  []func(*protocol.AgentHeartbeat, bool, error) // who waits for theirs
+	commandAnswers  []func(*protocol.AgentHeartbeat, bool, error) // callbacks of unanswered command requests
 	revision        uint64
-	watched         bool              // the changes have been read
-	elected         bool              // leases are opened for campaigns
-	values          map[string][]byte // what the store holds
+	watchAnswered   bool              // the first watch has been answered
+	opensLeases     bool              // the store opens leases for campaigns
+	values          map[string][]byte // contents of the store
 }
 
-func (b *testController) Now() time.Duration                               { return b.now }
-func (b *testController) Wall() time.Time                                  { return time.Unix(1_800_000_000, 0).Add(b.now) }
-func (b *testController) After(_ time.Duration, f func())                  { b.timers = append(b.timers, f) }
-func (b *testController) Get(string, func(protocol.KeyValue, bool, error)) {}
-func (b *testController) List(_, _ string, done func(protocol.KeyValuePage, error)) {
+func (f *fixture) Now() time.Duration                               { return f.now }
+func (f *fixture) Wall() time.Time                                  { return time.Unix(1_800_000_000, 0).Add(f.now) }
+func (f *fixture) After(_ time.Duration, callback func())           { f.timers = append(f.timers, callback) }
+func (f *fixture) Get(string, func(protocol.KeyValue, bool, error)) {}
+func (f *fixture) List(_, _ string, done func(protocol.KeyValuePage, error)) {
 	done(protocol.KeyValuePage{}, nil)
 }
-func (b *testController) Commit(t protocol.Transaction, _ func(uint64, error)) {
-	b.transactions = append(b.transactions, t)
+func (f *fixture) Commit(t protocol.Transaction, _ func(uint64, error)) {
+	f.transactions = append(f.transactions, t)
 }
-func (b *testController) OpenLease(_ time.Duration, done func(uint64, error)) {
-	if b.elected {
+func (f *fixture) OpenLease(_ time.Duration, done func(uint64, error)) {
+	if f.opensLeases {
 		done(9, nil)
 	}
 }
-func (b *testController) RenewLease(uint64, func(error))  {}
-func (b *testController) RevokeLease(uint64, func(error)) {}
+func (f *fixture) RenewLease(uint64, func(error))  {}
+func (f *fixture) RevokeLease(uint64, func(error)) {}
 
-// Watch answers the first read of the changes, so that the records count as read.
-func (b *testController) Watch(_ string, _ uint64, _ time.Duration, done func(protocol.Changes, error)) {
-	if !b.watched {
-		b.watched = true
+// Watch answers the first watch, after which the replica counts as complete.
+func (f *fixture) Watch(_ string, _ uint64, _ time.Duration, done func(protocol.Changes, error)) {
+	if !f.watchAnswered {
+		f.watchAnswered = true
 		done(protocol.Changes{}, nil)
 	}
 }
 
-func (b *testController) Execute(_ string, r protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
-	b.commandRequests = append(b.commandRequests, r)
-	b.commandAnswers = append(b.commandAnswers, done)
+func (f *fixture) Execute(_ string, r protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
+	f.commandRequests = append(f.commandRequests, r)
+	f.commandAnswers = append(f.commandAnswers, done)
 }
 
-// failCommands lets the commands sent so far have no answer.
-func (b *testController) failCommands() {
-	answers := b.commandAnswers
-	b.commandAnswers = nil
+// failCommands fails the command requests sent so far with an unknown outcome.
+func (f *fixture) failCommands() {
+	answers := f.commandAnswers
+	f.commandAnswers = nil
 	for _, done := range answers {
 		done(nil, false, protocol.ErrOutcomeUnknown)
 	}
 }
 
-// runTimers calls all that waits for its time, a reconcile pass among it.
-func (b *testController) runTimers() {
-	timers := b.timers
-	b.timers = nil
+// runTimers runs all scheduled callbacks, including a reconcile pass.
+func (f *fixture) runTimers() {
+	timers := f.timers
+	f.timers = nil
 	for _, callback := range timers {
 		callback()
 	}
 }
 
-// statuses are what the controller says of the machines that it holds, by name.
-func (b *testController) statuses() map[string]protocol.MachineStatus {
+// statuses returns the controller's statuses of the machines that it holds, by name.
+func (f *fixture) statuses() map[string]protocol.MachineStatus {
 	statuses := map[string]protocol.MachineStatus{}
-	for _, s := range b.controller.reconciler.MachineStatuses() {
+	for _, s := range f.controller.reconciler.MachineStatuses() {
 		statuses[s.Name] = s
 	}
 	return statuses
 }
-func (b *testController) Ask(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {}
+func (f *fixture) Ask(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {}
 
-// firstPage is the first page of the only job shard.
+// firstPage identifies the first page of the only job shard.
 var firstPage = storage.PageID{}
 
+// grantToken is the fencing token of the fixture's grant.
 const grantToken = 5<<44 | 1<<24
 
-// newTestController makes a controller that holds one machine under a fresh grant; the record
-// of an earlier holder says that run-1/0 may be on it.
-func newTestController(t testing.TB, intents ...string) *testController {
-	b := &testController{t: t, now: time.Minute, values: map[string][]byte{}}
-	b.controller = New(Config{
+// newFixture creates a controller that holds one machine, m-1, under a new grant. The intent
+// page of a former holder has the given entries of run-1.
+func newFixture(t testing.TB, intents ...string) *fixture {
+	f := &fixture{t: t, now: time.Minute, values: map[string][]byte{}}
+	f.controller = New(Config{
 		Settings: &config.Settings{Controller: "a", Cluster: config.Cluster{
 			Teams:   []config.Team{{Name: "red", MaxCPUs: 8}},
 			Agents:  config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60},
 			KVStore: config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 100, ValueKiB: 8, TransactionOperations: 8},
 		}},
-		Options: config.DefaultOptions(), Clock: b, Store: b, Agents: b, Peers: b,
+		Options: config.DefaultOptions(), Clock: f, Store: f, Agents: f, Peers: f,
 		Rand: rand.New(rand.NewPCG(1, 2)), Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	b.controller.beginGeneration()
-	b.grantShard(intents...)
-	return b
+	f.controller.beginGeneration()
+	f.grantShard(intents...)
+	return f
 }
 
-// grantShard lets the controller hold its machine under a fresh grant.
-func (b *testController) grantShard(intents ...string) {
-	b.refreshKnowledge()
-	b.apply(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}})
-	b.apply(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
-	b.apply(storage.JobKey("run-1"), storage.JobRecord{Spec: protocol.JobSpec{
+// grantShard grants the shard with the machine to the controller's current incarnation.
+func (f *fixture) grantShard(intents ...string) {
+	f.refreshViewAndLeases()
+	f.apply(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"z"}}}})
+	f.apply(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
+	f.apply(storage.JobKey("run-1"), storage.JobRecord{Spec: protocol.JobSpec{
 		ID: "run-1", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2, CPUs: 4, MemoryGB: 1,
 	}})
-	b.apply(storage.MachineGroupKey("b"), storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-1", Address: "w"}}})
-	b.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": intents})
-	b.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: b.controller.replica.Incarnation, FencingToken: grantToken})
-	b.controller.recordsChanged(true)
+	f.apply(storage.MachineGroupKey("b"), storage.MachineGroupRecord{Type: "small", Zone: "z", Machines: []storage.MachineEntry{{Name: "m-1", Address: "w"}}})
+	f.apply(storage.IntentPageKey(firstPage), storage.IntentPage{"run-1": intents})
+	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: f.controller.replica.Incarnation, FencingToken: grantToken})
+	f.controller.recordsChanged(true)
 }
 
-// limitStore lets the store's limits be lower from now on.
-func (b *testController) limitStore(valueBytes, operations, conditions int) {
-	limits := b.controller.committer.Limits()
+// limitStore lowers the store's limits to at most the given ones.
+func (f *fixture) limitStore(valueBytes, operations, conditions int) {
+	limits := f.controller.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
 	limits.Operations = min(limits.Operations, operations)
 	limits.Conditions = min(limits.Conditions, conditions)
-	b.controller.committer.SetLimits(limits)
+	f.controller.committer.SetLimits(limits)
 }
 
-func (b *testController) apply(key string, record any) {
-	b.t.Helper()
-	b.revision++
-	b.put(key, storage.Encode(record))
-	b.advance(b.revision)
+// apply puts a record into the view, at a new revision.
+func (f *fixture) apply(key string, record any) {
+	f.t.Helper()
+	f.revision++
+	f.put(key, storage.Encode(record))
+	f.advanceRevision(f.revision)
 }
 
-// advance lets the view have reached a revision, without making it any fresher.
-func (b *testController) advance(revision uint64) {
-	b.controller.replica.Apply(protocol.Changes{Revision: revision}, 0)
+// advanceRevision advances the view to a revision without reducing its staleness.
+func (f *fixture) advanceRevision(revision uint64) {
+	f.controller.replica.Apply(protocol.Changes{Revision: revision}, 0)
 }
 
-func (b *testController) put(key string, value []byte) {
-	b.t.Helper()
-	b.values[key] = value
-	if err := b.controller.replica.View.Apply(key, value, b.revision); err != nil {
-		b.t.Fatal(err)
+func (f *fixture) put(key string, value []byte) {
+	f.t.Helper()
+	f.values[key] = value
+	if err := f.controller.replica.View.Apply(key, value, f.revision); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
-// applyTransactions applies the transactions that were sent, in their order. They are not
-// answered: the view shows what came of them.
-func (b *testController) applyTransactions() {
-	b.t.Helper()
-	sent := b.transactions
-	b.transactions = nil
-	for _, t := range sent {
-		b.withinLimits(t)
-		b.revision++
+// applyTransactions applies the sent transactions in order. Their senders get no answer and
+// see the result only in the view.
+func (f *fixture) applyTransactions() {
+	f.t.Helper()
+	transactions := f.transactions
+	f.transactions = nil
+	for _, t := range transactions {
+		f.checkLimits(t)
+		f.revision++
 		for _, op := range t.Operations {
 			if op.Put != "" {
-				b.put(op.Put, op.Value)
+				f.put(op.Put, op.Value)
 				continue
 			}
-			delete(b.values, op.Delete)
-			b.controller.replica.View.Remove(op.Delete, b.revision)
+			delete(f.values, op.Delete)
+			f.controller.replica.View.Remove(op.Delete, f.revision)
 		}
-		b.advance(b.revision)
+		f.advanceRevision(f.revision)
 	}
 }
 
-// withinLimits fails where a transaction is over the limits in force.
-func (b *testController) withinLimits(t protocol.Transaction) {
-	b.t.Helper()
-	limits := b.controller.committer.Limits()
+// checkLimits fails the test if a transaction exceeds the limits in force.
+func (f *fixture) checkLimits(t protocol.Transaction) {
+	f.t.Helper()
+	limits := f.controller.committer.Limits()
 	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Conditions) > limits.Conditions {
-		b.t.Errorf("over the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
+		f.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
 	}
 }
 
-// refreshViewAndLeases renews what the controller knows, and its leases.
-func (b *testController) refreshKnowledge() {
-	b.controller.replica.Apply(protocol.Changes{}, b.now)
-	b.extendLeases(testLease)
+// refreshViewAndLeases makes the view current and extends the shard leases.
+func (f *fixture) refreshViewAndLeases() {
+	f.controller.replica.Apply(protocol.Changes{}, f.now)
+	f.extendLeases(leaseExtension)
 }
 
-// leaseExtension is how long the controller may act once its leases are extended.
-const testLease = time.Minute
+// leaseExtension is how long refreshViewAndLeases lets the controller act for its shards.
+const leaseExtension = time.Minute
 
-// extendLeases lets the controller act for all its shards for so long.
-func (b *testController) extendLeases(d time.Duration) {
-	for shard := range b.controller.replica.View.Grants {
-		b.controller.leases.Extend(shard, b.now+d-b.controller.shardLease)
+// extendLeases lets the controller act for all its shards for d from now on.
+func (f *fixture) extendLeases(d time.Duration) {
+	for shard := range f.controller.replica.View.Grants {
+		f.controller.leases.Extend(shard, f.now+d-f.controller.shardLease)
 	}
 }
 
-// heartbeat hands the machine's heartbeat to the controller and returns the answer.
-func (b *testController) heartbeat(sequence, token uint64, tasks ...protocol.TaskStatus) api.Answer {
-	b.t.Helper()
-	var got api.Answer
-	r := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: sequence, FencingToken: token, Tasks: tasks}
-	b.controller.OnAgentHeartbeat(r, func(a api.Answer) { got = a })
-	return got
-}
-
-// inherited is the intent of an attempt that an earlier holder has started.
-var inherited = storage.IntentEntry(0, "m-1", 9)
-
-// becomeLeader makes the controller the leader.
-func (b *testController) becomeLeader() {
-	b.t.Helper()
-	b.apply(storage.KeyTerm, storage.TermRecord{Term: 5})
-	b.elected = true
-	b.controller.elector.Tick()
-	b.now += time.Second // more than candidates wait
-	b.controller.elector.Tick()
-	b.applyTransactions()
-	b.controller.elector.ObserveRecord()
-	if b.controller.leader == nil {
-		b.t.Fatal("it does not lead")
+// heartbeat delivers a heartbeat of m-1 to the controller and returns the answer.
+func (f *fixture) heartbeat(sequence, token uint64, tasks ...protocol.TaskStatus) api.Answer {
+	f.t.Helper()
+	var answer api.Answer
+	heartbeat := &protocol.AgentHeartbeat{Machine: "m-1", Address: "w", MachineType: "small", Zone: "z", Epoch: 1, Sequence: sequence, FencingToken: token, Tasks: tasks}
+	f.controller.OnAgentHeartbeat(heartbeat, func(a api.Answer) { answer = a })
+	return answer
+}
+
+// inheritedIntent is an intent entry of a former holder: run-1/0 may run on m-1.
+var inheritedIntent = storage.IntentEntry(0, "m-1", 9)
+
+// becomeLeader makes the controller win an election.
+func (f *fixture) becomeLeader() {
+	f.t.Helper()
+	f.apply(storage.KeyTerm, storage.TermRecord{Term: 5})
+	f.opensLeases = true
+	f.controller.elector.Tick()
+	f.now += time.Second // longer than the delay before a campaign
+	f.controller.elector.Tick()
+	f.applyTransactions()
+	f.controller.elector.ObserveRecord()
+	if f.controller.leader == nil {
+		f.t.Fatal("controller is not the leader")
 	}
 }
--- a/internal/coordination/generation.go
+++ b/internal/coordination/generation.go
@@ -15,9 +15,10 @@
 	"rockrun/internal/storage"
 )
 
-// beginGeneration starts a new generation with an empty view. It is used at the start and
-// whenever the controller has lost track of the store's changes; what an earlier generation
-// held is granted anew under a higher token, which fences whatever it left behind.
+// beginGeneration starts a new generation with an empty view. It is called at the start, when
+// the store no longer has the changes that follow the view, and when the attempt numbers of
+// the grants are used up. Shards that the former generation held are granted again under
+// higher fencing tokens, so agents reject its delayed commands.
 func (c *Controller) beginGeneration() {
 	former := &replica.Replica{}
 	if c.replica != nil {
@@ -44,7 +45,8 @@
 	c.replica.Start()
 }
 
-// beginReplica makes the replica of a generation, after that of the former one.
+// beginReplica creates the replica of the generation. Its incarnation is above the former
+// one's, and the pause after the former replica's last sync is preserved.
 func (c *Controller) beginReplica(former *replica.Replica) {
 	limits := c.Settings.Cluster.KVStore.Limits()
 	c.replica = replica.New(replica.Config{
@@ -61,23 +63,23 @@
 	})
 }
 
-// teams are the teams of the settings.
+// teams returns the teams in the settings.
 func (c *Controller) teams() []storage.Team {
 	teams := make([]storage.Team, 0, len(c.Settings.Cluster.Teams))
-	for _, t := range c.Settings.Cluster.Teams {
+	for _, team := range c.Settings.Cluster.Teams {
 		teams = append(teams, storage.Team{
-			Name:           t.Name,
-			GuaranteedCPUs: t.GuaranteedCPUs,
-			MaxCPUs:        t.MaxCPUs,
-			GuaranteedGPUs: t.GuaranteedGPUs,
-			MaxGPUs:        t.MaxGPUs,
+			Name:           team.Name,
+			GuaranteedCPUs: team.GuaranteedCPUs,
+			MaxCPUs:        team.MaxCPUs,
+			GuaranteedGPUs: team.GuaranteedGPUs,
+			MaxGPUs:        team.MaxGPUs,
 		})
 	}
 	return teams
 }
 
-// watchPause is the pause between two reads of the changes with which all controllers
-// together use a quarter of the requests that the store allows.
+// watchPause returns the minimum time between two reads of the store's changes. With this pause
+// the reads of all controllers use at most a quarter of the store's request rate.
 func watchPause(controllers int, limits config.StoreLimits) time.Duration {
 	const (
 		shareDivisor = 4
@@ -86,14 +88,14 @@
 	return max(minPause, time.Duration(shareDivisor*float64(controllers)/limits.RequestRate*float64(time.Second)))
 }
 
-// nextIncarnation draws an incarnation above the former one: the time of day in the high
-// bits, chance in the low ones.
+// nextIncarnation returns an incarnation above the former one. Its high bits are the wall-clock
+// time in milliseconds and its low bits are random.
 func (c *Controller) nextIncarnation(former uint64) uint64 {
 	const randomBits = 20
 	return max(former+1, uint64(c.Clock.Wall().UnixMilli())<<randomBits|c.Rand.Uint64N(1<<randomBits))
 }
 
-// beginReconciler makes what runs the tasks of the shards held.
+// beginReconciler creates the reconciler, which runs the tasks of the held shards.
 func (c *Controller) beginReconciler() {
 	c.reconciler = reconcile.New(reconcile.Config{
 		Generation:        c.generation,
@@ -107,7 +109,7 @@
 		AgentSettings:     c.Settings.Cluster.Agents,
 		Objectives:        c.Settings.Cluster.Objectives,
 		MaxStaleness:      c.maxStaleness,
-		MaxAttemptNumbers: c.maxAttempts,
+		MaxAttemptNumbers: c.maxAttemptNumbers,
 		OnPassEnd: func() {
 			c.stats.passes.Add(1)
 			c.jobs.WriteCancelledDependents()
@@ -115,7 +117,7 @@
 	})
 }
 
-// beginMembership makes what tells the leader about this controller.
+// beginMembership creates the reporter, which sends this controller's heartbeats to the leader.
 func (c *Controller) beginMembership() {
 	healthyPeers := 0
 	if c.reporter != nil {
@@ -135,7 +137,7 @@
 	})
 }
 
-// beginElection makes what campaigns for this controller.
+// beginElection creates the elector, which campaigns for this controller.
 func (c *Controller) beginElection() {
 	c.elector = election.New(election.Config{
 		Generation:   c.generation,
@@ -149,7 +151,7 @@
 	})
 }
 
-// beginJobs tells the service of jobs about the generation.
+// beginJobs passes the generation to the job service.
 func (c *Controller) beginJobs() {
 	c.jobs.BeginGeneration(jobs.GenerationConfig{
 		Generation:    c.generation,
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -9,8 +9,8 @@
 	"rockrun/internal/protocol"
 )
 
-// leader is what this controller runs while it is the leader. Every leader builds it anew
-// from heartbeats and the cloud's list.
+// leader holds the components that run only on the leader. Every new leader rebuilds their
+// state from heartbeats and the cloud's list of machines.
 type leader struct {
 	leadership  *election.Leadership
 	members     *membership.Registry
@@ -19,69 +19,70 @@
 	provisioner *provisioning.Provisioner
 }
 
-// beginLeadership takes up the leadership that this controller has gained.
-func (c *Controller) beginLeadership(won *election.Leadership) {
+// beginLeadership creates the leader's components. It is called when this controller has been
+// elected.
+func (c *Controller) beginLeadership(leadership *election.Leadership) {
 	agents := c.Settings.Cluster.Agents
-	leading := &leader{leadership: won}
-	leading.members = membership.NewRegistry(membership.RegistryConfig{
+	newLeader := &leader{leadership: leadership}
+	newLeader.members = membership.NewRegistry(membership.RegistryConfig{
 		Generation:  c.generation,
 		Replica:     c.replica,
-		Leadership:  won,
+		Leadership:  leadership,
 		Controllers: c.controllers,
 		Agents:      agents,
 		ShardLease:  c.shardLease,
-		OnUnrecordedAgent: func(h *protocol.AgentHeartbeat) {
-			leading.provisioner.OnUnrecordedHeartbeat(h)
+		OnUnrecordedAgent: func(heartbeat *protocol.AgentHeartbeat) {
+			newLeader.provisioner.OnUnrecordedHeartbeat(heartbeat)
 		},
 	})
-	leading.assigner = sharding.NewAssigner(sharding.AssignerConfig{
+	newLeader.assigner = sharding.NewAssigner(sharding.AssignerConfig{
 		Generation:  c.generation,
 		Replica:     c.replica,
 		Committer:   c.committer,
-		Leadership:  won,
-		Members:     leading.members,
+		Leadership:  leadership,
+		Members:     newLeader.members,
 		Controllers: c.controllers,
 		Agents:      agents,
 		JobShards:   c.Options.JobShards,
 		ShardLease:  c.shardLease,
 		Log:         c.Log,
 	})
-	leading.splitter = quota.NewSplitter(quota.SplitterConfig{
+	newLeader.splitter = quota.NewSplitter(quota.SplitterConfig{
 		Generation: c.generation,
 		Replica:    c.replica,
 		Committer:  c.committer,
-		Leadership: won,
-		Members:    leading.members,
+		Leadership: leadership,
+		Members:    newLeader.members,
 	})
-	leading.provisioner = provisioning.New(provisioning.Config{
+	newLeader.provisioner = provisioning.New(provisioning.Config{
 		Generation: c.generation,
 		Replica:    c.replica,
 		Committer:  c.committer,
-		Leadership: won,
-		Members:    leading.members,
+		Leadership: leadership,
+		Members:    newLeader.members,
 		Cloud:      c.Cloud,
 		Cluster:    &c.Settings.Cluster,
 		Options:    c.Options,
 		Log:        c.Log,
 	})
-	c.leader = leading
+	c.leader = newLeader
 	c.reporter.SendHeartbeat()
 }
 
-// tick does what a leader does at intervals.
+// tick does the leader's periodic work.
 func (l *leader) tick() {
 	if !l.leadership.Tick() {
 		return
 	}
 	l.members.ApplyLiveness()
-	l.assigner.SettleJobShards()
+	l.assigner.DecideJobShards()
 	l.splitter.Update()
 	l.assigner.Assign()
 	l.provisioner.Tick()
 }
 
-// registry is the leader's registry of the controllers, or nil where this controller does
-// not lead.
+// registry returns the leader's registry of the controllers, or nil if this controller is not
+// the leader.
 func (c *Controller) registry() *membership.Registry {
 	if c.leader == nil {
 		return nil
--- a/internal/coordination/operator_status.go
+++ b/internal/coordination/operator_status.go
@@ -5,21 +5,21 @@
 	"rockrun/internal/storage"
 )
 
-// Status is what an operator sees of the autoscaler.
+// Status is the autoscaler status that operators see.
 type Status struct {
 	Node    string `json:"node"`
 	Leader  string `json:"leader"`
 	Term    uint64 `json:"term"`
 	Leading bool   `json:"leading"`
 	Ready   bool   `json:"ready"`
-	Fleet   int    `json:"fleet"`         // machines there are
+	Fleet   int    `json:"fleet"`         // machines that exist
 	Jobs    int    `json:"jobs"`          // unfinished jobs
-	Blocked int    `json:"blocked_tasks"` // tasks that wait for a place
-	Waiting int    `json:"waiting_jobs"`  // jobs that wait for others
-	Target  int    `json:"target"`        // machines that are to stay
+	Blocked int    `json:"blocked_tasks"` // unplaced tasks of jobs that wait for no dependency
+	Waiting int    `json:"waiting_jobs"`  // jobs that wait for dependencies
+	Target  int    `json:"target"`        // machines to retain
 }
 
-// Autoscaler describes the autoscaler's state and, on the leader, its last decisions. It
+// Autoscaler returns the status of the autoscaler and, on the leader, its last decisions. It
 // must be called on the controller's goroutine.
 func (c *Controller) Autoscaler() (Status, []provisioning.Decision) {
 	status := Status{
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -6,7 +6,7 @@
 	"rockrun/internal/protocol"
 )
 
-// OnPeer answers a message from another controller.
+// OnPeer processes and answers a message from another controller.
 func (c *Controller) OnPeer(request protocol.PeerRequest, reply func(protocol.PeerAnswer)) {
 	switch {
 	case request.Heartbeat != nil:
--- a/internal/coordination/sharding/assigner.go
+++ b/internal/coordination/sharding/assigner.go
@@ -13,23 +13,23 @@
 	"rockrun/internal/storage"
 )
 
-// startupGrace is how long a first leader waits for all controllers to be heard before it
-// grants shards to those that are.
+// startupGrace is how long a new leader waits for heartbeats of all controllers before it
+// grants the shards of a new cluster to the controllers that it has heard.
 const startupGrace = 2 * time.Second
 
-// Leadership is what an Assigner needs of the leader whose it is.
+// Leadership provides the leadership in which an Assigner works.
 type Leadership interface {
-	// Term is the term of the leadership.
+	// Term returns the term of the leadership.
 	Term() uint64
-	// Since is when the leadership began.
+	// Since returns when the leadership began.
 	Since() time.Duration
-	// Condition makes a transaction depend on the leadership.
+	// Condition returns the precondition that this controller is still the leader.
 	Condition() protocol.Condition
-	// NextFencingToken issues a fencing token, higher than all before.
+	// NextFencingToken issues a fencing token above all earlier ones.
 	NextFencingToken() uint64
 }
 
-// AssignerConfig is all that an Assigner is made of.
+// AssignerConfig holds the dependencies and settings of an Assigner.
 type AssignerConfig struct {
 	Generation  *loop.Generation
 	Replica     *replica.Replica
@@ -38,44 +38,46 @@
 	Members     *membership.Registry
 	Controllers []string // all controllers, by name
 	Agents      config.Agents
-	// JobShards is how many shards own jobs; 0: derived from the number of controllers.
-	JobShards  int
+	// JobShards is the number of shards that own jobs; 0 derives it from the number of
+	// controllers.
+	JobShards int
+	// ShardLease is how long a holder may act without contact to the leader.
 	ShardLease time.Duration
 	Log        *slog.Logger
 }
 
-// Assigner grants every shard to a controller, for the leader.
+// Assigner grants every shard to a controller. It runs on the leader.
 type Assigner struct {
 	AssignerConfig
 	grantCalls    []loop.Call // by shard
 	jobShardsCall loop.Call
-	lastMoveAt    time.Duration            // when a job shard last moved away from a live controller
-	relievedAt    map[string]time.Duration // when a controller lost a shard whose agents could not reach it
+	lastMoveAt    time.Duration            // when a job shard was last moved away from a live holder
+	unreachableAt map[string]time.Duration // by controller: when it last lost a shard because agents could not reach it
 }
 
-// NewAssigner makes an assigner.
+// NewAssigner creates an assigner.
 func NewAssigner(c AssignerConfig) *Assigner {
 	return &Assigner{
 		AssignerConfig: c,
 		grantCalls:     make([]loop.Call, len(c.Replica.View.Grants)),
-		relievedAt:     map[string]time.Duration{},
+		unreachableAt:  map[string]time.Duration{},
 	}
 }
 
-// Assign grants every shard that has no live holder, or has a better one.
+// Assign grants every shard that has no live holder or that must move to another controller.
 func (a *Assigner) Assign() {
-	held := a.jobShardsPerController()
+	jobShards := a.jobShardsPerController()
 	for shard := range a.grantCalls {
 		if !a.grantCalls[shard].Ready(a.Generation.Now()) {
 			continue
 		}
-		to := a.nextHolder(shard, held)
-		if to == "" {
+		controller := a.nextHolder(shard, jobShards)
+		if controller == "" {
 			continue
 		}
-		a.grant(shard, to)
+		a.grant(shard, controller)
 		if a.isJobShard(shard) {
-			held[to]++
+			jobShards[controller]++
 		}
 	}
 }
@@ -94,9 +96,9 @@
 	return held
 }
 
-// nextHolder is the controller to which a shard is to be granted now, or "" where its
-// grant stands.
-func (a *Assigner) nextHolder(shard int, held map[string]int) string {
+// nextHolder returns the controller to which a shard must be granted now, or "" if the
+// current grant stays. jobShards counts the job shards of each controller.
+func (a *Assigner) nextHolder(shard int, jobShards map[string]int) string {
 	now := a.Generation.Now()
 	leadingFor := now - a.Leadership.Since()
 	grant := &a.Replica.View.Grants[shard]
@@ -106,62 +108,64 @@
 		if !a.Members.AllAlive() && leadingFor <= startupGrace {
 			return ""
 		}
-		return a.bestController(shard, held)
+		return a.bestController(shard, jobShards)
 	case holder != nil && holder.Leaving && holder.Incarnation == grant.Incarnation:
-		return a.bestController(shard, held)
+		return a.bestController(shard, jobShards)
 	case holder != nil && now-holder.HeardAt < membership.PeerTimeout && holder.Incarnation > grant.Incarnation:
-		// The holder has restarted and declared its former self over.
+		// The holder has restarted, so the incarnation that was granted the shard has ended.
 		return grant.Controller
 	case a.holderAlive(grant, holder):
-		return a.preferredHolder(shard, holder, held)
+		return a.preferredHolder(shard, holder, jobShards)
 	case leadingFor > a.ShardLease && a.leaseExpired(holder):
-		if to := a.bestController(shard, held); to != grant.Controller {
-			return to
+		if controller := a.bestController(shard, jobShards); controller != grant.Controller {
+			return controller
 		}
 	}
 	return ""
 }
 
-// holderAlive reports whether every heartbeat of the holder of a grant confirms it.
+// holderAlive reports whether the leader has heard the granted incarnation of the holder
+// within the shard lease and still extends its shard leases.
 func (a *Assigner) holderAlive(grant *storage.Grant, holder *membership.Peer) bool {
 	return holder != nil && holder.Incarnation == grant.Incarnation &&
 		a.Generation.Now()-holder.HeardAt < a.ShardLease && !a.Members.PartitionedFromStore(holder)
 }
 
-// leaseExpired reports whether this leader has not confirmed a holder for a whole shard
-// lease. Nor has an earlier one, after this one has led for as long.
+// leaseExpired reports whether this leader has not extended a holder's shard leases for a
+// whole shard lease. A caller must also check that this leader has led for that long, since
+// an earlier leader may have extended the leases.
 func (a *Assigner) leaseExpired(holder *membership.Peer) bool {
 	now := a.Generation.Now()
 	return holder == nil || now-holder.HeardAt > a.ShardLease || now-holder.ConfirmedAt > a.ShardLease
 }
 
-// bestController chooses a controller for a shard among all.
-func (a *Assigner) bestController(shard int, held map[string]int) string {
-	return a.chooseController(shard, held, func(string) bool { return true })
+// bestController chooses the controller to which a shard is granted.
+func (a *Assigner) bestController(shard int, jobShards map[string]int) string {
+	return a.chooseController(shard, jobShards, func(string) bool { return true })
 }
 
-// Costs of granting a shard to a controller. They are compared digit by digit: each is
-// above all that those below it can add up to with fewer than ten controllers.
+// Costs of granting a shard to a controller. With fewer than ten controllers each cost
+// exceeds the largest possible sum of the lower ones, so a higher cost always decides first.
 const (
-	leaderCost     = 10   // it provisions machines
-	perShardCost   = 100  // for each job shard it holds
-	unreliableCost = 1000 // its knowledge is old, or agents did not reach it
+	leaderCost     = 10   // the leader also provisions machines
+	perShardCost   = 100  // for each job shard that the controller holds
+	unreliableCost = 1000 // the controller's view is stale, or agents could not reach it recently
 )
 
-// chooseController chooses a controller for a shard among those that are allowed: one that
-// is alive, with the fewest job shards, rather not the leader.
-func (a *Assigner) chooseController(shard int, held map[string]int, allowed func(controller string) bool) string {
+// chooseController returns the live controller with the lowest cost of holding a shard, or
+// "" if there is none. Only controllers that allowed accepts are considered.
+func (a *Assigner) chooseController(shard int, jobShards map[string]int, allowed func(controller string) bool) string {
 	best, bestCost := "", 0
 	for position, controller := range a.Controllers {
-		p := a.Members.Peer(controller)
-		if p == nil || !p.Alive(a.Generation.Now()) || a.Members.PartitionedFromStore(p) || !allowed(controller) {
+		peer := a.Members.Peer(controller)
+		if peer == nil || !peer.Alive(a.Generation.Now()) || a.Members.PartitionedFromStore(peer) || !allowed(controller) {
 			continue
 		}
-		cost := held[controller]*perShardCost + (position+len(a.Controllers)-shard)%len(a.Controllers)
+		cost := jobShards[controller]*perShardCost + (position+len(a.Controllers)-shard)%len(a.Controllers)
 		if controller == a.Replica.Controller {
 			cost += leaderCost
 		}
-		if !p.Fresh || a.recentlyRelieved(controller) {
+		if !peer.Fresh || a.recentlyUnreachable(controller) {
 			cost += unreliableCost
 		}
 		if best == "" || cost < bestCost {
@@ -171,7 +175,7 @@
 	return best
 }
 
-// grant writes that a controller holds a shard.
+// grant writes the grant of a shard to a controller.
 func (a *Assigner) grant(shard int, controller string) {
 	record := storage.GrantRecord{
 		Controller:   controller,
@@ -188,16 +192,16 @@
 	}, func(_ uint64, err error) {
 		call.Done(a.Generation.Now() + kv.RetryPause)
 		if err != nil {
-			a.Log.Debug("grant not written", "shard", shard, "err", err)
+			a.Log.Debug("grant write failed", "shard", shard, "err", err)
 		}
 	})
 }
 
-// SettleJobShards settles once into how many job shards the work is split. Machines that
-// are split among shards cannot be packed together, and one controller's sums are
-// simplest, so three controllers have one job shard. With more there are two: the batch
-// shard and one for services, which need many images in one sight.
-func (a *Assigner) SettleJobShards() {
+// DecideJobShards records the number of job shards, once in the life of a cluster. Bin
+// packing cannot use machines of several shards together, and accounting is simplest on one
+// controller, so three controllers get one job shard. More controllers get two: the batch
+// shard and one shard for services, whose many images must be visible to one placement.
+func (a *Assigner) DecideJobShards() {
 	view := a.Replica.View
 	if view.JobShards > 0 || !a.jobShardsCall.TryBegin(a.Generation.Now()) {
 		return
--- a/internal/coordination/sharding/leases.go
+++ b/internal/coordination/sharding/leases.go
@@ -1,7 +1,8 @@
-// Package sharding assigns shards, sets of machines, to controllers. The record of a
-// grant, on whose version every write of the holder depends, makes an assignment
-// exclusive; the shard lease, which heartbeats renew, says how long a holder may act
-// without a word of the leader. Leases is the holder's side, Assigner the leader's.
+// Package sharding assigns shards, which are sets of machines, to controllers. Assigner is
+// the leader's side, Leases the holder's. A grant record assigns a shard, and every write of
+// the holder has the version of that record as a precondition, so a shard has one effective
+// holder. A shard lease, which heartbeats extend, limits how long the holder may act without
+// contact to the leader.
 package sharding
 
 import (
@@ -11,14 +12,14 @@
 	"rockrun/internal/coordination/replica"
 )
 
-// LeasesConfig is all that Leases are made of.
+// LeasesConfig holds the dependencies and settings of Leases.
 type LeasesConfig struct {
 	Generation *loop.Generation
 	Replica    *replica.Replica
-	// ShardLease is how long a holder may act without a word of the leader.
+	// ShardLease is how long a holder may act without contact to the leader.
 	ShardLease time.Duration
-	// MaxStaleness is how old a holder's knowledge of cancellations may be while it
-	// renews agents' leases.
+	// MaxStaleness is the maximum staleness of a holder's view, and so of the cancellations
+	// in it, at which the holder still renews agents' leases.
 	MaxStaleness time.Duration
 }
 
@@ -26,11 +27,11 @@
 type Leases struct {
 	LeasesConfig
 	expiry      []time.Duration // by shard
-	grantSeenAt []time.Duration // by shard: when the grant in force was first seen; 0: not held
-	heardAt     []time.Duration // by shard: when one of its agents was last heard here; 0: never
+	grantSeenAt []time.Duration // by shard: when the current grant was first seen; 0: not held
+	heardAt     []time.Duration // by shard: when this controller last heard one of its agents; 0: never
 }
 
-// NewLeases makes leases that have all expired.
+// NewLeases creates leases that have all expired.
 func NewLeases(c LeasesConfig) *Leases {
 	shards := len(c.Replica.View.Grants)
 	return &Leases{
@@ -51,20 +52,21 @@
 	return grant.Version > 0 && grant.Controller == l.Replica.Controller && grant.Incarnation == l.Replica.Incarnation
 }
 
-// MayActFor reports whether this controller may act for a shard now: the grant is its
-// own, the shard lease runs, and its knowledge of cancellations is young enough that
-// renewing an agent's lease cannot outlast the time for cancelling.
+// MayActFor reports whether this controller may act for a shard now: it holds the grant, the
+// shard lease has not expired, and the view is fresh enough. The bound on staleness ensures
+// that a renewed agent lease ends within the cancellation timeout even if the view does not
+// show a cancellation yet.
 func (l *Leases) MayActFor(shard int) bool {
 	return l.Replica.Ready() && !l.Generation.Stopping() && l.Holds(shard) &&
 		l.Generation.Now() < l.expiry[shard] && l.Replica.Staleness() < l.MaxStaleness
 }
 
-// Extend extends the lease of a shard, counted from a time.
+// Extend extends the lease of a shard to one shard lease after a given time.
 func (l *Leases) Extend(shard int, from time.Duration) {
 	l.expiry[shard] = max(l.expiry[shard], from+l.ShardLease)
 }
 
-// ObserveGrants begins the leases of grants that are new in the view.
+// ObserveGrants starts the shard leases of grants that are new in the view.
 func (l *Leases) ObserveGrants() {
 	for shard := range l.expiry {
 		switch {
@@ -72,14 +74,15 @@
 			l.grantSeenAt[shard] = 0
 		case l.grantSeenAt[shard] == 0:
 			l.grantSeenAt[shard] = l.Generation.Now()
-			// The leader made the grant no earlier than the request that brought it.
+			// The leader wrote the grant no earlier than the read that returned it was sent.
 			l.Extend(shard, l.Replica.FreshAt())
 		}
 	}
 }
 
-// NoteAgentHeard takes in that an agent of a shard was heard here, whoever holds it.
+// NoteAgentHeard records that this controller has heard an agent of a shard. The shard may
+// be held by another controller.
 func (l *Leases) NoteAgentHeard(shard int) { l.heardAt[shard] = l.Generation.Now() }
 
-// HeardAt is, by shard, when one of its agents was last heard here; 0: never.
+// HeardAt returns, by shard, when this controller last heard one of its agents; 0: never.
 func (l *Leases) HeardAt() []time.Duration { return l.heardAt }
--- a/internal/coordination/sharding/rebalance.go
+++ b/internal/coordination/sharding/rebalance.go
@@ -8,59 +8,61 @@
 )
 
 const (
-	// rebalanceAfter is how long a controller must have been well before a job shard
-	// moves to it, and the least time between two such moves: each costs a handover.
+	// rebalanceAfter is how long a controller must have been healthy before a job shard
+	// moves to it, and the minimum time between two such moves, since each move costs a
+	// handover.
 	rebalanceAfter = 15 * time.Second
-	// relievedPeriod is how long a controller that agents could not reach gets no job
-	// shard unless agents reach it: well beyond the partitions after which all is well
-	// again by itself.
-	relievedPeriod = 2 * time.Minute
+	// unreachablePenalty is how long a controller that agents could not reach gets no job
+	// shard, unless agents reach it earlier. It is well above the duration of partitions
+	// that heal by themselves.
+	unreachablePenalty = 2 * time.Minute
 )
 
-// preferredHolder is the controller to which a shard moves although its holder is alive,
-// or "": agents must reach the holder, and job shards are spread over the controllers.
-func (a *Assigner) preferredHolder(shard int, holder *membership.Peer, held map[string]int) string {
+// preferredHolder returns the controller to which a shard must move although its holder is
+// alive, or "". A shard moves because its agents cannot reach the holder, or to spread the
+// job shards over the controllers.
+func (a *Assigner) preferredHolder(shard int, holder *membership.Peer, jobShards map[string]int) string {
 	now := a.Generation.Now()
 	name := a.Replica.View.Grants[shard].Controller
 	switch {
 	case a.holderUnreachable(shard, holder):
-		a.Log.Warn("holder unreachable for its agents", "shard", shard, "holder", name, "term", a.Leadership.Term())
-		a.relievedAt[name], a.lastMoveAt = now, now
-		return a.chooseController(shard, held, func(controller string) bool {
+		a.Log.Warn("shard holder unreachable for agents", "shard", shard, "holder", name, "term", a.Leadership.Term())
+		a.unreachableAt[name], a.lastMoveAt = now, now
+		return a.chooseController(shard, jobShards, func(controller string) bool {
 			return a.Members.HearsAgents(controller, shard)
 		})
-	case a.shouldRebalance(shard, held):
+	case a.shouldRebalance(shard, jobShards):
 		a.Log.Info("job shard rebalanced", "shard", shard, "holder", name, "term", a.Leadership.Term())
 		a.lastMoveAt = now
-		return a.chooseController(shard, held, func(controller string) bool {
-			return a.mayTakeJobShard(controller, held)
+		return a.chooseController(shard, jobShards, func(controller string) bool {
+			return a.eligibleForJobShard(controller, jobShards)
 		})
 	}
 	return ""
 }
 
-// holderUnreachable reports whether the holder of a job shard has heard nothing of its
-// agents for so long that chance cannot be the cause, while another controller hears
-// them: they try the others one after the other and are sent back until their leases
-// expire. A controller that only agents cannot reach looks so, and one whose machines are
-// all gone does not.
+// holderUnreachable reports whether the holder of a job shard has heard none of its agents
+// for longer than chance explains, while another controller hears them. Agents that cannot
+// reach the holder try the other controllers in turn, which redirect them to the holder until
+// their leases expire. A holder that only agents cannot reach is recognized in this way; a
+// holder whose machines are all gone is not, because no controller hears its agents.
 func (a *Assigner) holderUnreachable(shard int, holder *membership.Peer) bool {
 	const minAgents = 4
 	now := a.Generation.Now()
 	if !a.isJobShard(shard) || !holder.ReportsShard(shard) || now-holder.HeartbeatAt > 3*membership.HeartbeatInterval {
 		return false
 	}
-	silent := now - max(holder.ShardHeardAt(shard), a.grantCalls[shard].NotBefore(), a.Leadership.Since())
-	if silent < membership.AgentAnswerTimeout {
+	silence := now - max(holder.ShardHeardAt(shard), a.grantCalls[shard].NotBefore(), a.Leadership.Since())
+	if silence < membership.AgentAnswerTimeout {
 		return false
 	}
 	agents := a.Members.AgentsUp(holder, shard)
 	if agents < minAgents {
 		return false
 	}
-	// Ten heartbeats were due in that time, however few agents there are.
-	patience := max(membership.AgentAnswerTimeout, 10*a.Agents.HeartbeatInterval()/time.Duration(agents))
-	if silent < patience {
+	// At least ten heartbeats must have been due, however few agents there are.
+	timeout := max(membership.AgentAnswerTimeout, 10*a.Agents.HeartbeatInterval()/time.Duration(agents))
+	if silence < timeout {
 		return false
 	}
 	return slices.ContainsFunc(a.Controllers, func(controller string) bool {
@@ -68,40 +70,40 @@
 	})
 }
 
-// shouldRebalance reports whether a job shard had better move: its controller has another
-// one too, while one that has long been well has none. After many controllers have ended,
-// all job shards are with those that were left.
-func (a *Assigner) shouldRebalance(shard int, held map[string]int) bool {
+// shouldRebalance reports whether a job shard must move because its holder has several job
+// shards, while another controller has none and has been healthy for long. After an outage
+// of many controllers, all job shards are on the controllers that survived.
+func (a *Assigner) shouldRebalance(shard int, jobShards map[string]int) bool {
 	now := a.Generation.Now()
 	holder := a.Replica.View.Grants[shard].Controller
-	if !a.isJobShard(shard) || held[holder] < 2 {
+	if !a.isJobShard(shard) || jobShards[holder] < 2 {
 		return false
 	}
 	if now-a.lastMoveAt < rebalanceAfter || now-a.Leadership.Since() < rebalanceAfter {
 		return false
 	}
 	return slices.ContainsFunc(a.Controllers, func(controller string) bool {
-		return a.mayTakeJobShard(controller, held)
+		return a.eligibleForJobShard(controller, jobShards)
 	})
 }
 
-// mayTakeJobShard reports whether a job shard may move to a controller: one that has none
-// and has been well for long.
-func (a *Assigner) mayTakeJobShard(controller string, held map[string]int) bool {
+// eligibleForJobShard reports whether a job shard may move to a controller. The controller
+// must have no job shard and must have been healthy for long.
+func (a *Assigner) eligibleForJobShard(controller string, jobShards map[string]int) bool {
 	now := a.Generation.Now()
-	p := a.Members.Peer(controller)
-	return p != nil && held[controller] == 0 && p.Fresh && p.Alive(now) && !a.Members.PartitionedFromStore(p) &&
-		now-p.WellSince > rebalanceAfter && !a.recentlyRelieved(controller)
+	peer := a.Members.Peer(controller)
+	return peer != nil && jobShards[controller] == 0 && peer.Fresh && peer.Alive(now) && !a.Members.PartitionedFromStore(peer) &&
+		now-peer.WellSince > rebalanceAfter && !a.recentlyUnreachable(controller)
 }
 
-// recentlyRelieved reports whether a controller lost a shard since none of its agents
-// reached it, and nothing shows yet that agents do again. Without a job shard it may hear
-// none for long, so after a while it is tried again.
-func (a *Assigner) recentlyRelieved(controller string) bool {
-	at, relieved := a.relievedAt[controller]
-	if !relieved || a.Generation.Now()-at > relievedPeriod {
+// recentlyUnreachable reports whether a controller recently lost a shard because agents could
+// not reach it, and has heard no agent since. A controller without a job shard may hear no
+// agent for long, so it becomes eligible again after unreachablePenalty.
+func (a *Assigner) recentlyUnreachable(controller string) bool {
+	at, unreachable := a.unreachableAt[controller]
+	if !unreachable || a.Generation.Now()-at > unreachablePenalty {
 		return false
 	}
-	p := a.Members.Peer(controller)
-	return p == nil || !p.HeardAnyShardSince(at)
+	peer := a.Members.Peer(controller)
+	return peer == nil || !peer.HeardAnyShardSince(at)
 }
--- a/internal/coordination/sharding/sharding_test.go
+++ b/internal/coordination/sharding/sharding_test.go
@@ -20,7 +20,7 @@
 
 var testAgents = config.Agents{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 60}
 
-// testLeader is a leader whose clock and store do what a test says, with its assigner.
+// testLeader is a leader with its assigner and leases. The test controls its clock and store.
 type testLeader struct {
 	t         *testing.T
 	now       time.Duration
@@ -63,7 +63,7 @@
 	done(protocol.Changes{Revision: after}, nil)
 }
 
-// newTestLeader is controller "a", which has just been elected.
+// newTestLeader creates controller "a", which has just been elected.
 func newTestLeader(t *testing.T, shards int, controllers ...string) *testLeader {
 	t.Helper()
 	l := &testLeader{t: t, now: time.Minute, since: time.Minute}
@@ -91,92 +91,92 @@
 	return l
 }
 
-// put lets a record come with the changes.
-func (l *testLeader) put(key string, record any) {
+// applyRecord applies a record to the view, as a change read from the store.
+func (l *testLeader) applyRecord(key string, record any) {
 	l.revision++
 	l.replica.Apply(protocol.Changes{Revision: l.revision, Events: []protocol.Event{
 		{Put: key, Value: storage.Encode(record), Version: l.revision},
 	}}, l.now)
 }
 
-// hear lets a controller be heard now.
-func (l *testLeader) hear(controller string, incarnation uint64) {
+// heartbeat delivers a heartbeat of a controller to the leader.
+func (l *testLeader) heartbeat(controller string, incarnation uint64) {
 	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: controller, Incarnation: incarnation})
 }
 
-// granted assigns shards and returns to whom each was granted.
-func (l *testLeader) granted() map[string]string {
+// assign runs the assigner and returns the new holders by grant key.
+func (l *testLeader) assign() map[string]string {
 	l.t.Helper()
 	l.committed = nil
 	l.assigner.Assign()
-	to := map[string]string{}
+	holders := map[string]string{}
 	for _, transaction := range l.committed {
 		for _, op := range transaction.Operations {
 			var grant storage.GrantRecord
 			if err := protocol.Decode(op.Value, &grant); err != nil {
 				l.t.Fatal(err)
 			}
-			to[op.Put] = grant.Controller
+			holders[op.Put] = grant.Controller
 		}
 	}
-	return to
+	return holders
 }
 
-// TestAssignment: to whom a leader grants a shard.
+// TestAssignment checks to which controller a leader grants a shard.
 func TestAssignment(t *testing.T) {
-	grantedTo := func(controller string, incarnation uint64) func(*testLeader) {
+	recordGrant := func(controller string, incarnation uint64) func(*testLeader) {
 		return func(l *testLeader) {
-			l.put(storage.GrantKey(0), storage.GrantRecord{Controller: controller, Incarnation: incarnation, FencingToken: 1})
+			l.applyRecord(storage.GrantKey(0), storage.GrantRecord{Controller: controller, Incarnation: incarnation, FencingToken: 1})
 		}
 	}
 	for _, c := range []struct {
 		name   string
 		before func(*testLeader)
-		after  time.Duration // from the election
-		heard  map[string]uint64
+		after  time.Duration     // since the election
+		heard  map[string]uint64 // incarnations of the controllers that send a heartbeat
 		want   string
 	}{
-		{"nothing before all controllers are heard", func(*testLeader) {}, 0, map[string]uint64{"a": 3}, ""},
-		{"to another than the leader", func(*testLeader) {}, 0, map[string]uint64{"a": 3, "b": 5}, "b"},
-		{"to those that are heard after a while", func(*testLeader) {}, startupGrace + time.Second, map[string]uint64{"a": 3}, "a"},
-		{"a live holder keeps its shard", grantedTo("b", 5), time.Second, map[string]uint64{"a": 3, "b": 5}, ""},
-		{"a holder that has restarted gets it anew", grantedTo("b", 4), time.Second, map[string]uint64{"a": 3, "b": 5}, "b"},
-		{"a silent holder keeps it for a shard lease", grantedTo("b", 5), testShardLease, map[string]uint64{"a": 3}, ""},
-		{"and loses it then", grantedTo("b", 5), testShardLease + time.Second, map[string]uint64{"a": 3}, "a"},
+		{"no grant before all controllers are heard", func(*testLeader) {}, 0, map[string]uint64{"a": 3}, ""},
+		{"a controller other than the leader is preferred", func(*testLeader) {}, 0, map[string]uint64{"a": 3, "b": 5}, "b"},
+		{"after the startup grace a controller that was heard", func(*testLeader) {}, startupGrace + time.Second, map[string]uint64{"a": 3}, "a"},
+		{"a live holder retains its shard", recordGrant("b", 5), time.Second, map[string]uint64{"a": 3, "b": 5}, ""},
+		{"a restarted holder gets a new grant", recordGrant("b", 4), time.Second, map[string]uint64{"a": 3, "b": 5}, "b"},
+		{"a silent holder retains its shard for a shard lease", recordGrant("b", 5), testShardLease, map[string]uint64{"a": 3}, ""},
+		{"a silent holder loses its shard after a shard lease", recordGrant("b", 5), testShardLease + time.Second, map[string]uint64{"a": 3}, "a"},
 	} {
 		l := newTestLeader(t, 1, "a", "b")
 		c.before(l)
 		l.now += c.after
 		for controller, incarnation := range c.heard {
-			l.hear(controller, incarnation)
+			l.heartbeat(controller, incarnation)
 		}
-		if got := l.granted()[storage.GrantKey(0)]; got != c.want {
+		if got := l.assign()[storage.GrantKey(0)]; got != c.want {
 			t.Errorf("%s: granted to %q", c.name, got)
 		}
 	}
 }
 
-// TestLeavingHolderIsReplacedAtOnce: a controller that has given up its shards is not
-// waited for.
-func TestLeavingHolderIsReplacedAtOnce(t *testing.T) {
+// TestLeavingHolderIsReplacedImmediately: the shard of a controller that shuts down is granted
+// to another controller without waiting for the shard lease to expire.
+func TestLeavingHolderIsReplacedImmediately(t *testing.T) {
 	l := newTestLeader(t, 1, "a", "b")
-	l.put(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 5, FencingToken: 1})
-	l.hear("a", 3)
+	l.applyRecord(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 5, FencingToken: 1})
+	l.heartbeat("a", 3)
 	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, Leaving: true})
-	if got := l.granted()[storage.GrantKey(0)]; got != "a" {
+	if got := l.assign()[storage.GrantKey(0)]; got != "a" {
 		t.Errorf("granted to %q", got)
 	}
 }
 
-// TestGrantsDependOnLeadershipAndFormerGrant: a leader that was succeeded, or one of two
-// grants of a shard, changes nothing.
-func TestGrantsDependOnLeadershipAndFormerGrant(t *testing.T) {
+// TestGrantsDependOnLeadershipAndPreviousGrant: the preconditions of a grant make it fail if
+// another leader was elected, or if the shard was granted in the meantime.
+func TestGrantsDependOnLeadershipAndPreviousGrant(t *testing.T) {
 	l := newTestLeader(t, 1, "a", "b")
-	l.put(storage.KeyLeader, storage.LeaderRecord{Controller: "a", Incarnation: 3, Term: 4})
-	l.put(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 4, FencingToken: 1})
-	l.hear("a", 3)
-	l.hear("b", 5)
-	l.granted()
+	l.applyRecord(storage.KeyLeader, storage.LeaderRecord{Controller: "a", Incarnation: 3, Term: 4})
+	l.applyRecord(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 4, FencingToken: 1})
+	l.heartbeat("a", 3)
+	l.heartbeat("b", 5)
+	l.assign()
 	if len(l.committed) != 1 {
 		t.Fatalf("%d transactions", len(l.committed))
 	}
@@ -188,17 +188,17 @@
 		delete(want, condition.Key)
 	}
 	if len(want) > 0 {
-		t.Errorf("it does not depend on %v", want)
+		t.Errorf("missing conditions %v", want)
 	}
-	l.granted()
+	l.assign()
 	if len(l.committed) != 0 {
-		t.Error("granted again before the view can show the first grant")
+		t.Error("shard granted again before the view can show the first grant")
 	}
 }
 
-// TestJobShardsAreSettledOnce: three controllers have one job shard, more have two, and
-// what is settled stays.
-func TestJobShardsAreSettledOnce(t *testing.T) {
+// TestJobShardsAreDecidedOnce: three controllers get one job shard and more controllers get
+// two. The number is not changed once it is recorded.
+func TestJobShardsAreDecidedOnce(t *testing.T) {
 	for _, c := range []struct {
 		controllers []string
 		want        int
@@ -207,7 +207,7 @@
 		{[]string{"a", "b", "c", "d", "e"}, 2},
 	} {
 		l := newTestLeader(t, len(c.controllers), c.controllers...)
-		l.assigner.SettleJobShards()
+		l.assigner.DecideJobShards()
 		if len(l.committed) != 1 {
 			t.Fatalf("%d transactions", len(l.committed))
 		}
@@ -215,78 +215,78 @@
 		if err := protocol.Decode(l.committed[0].Operations[0].Value, &record); err != nil || record.JobShards != c.want {
 			t.Errorf("%d controllers: %d job shards, %v", len(c.controllers), record.JobShards, err)
 		}
-		l.put(storage.KeyJobShards, record)
+		l.applyRecord(storage.KeyJobShards, record)
 		l.now += time.Minute
-		l.assigner.SettleJobShards()
+		l.assigner.DecideJobShards()
 		if len(l.committed) != 1 {
-			t.Error("settled again")
+			t.Error("number of job shards written again")
 		}
 	}
 }
 
-// TestLeases: a holder may act while the grant is its own, the lease runs and its
-// knowledge is young enough.
+// TestLeases: a holder may act while it holds the grant, the shard lease has not expired and
+// its view is fresh enough.
 func TestLeases(t *testing.T) {
 	l := newTestLeader(t, 2, "a", "b")
-	l.put(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: 3, FencingToken: 1})
+	l.applyRecord(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: 3, FencingToken: 1})
 	l.leases.ObserveGrants()
-	fresh := func() { l.replica.Apply(protocol.Changes{}, l.now) }
+	refreshView := func() { l.replica.Apply(protocol.Changes{}, l.now) }
 	if !l.leases.MayActFor(0) || l.leases.MayActFor(1) {
-		t.Fatal("it does not act for the shard that it was granted, or for another")
+		t.Fatal("may not act for the granted shard, or may act for another shard")
 	}
 	l.now += testShardLease
-	fresh()
+	refreshView()
 	if l.leases.MayActFor(0) {
-		t.Error("it acts without a lease")
+		t.Error("may act after the lease has expired")
 	}
 	l.leases.Extend(0, l.now)
 	if !l.leases.MayActFor(0) {
-		t.Error("it does not act once the lease is extended")
+		t.Error("may not act after the lease is extended")
 	}
 	l.now += testAgents.MaxStaleness()
 	l.leases.Extend(0, l.now)
 	if l.leases.MayActFor(0) {
-		t.Error("it acts with knowledge that is too old")
+		t.Error("may act with a stale view")
 	}
-	fresh()
+	refreshView()
 	if !l.leases.MayActFor(0) {
-		t.Error("it does not act with fresh knowledge")
+		t.Error("may not act with a fresh view")
 	}
 }
 
-// TestFormerIncarnationHoldsNothing: a process that is back at once does not act under the
-// grant of its former self.
-func TestFormerIncarnationHoldsNothing(t *testing.T) {
+// TestFormerIncarnationHoldsNoShard: a controller that restarts quickly does not act under the
+// grant of its former incarnation.
+func TestFormerIncarnationHoldsNoShard(t *testing.T) {
 	l := newTestLeader(t, 1, "a", "b")
-	l.put(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: 2, FencingToken: 1})
+	l.applyRecord(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: 2, FencingToken: 1})
 	l.leases.ObserveGrants()
 	if l.leases.Holds(0) || l.leases.MayActFor(0) {
-		t.Error("it holds what its former self was granted")
+		t.Error("holds the shard granted to its former incarnation")
 	}
 }
 
-// TestRebalance: a controller that holds two job shards gives one to another that has long
-// been well and holds none, and not before.
+// TestRebalance: one of two job shards of a controller moves to a controller that has none, but
+// only after that controller has been healthy for rebalanceAfter.
 func TestRebalance(t *testing.T) {
 	l := newTestLeader(t, 3, "a", "b", "c")
-	l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 2})
+	l.applyRecord(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 2})
 	for shard := range 3 {
-		l.put(storage.GrantKey(shard), storage.GrantRecord{Controller: "b", Incarnation: 5, FencingToken: 1})
+		l.applyRecord(storage.GrantKey(shard), storage.GrantRecord{Controller: "b", Incarnation: 5, FencingToken: 1})
 	}
 	moved := 0
 	for step := time.Duration(0); step <= rebalanceAfter+time.Second; step += time.Second {
 		l.now += time.Second
 		for controller, incarnation := range map[string]uint64{"a": 3, "b": 5, "c": 6} {
-			l.hear(controller, incarnation)
+			l.heartbeat(controller, incarnation)
 		}
-		granted := l.granted()
+		granted := l.assign()
 		if len(granted) > 0 && step < rebalanceAfter-time.Second {
 			t.Fatalf("after %s: %v", step, granted)
 		}
 		moved += len(granted)
 		for key, controller := range granted {
 			if controller != "c" {
-				t.Errorf("%s is granted to %s", key, controller)
+				t.Errorf("%s granted to %s", key, controller)
 			}
 		}
 	}
@@ -295,43 +295,43 @@
 	}
 }
 
-// TestUnreachableHolderIsRelieved: a holder that hears none of its agents, while another
-// controller does, loses the shard to that one, and gets no job shard until agents reach
-// it again.
-func TestUnreachableHolderIsRelieved(t *testing.T) {
+// TestUnreachableHolderIsReplaced: if a holder hears none of its agents while another
+// controller hears them, the shard moves to that controller. The former holder gets no job
+// shard until agents reach it again.
+func TestUnreachableHolderIsReplaced(t *testing.T) {
 	l := newTestLeader(t, 1, "a", "b", "c")
-	l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
-	l.put(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 5, FencingToken: 1})
+	l.applyRecord(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
+	l.applyRecord(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 5, FencingToken: 1})
 	group := storage.MachineGroupRecord{Type: "small", Zone: "z"}
 	var statuses []protocol.MachineStatus
 	for _, name := range []string{"m-1", "m-2", "m-3", "m-4"} {
 		group.Machines = append(group.Machines, storage.MachineEntry{Name: name})
 		statuses = append(statuses, protocol.MachineStatus{Name: name, Seen: true})
 	}
-	l.put(storage.MachineGroupKey("g"), group)
-	var relieved time.Duration
-	for step := time.Second; step <= 20*time.Second && relieved == 0; step += time.Second {
+	l.applyRecord(storage.MachineGroupKey("g"), group)
+	var replacedAfter time.Duration
+	for step := time.Second; step <= 20*time.Second && replacedAfter == 0; step += time.Second {
 		l.now += time.Second
-		l.hear("a", 3)
+		l.heartbeat("a", 3)
 		l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, Machines: statuses, ShardHeardAgo: []time.Duration{-1}})
 		l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "c", Incarnation: 6, ShardHeardAgo: []time.Duration{0}})
-		if to := l.granted()[storage.GrantKey(0)]; to != "" {
-			relieved = step
-			if to != "c" {
-				t.Errorf("granted to %s", to)
+		if holder := l.assign()[storage.GrantKey(0)]; holder != "" {
+			replacedAfter = step
+			if holder != "c" {
+				t.Errorf("granted to %s", holder)
 			}
 		}
 	}
-	if relieved < membership.AgentAnswerTimeout {
-		t.Errorf("relieved after %s", relieved)
+	if replacedAfter < membership.AgentAnswerTimeout {
+		t.Errorf("replaced after %s", replacedAfter)
 	}
-	if !l.assigner.recentlyRelieved("b") {
-		t.Error("it may get a job shard at once")
+	if !l.assigner.recentlyUnreachable("b") {
+		t.Error("the former holder may get a job shard immediately")
 	}
 	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, ShardHeardAgo: []time.Duration{0}})
 	l.now += time.Second
 	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, ShardHeardAgo: []time.Duration{0}})
-	if l.assigner.recentlyRelieved("b") {
-		t.Error("it gets none although agents reach it")
+	if l.assigner.recentlyUnreachable("b") {
+		t.Error("the former holder may get no job shard although agents reach it")
 	}
 }
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -5,47 +5,48 @@
 	"time"
 )
 
-// gaugeInterval is how often the gauges are counted anew: it takes a walk through all
-// unfinished jobs and, on the leader, through all machine groups.
+// gaugeInterval is the time between two refreshes of the gauges. A refresh iterates over all
+// unfinished jobs and, on the leader, over all machine groups.
 const gaugeInterval = 10 * time.Second
 
-// stats are counts of a controller that other goroutines may read.
+// stats holds the counters and gauges of a controller. Other goroutines may read its atomic
+// fields.
 type stats struct {
 	passes                   atomic.Uint64
 	jobsAwaitingDependencies atomic.Int64
 	oversizedValues          atomic.Int64
-	nextGaugesAt             time.Duration // when the gauges are counted again
-	standing                 atomic.Pointer[Standing]
+	nextGaugeRefreshAt       time.Duration // only for the controller's goroutine
+	snapshot                 atomic.Pointer[Snapshot]
 }
 
-// Standing is what a controller takes itself for, and how much it has read of the records.
-type Standing struct {
+// Snapshot is a controller's role and the state of its view at its last tick.
+type Snapshot struct {
 	Leading   bool
-	Term      uint64 // the highest that it has read
-	JobShards int    // that it holds
-	Revision  uint64 // of the store, up to which it has read
+	Term      uint64 // highest term in the view
+	JobShards int    // job shards that the controller holds
+	Revision  uint64 // revision of the view
 	Staleness time.Duration
 }
 
-// Stats are a controller's counts.
+// Stats are the counters and gauges of a controller.
 type Stats struct {
 	Passes                    uint64 // reconcile passes
-	JobsReleased              uint64 // jobs of its shards whose last dependency was done
-	JobsCancelledByDependency uint64 // jobs of its shards that were cancelled with a dependency
-	JobsAwaitingDependencies  int64  // unfinished jobs of its shards that wait for dependencies
-	OversizedValues           int64  // values of its shards and, on the leader, machine groups over the limit in force
-	Standing                  Standing
+	JobsReleased              uint64 // jobs of the held shards whose last dependency was done
+	JobsCancelledByDependency uint64 // jobs of the held shards that were cancelled with a dependency
+	JobsAwaitingDependencies  int64  // unfinished jobs of the held shards that wait for dependencies
+	OversizedValues           int64  // values of the held shards and, on the leader, machine groups that exceed the size limit in force
+	Standing                  Snapshot
 }
 
-// Stats returns the counts; it may be called from any goroutine.
+// Stats returns the counters and gauges. It may be called from any goroutine.
 func (c *Controller) Stats() Stats {
 	counters := c.jobs.Counters()
-	standing := Standing{}
-	if noted := c.stats.standing.Load(); noted != nil {
-		standing = *noted
+	snapshot := Snapshot{}
+	if published := c.stats.snapshot.Load(); published != nil {
+		snapshot = *published
 	}
 	return Stats{
-		Standing:                  standing,
+		Standing:                  snapshot,
 		Passes:                    c.stats.passes.Load(),
 		JobsReleased:              counters.Released,
 		JobsCancelledByDependency: counters.CancelledWithAnother,
@@ -54,9 +55,9 @@
 	}
 }
 
-// noteStanding notes for other goroutines how this controller stands.
-func (c *Controller) noteStanding() {
-	c.stats.standing.Store(&Standing{
+// publishSnapshot stores the current snapshot for other goroutines.
+func (c *Controller) publishSnapshot() {
+	c.stats.snapshot.Store(&Snapshot{
 		Leading:   c.leader != nil,
 		Term:      c.replica.View.Term,
 		JobShards: c.reconciler.JobShardsHeld(),
@@ -65,18 +66,18 @@
 	})
 }
 
-// refreshGauges counts what the gauges show.
+// refreshGauges recomputes the gauges that are due.
 func (c *Controller) refreshGauges() {
-	if c.Clock.Now() < c.stats.nextGaugesAt {
+	if c.Clock.Now() < c.stats.nextGaugeRefreshAt {
 		return
 	}
-	c.stats.nextGaugesAt = c.Clock.Now() + gaugeInterval
+	c.stats.nextGaugeRefreshAt = c.Clock.Now() + gaugeInterval
 	c.stats.jobsAwaitingDependencies.Store(c.jobs.CountAwaitingDependencies())
 	c.stats.oversizedValues.Store(c.countOversized())
 }
 
-// countOversized counts the values that this controller would have to make smaller before it
-// could write them again.
+// countOversized counts the values that exceed the size limit in force and must shrink before
+// this controller can write them again.
 func (c *Controller) countOversized() int64 {
 	count := c.reconciler.OversizedValues()
 	if c.leader != nil {
