--- a/internal/coordination/generation.go
+++ b/internal/coordination/generation.go
@@ -39,7 +39,7 @@
 	c.beginMembership()
 	c.beginElection()
 	c.beginJobs()
-	for _, done := range former.Abandon() {
+	for _, done := range former.RemoveWaiters() {
 		done(protocol.ErrNotExecuted)
 	}
 	c.replica.Start()
@@ -140,14 +140,14 @@
 // beginElection creates the elector, which campaigns for this controller.
 func (c *Controller) beginElection() {
 	c.elector = election.New(election.Config{
-		Generation:   c.generation,
-		Store:        c.Store,
-		Committer:    c.committer,
-		Replica:      c.replica,
-		MaxStaleness: c.maxStaleness,
-		Log:          c.Log,
-		OnElected:    c.beginLeadership,
-		OnDeposed:    func() { c.leader = nil },
+		Generation:      c.generation,
+		Store:           c.Store,
+		Committer:       c.committer,
+		Replica:         c.replica,
+		MaxStaleness:    c.maxStaleness,
+		Log:             c.Log,
+		OnElected:       c.beginLeadership,
+		OnLeadershipEnd: func() { c.leader = nil },
 	})
 }
 
--- a/internal/coordination/sharding/assigner.go
+++ b/internal/coordination/sharding/assigner.go
@@ -185,12 +185,12 @@
 	a.Log.Info("shard granted", "shard", shard, "holder", controller, "token", record.FencingToken, "term", a.Leadership.Term())
 	call := &a.grantCalls[shard]
 	call.Begin()
-	a.Committer.Budget.TakeAnyway(a.Generation.Now(), 1)
+	a.Committer.Budget.ForceConsume(a.Generation.Now(), 1)
 	a.Committer.Commit(protocol.Transaction{
 		Conditions: []protocol.Condition{a.Leadership.Condition(), a.Replica.View.GrantCondition(shard)},
 		Operations: []protocol.Operation{{Put: storage.GrantKey(shard), Value: storage.Encode(record)}},
 	}, func(_ uint64, err error) {
-		call.Done(a.Generation.Now() + kv.RetryPause)
+		call.FinishAndDelayUntil(a.Generation.Now() + kv.RetryDelay)
 		if err != nil {
 			a.Log.Debug("grant write failed", "shard", shard, "err", err)
 		}
@@ -215,6 +215,6 @@
 		Conditions: []protocol.Condition{a.Leadership.Condition(), {Key: storage.KeyJobShards, Version: view.JobShardsVersion}},
 		Operations: []protocol.Operation{{Put: storage.KeyJobShards, Value: storage.Encode(record)}},
 	}, func(uint64, error) {
-		a.jobShardsCall.Done(a.Generation.Now() + kv.RetryPause)
+		a.jobShardsCall.FinishAndDelayUntil(a.Generation.Now() + kv.RetryDelay)
 	})
 }
--- a/internal/coordination/sharding/rebalance.go
+++ b/internal/coordination/sharding/rebalance.go
@@ -93,7 +93,7 @@
 	now := a.Generation.Now()
 	peer := a.Members.Peer(controller)
 	return peer != nil && jobShards[controller] == 0 && peer.Fresh && peer.Alive(now) && !a.Members.PartitionedFromStore(peer) &&
-		now-peer.WellSince > rebalanceAfter && !a.recentlyUnreachable(controller)
+		now-peer.HealthySince > rebalanceAfter && !a.recentlyUnreachable(controller)
 }
 
 // recentlyUnreachable reports whether a controller recently lost a shard because agents could
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -49,7 +49,7 @@
 		Standing:                  snapshot,
 		Passes:                    c.stats.passes.Load(),
 		JobsReleased:              counters.Released,
-		JobsCancelledByDependency: counters.CancelledWithAnother,
+		JobsCancelledByDependency: counters.CancelledByDependency,
 		JobsAwaitingDependencies:  c.stats.jobsAwaitingDependencies.Load(),
 		OversizedValues:           c.stats.oversizedValues.Load(),
 	}
