--- a/internal/coordination/agents.go
+++ b/internal/coordination/agents.go
@@ -24,7 +24,7 @@
 		reply(rejectHeartbeat(heartbeat, api.ErrMachineGone))
 		return
 	}
-	c.leases.NoteAgentHeard(machine.Shard)
+	c.leases.RecordAgentContact(machine.Shard)
 	if !c.leases.Holds(machine.Shard) {
 		reply(c.redirectAgent(heartbeat, machine))
 		return
--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -38,7 +38,7 @@
 		{"dependency", unsatisfiable(ErrImpossibleDependency), 422, `{"error":"waitsOn: names a job that was never accepted, or a service"}`, 0},
 		{"team", unsatisfiable(ErrUnknownTeam), 422, `{"error":"unknown team"}`, 0},
 		{"no machine type", unsatisfiable(ErrNoFittingMachineType), 422, `{"error":"a task fits no allowed machine type"}`, 0},
-		{"maximums", unsatisfiable(ErrMoreThanTeamsMaximums), 422, `{"error":"needs more than the team's limit"}`, 0},
+		{"maximums", unsatisfiable(ErrExceedsTeamMaximum), 422, `{"error":"needs more than the team's limit"}`, 0},
 		{"not found", &NotFoundError{Job: "run-1"}, 404, `{"error":"no such job"}`, 0},
 		{"too long", &TooLongError{Job: "run-1", Bytes: 9000}, 400, `{"error":"malformed: description too long to be kept"}`, 0},
 		{"malformed", fmt.Errorf("%w: shape: unknown", protocol.ErrMalformed), 400, `{"error":"malformed: shape: unknown"}`, 0},
--- a/internal/coordination/api/errors.go
+++ b/internal/coordination/api/errors.go
@@ -83,11 +83,11 @@
 
 // Reasons why a job can never run. The texts are sent in answers.
 const (
-	ErrDependsOnItself       UnsatisfiableReason = "waitsOn: names the job itself"
-	ErrImpossibleDependency  UnsatisfiableReason = "waitsOn: names a job that was never accepted, or a service"
-	ErrUnknownTeam           UnsatisfiableReason = "unknown team"
-	ErrNoFittingMachineType  UnsatisfiableReason = "a task fits no allowed machine type"
-	ErrMoreThanTeamsMaximums UnsatisfiableReason = "needs more than the team's limit"
+	ErrDependsOnItself      UnsatisfiableReason = "waitsOn: names the job itself"
+	ErrImpossibleDependency UnsatisfiableReason = "waitsOn: names a job that was never accepted, or a service"
+	ErrUnknownTeam          UnsatisfiableReason = "unknown team"
+	ErrNoFittingMachineType UnsatisfiableReason = "a task fits no allowed machine type"
+	ErrExceedsTeamMaximum   UnsatisfiableReason = "needs more than the team's limit"
 )
 
 // Error returns the text sent in the answer.
--- a/internal/coordination/jobs/submit.go
+++ b/internal/coordination/jobs/submit.go
@@ -139,7 +139,7 @@
 	case !slices.ContainsFunc(s.View.MachineTypes, func(t protocol.MachineType) bool { return fitsMachineType(spec, &t) }):
 		return unsatisfiable(api.ErrNoFittingMachineType)
 	case exceedsMaximums(spec, &s.View.Teams[team]):
-		return unsatisfiable(api.ErrMoreThanTeamsMaximums)
+		return unsatisfiable(api.ErrExceedsTeamMaximum)
 	}
 	return nil
 }
--- a/internal/coordination/jobs/submit_test.go
+++ b/internal/coordination/jobs/submit_test.go
@@ -116,7 +116,7 @@
 		{"unknown machine type", func(s *protocol.JobSpec) { s.Types = []string{"big"} }, api.ErrNoFittingMachineType},
 		{"unknown zone", func(s *protocol.JobSpec) { s.Zone = "y" }, api.ErrNoFittingMachineType},
 		{"gang within the maximum", func(s *protocol.JobSpec) { s.Kind, s.Tasks = protocol.KindGang, 2 }, nil},
-		{"gang over the maximum", func(s *protocol.JobSpec) { s.Kind, s.Tasks = protocol.KindGang, 3 }, api.ErrMoreThanTeamsMaximums},
+		{"gang over the maximum", func(s *protocol.JobSpec) { s.Kind, s.Tasks = protocol.KindGang, 3 }, api.ErrExceedsTeamMaximum},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			spec := array
--- a/internal/coordination/reconcile/commands.go
+++ b/internal/coordination/reconcile/commands.go
@@ -157,7 +157,7 @@
 	if heartbeat.Machine != agent.machine.Name || heartbeat.FencingToken > agent.fence.current {
 		return
 	}
-	r.Leases.NoteAgentHeard(agent.shard)
+	r.Leases.RecordAgentContact(agent.shard)
 	r.observeHeartbeat(agent, heartbeat, false)
 	if agent.commands.sendAgain || epochMismatch {
 		r.sendCommands(agent)
--- a/internal/coordination/reconcile/config.go
+++ b/internal/coordination/reconcile/config.go
@@ -19,8 +19,8 @@
 	Holds(shard int) bool
 	// MayActFor reports whether this controller may act for a shard now.
 	MayActFor(shard int) bool
-	// NoteAgentHeard records contact with an agent of a shard.
-	NoteAgentHeard(shard int)
+	// RecordAgentContact records contact with an agent of a shard.
+	RecordAgentContact(shard int)
 }
 
 // Agents sends commands to agents.
--- a/internal/coordination/sharding/leases.go
+++ b/internal/coordination/sharding/leases.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// NoteAgentHeard records that this controller has heard an agent of a shard. The shard may
+// RecordAgentContact records that this controller has heard an agent of a shard. The shard may
 // be held by another controller.
-func (l *Leases) NoteAgentHeard(shard int) { l.heardAt[shard] = l.Generation.Now() }
+func (l *Leases) RecordAgentContact(shard int) { l.heardAt[shard] = l.Generation.Now() }
 
 // HeardAt returns, by shard, when this controller last heard one of its agents; 0: never.
 func (l *Leases) HeardAt() []time.Duration { return l.heardAt }
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -35,7 +35,7 @@
 	JobsCancelledByDependency uint64 // jobs of the held shards that were cancelled with a dependency
 	JobsAwaitingDependencies  int64  // unfinished jobs of the held shards that wait for dependencies
 	OversizedValues           int64  // values of the held shards and, on the leader, machine groups that exceed the size limit in force
-	Standing                  Snapshot
+	Snapshot                  Snapshot
 }
 
 // Stats returns the counters and gauges. It may be called from any goroutine.
@@ -46,7 +46,7 @@
 		snapshot = *published
 	}
 	return Stats{
-		Standing:                  snapshot,
+		Snapshot:                  snapshot,
 		Passes:                    c.stats.passes.Load(),
 		JobsReleased:              counters.Released,
 		JobsCancelledByDependency: counters.CancelledByDependency,
