--- a/internal/storage/apply.go
+++ b/internal/storage/apply.go
@@ -7,18 +7,18 @@
 	"rockrun/internal/protocol"
 )
 
-// storedRecord is a record as the store has it, or without a value its removal.
+// storedRecord is a record read from the store, or the removal of a record.
 type storedRecord struct {
-	name    string // of the key, what tells records of its kind apart
-	value   json.RawMessage
-	version uint64 // revision of the store at which it was written or removed
+	name    string          // the part of the key that identifies the record within its kind
+	value   json.RawMessage // nil for a removal
+	version uint64          // revision of the store at which the record was written or removed
 }
 
-// recordKind is how records of a kind are told by their keys and taken into the view.
+// recordKind identifies the records of a kind by their keys and applies them to the view.
 type recordKind struct {
-	key    string // of the one record of the kind; if it ends in a slash, what the keys begin with
-	apply  func(*View, storedRecord) error
-	remove func(*View, storedRecord) // nil where a removal says nothing
+	keyOrPrefix string // a prefix of the keys if it ends in a slash, otherwise the key of the only record
+	apply       func(*View, storedRecord) error
+	remove      func(*View, storedRecord) // nil if a removal has no effect
 }
 
 var recordKinds = []recordKind{
@@ -36,21 +36,22 @@
 	{prefixCompletion, (*View).applyCompletionPage, (*View).removeCompletionPage},
 }
 
-// findKind returns the kind of the record with a key and its name in the kind, or nil
-// for one that this version does not know.
+// findKind returns the kind of the record with a key and the record's name within that
+// kind. The kind is nil if this version of rockrun does not know it.
 func findKind(key string) (kind *recordKind, name string) {
 	for i := range recordKinds {
 		kind := &recordKinds[i]
-		rest, found := strings.CutPrefix(key, kind.key)
-		if found && (rest == "" || strings.HasSuffix(kind.key, "/")) {
+		rest, found := strings.CutPrefix(key, kind.keyOrPrefix)
+		if found && (rest == "" || strings.HasSuffix(kind.keyOrPrefix, "/")) {
 			return kind, rest
 		}
 	}
 	return nil, ""
 }
 
-// Apply takes in a record that was written. It ignores versions that are not above the
-// one known and records of unknown kinds. Its errors are RecordErrors.
+// Apply updates the view with a record that was written. It ignores records of unknown
+// kinds and versions that are not newer than the one last applied. Each error that it
+// returns is a *RecordError.
 func (v *View) Apply(key string, value json.RawMessage, version uint64) error {
 	kind, name := findKind(key)
 	if kind == nil {
@@ -62,18 +63,18 @@
 	return nil
 }
 
-// Remove takes in that a record was removed. It ignores versions that are not above the
-// one known.
+// Remove updates the view after a record was removed. It ignores versions that are not
+// newer than the one last applied.
 func (v *View) Remove(key string, version uint64) {
 	if kind, name := findKind(key); kind != nil && kind.remove != nil {
 		kind.remove(v, storedRecord{name: name, version: version})
 	}
 }
 
-// decodeNewer decodes a record whose version is above the one known. Otherwise newer is
-// false.
-func decodeNewer[T any](stored storedRecord, known uint64) (record T, newer bool, err error) {
-	if stored.version <= known {
+// decodeNewer decodes a record if its version is newer than knownVersion. The result newer
+// is false for other versions and if decoding fails.
+func decodeNewer[T any](stored storedRecord, knownVersion uint64) (record T, newer bool, err error) {
+	if stored.version <= knownVersion {
 		return record, false, nil
 	}
 	err = protocol.Decode(stored.value, &record)
--- a/internal/storage/apply_test.go
+++ b/internal/storage/apply_test.go
@@ -10,9 +10,10 @@
 	"rockrun/internal/protocol"
 )
 
-// TestOrderOfReading: whoever starts reads records in the order of their keys:
-// completions and intents come before the jobs they belong to, and must not be lost.
-func TestOrderOfReading(t *testing.T) {
+// TestPagesAppliedBeforeJobs: a starting controller reads records in the order of their
+// keys, so that completion pages and intent pages precede the jobs that they name. Their
+// entries must not be lost.
+func TestPagesAppliedBeforeJobs(t *testing.T) {
 	v := newTestView(t, 1)
 	apply := func(key string, record any, version uint64) {
 		t.Helper()
@@ -30,15 +31,16 @@
 	if j.CompletedCount != 2 || !j.Completed.Has(3) {
 		t.Errorf("completed tasks: %d", j.CompletedCount)
 	}
-	if j.OpenTasks() != 3 { // 0 and 3 are completed, 1 is intended
+	if j.OpenTasks() != 3 { // tasks 0 and 3 are completed, an intent names task 1
 		t.Errorf("%d tasks are open", j.OpenTasks())
 	}
 	if v.HasStaleCompletions(PageID{}) {
-		t.Error("the page of completions is taken for stale")
+		t.Error("completion page is reported as stale")
 	}
 }
 
-// TestOldVersionsAreIgnored: events that were read already, or come twice, change nothing.
+// TestOldVersionsAreIgnored: a record that is delivered late or twice must not replace a
+// newer one.
 func TestOldVersionsAreIgnored(t *testing.T) {
 	v := newTestView(t, 2)
 	grant := func(controller string, version uint64) {
@@ -53,23 +55,24 @@
 		t.Errorf("granted to %s", v.Grants[1].Controller)
 	}
 	if err := v.Apply(GrantKey(7), Encode(GrantRecord{}), 10); err == nil {
-		t.Error("a grant of no shard was taken")
+		t.Error("grant of a shard that does not exist was applied")
 	}
 	if err := v.Apply(JobKey("run-1"), json.RawMessage(`{"spec":`), 11); err == nil {
-		t.Error("a broken record was taken")
+		t.Error("record with invalid JSON was applied")
 	}
 	v.Remove(JobKey("run-1"), 12)
 }
 
-// TestEveryKind: a record of each kind is taken in; its removal is where that says
-// something, and changes nothing where it does not, or is older than the record.
-func TestEveryKind(t *testing.T) {
+// TestApplyAndRemoveEveryRecordKind: a record of each kind is applied. Its removal takes
+// effect for the kinds that support removal, and has no effect for other kinds or if it is
+// not newer than the record.
+func TestApplyAndRemoveEveryRecordKind(t *testing.T) {
 	page := PageID{Shard: 1, Page: 2}
 	for name, c := range map[string]struct {
-		key     string
-		record  any
-		known   func(v *testView) bool
-		removed bool
+		key       string
+		record    any
+		applied   func(v *testView) bool
+		removable bool
 	}{
 		"leader":   {KeyLeader, LeaderRecord{Controller: "a"}, func(v *testView) bool { return v.Leader.Controller == "a" && v.LeaderVersion > 0 }, true},
 		"term":     {KeyTerm, TermRecord{Term: 7}, func(v *testView) bool { return v.Term == 7 }, false},
@@ -93,23 +96,23 @@
 		t.Run(name, func(t *testing.T) {
 			v := newTestView(t, 2)
 			v.put(c.key, c.record)
-			if !c.known(v) {
-				t.Error("not taken in")
+			if !c.applied(v) {
+				t.Error("record was not applied")
 			}
 			v.Remove(c.key, v.version)
-			if !c.known(v) {
-				t.Error("removed by a removal that is no newer")
+			if !c.applied(v) {
+				t.Error("record was removed by a removal that is not newer")
 			}
 			v.remove(c.key)
-			if c.known(v) == c.removed {
-				t.Errorf("after its removal it is known: %t", !c.removed)
+			if c.applied(v) == c.removable {
+				t.Errorf("record still applied after its removal: %t", !c.removable)
 			}
 		})
 	}
 }
 
-// TestUnknownKinds: records of versions to come are passed over.
-func TestUnknownKinds(t *testing.T) {
+// TestUnknownRecordKinds: records of kinds that only later versions write are ignored.
+func TestUnknownRecordKinds(t *testing.T) {
 	v := newTestView(t, 1)
 	for _, key := range []string{"r/later", "r/x/1", "r/leader2", "f/run-1", ""} {
 		if err := v.Apply(key, json.RawMessage(`{"node":`), 1); err != nil {
@@ -119,30 +122,30 @@
 	}
 }
 
-// TestUnreadableRecords: the error names the record, and what part of it says nothing
-// valid where the JSON itself is well formed.
-func TestUnreadableRecords(t *testing.T) {
+// TestInvalidRecords: the error names the record and, if its JSON is well formed, the
+// part of the record that is invalid.
+func TestInvalidRecords(t *testing.T) {
 	for name, c := range map[string]struct {
 		key   string
 		value json.RawMessage
-		what  string // empty: the decoder's error
+		what  string // MalformedError.What; empty if the JSON decoder returns the error
 	}{
-		"broken JSON":          {KeyLeader, json.RawMessage(`{"node":`), ""},
-		"broken job":           {JobKey("run-1"), json.RawMessage(`[]`), ""},
-		"grant of no number":   {"r/g/one", Encode(GrantRecord{}), "shard"},
-		"grant of no shard":    {GrantKey(7), Encode(GrantRecord{}), "shard"},
-		"no job shards":        {KeyJobShards, Encode(JobShardsRecord{}), "number of job shards"},
-		"too many job shards":  {KeyJobShards, Encode(JobShardsRecord{JobShards: 3}), "number of job shards"},
-		"intents of no page":   {"r/i/1", Encode(IntentPage{}), "page"},
-		"page below 0":         {"r/d/0/-1", Encode(CompletionPage{}), "page"},
-		"intent of no job":     {IntentPageKey(PageID{}), Encode(IntentPage{"a b": {IntentEntry(0, "m-1", 1)}}), "job ID"},
-		"intent of no machine": {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"0"}}), "intent"},
-		"intent of no task":    {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"x m-1 1"}}), "intent"},
-		"short header":         {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"@red 1 2"}}), "intent header"},
-		"header of no amount":  {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"@red 1 2 x"}}), "intent header"},
-		"completions, no job":  {CompletionPageKey(PageID{}), Encode(CompletionPage{"a b/0": {1}}), "completion chunk"},
-		"completions, chunk":   {CompletionPageKey(PageID{}), Encode(CompletionPage{"run-1/x": {1}}), "completion chunk"},
-		"completions, beyond":  {CompletionPageKey(PageID{}), Encode(CompletionPage{"run-1/13": {1}}), "completion chunk"},
+		"invalid JSON":                    {KeyLeader, json.RawMessage(`{"node":`), ""},
+		"job is an array":                 {JobKey("run-1"), json.RawMessage(`[]`), ""},
+		"shard not a number":              {"r/g/one", Encode(GrantRecord{}), "shard"},
+		"shard out of range":              {GrantKey(7), Encode(GrantRecord{}), "shard"},
+		"no job shards":                   {KeyJobShards, Encode(JobShardsRecord{}), "number of job shards"},
+		"too many job shards":             {KeyJobShards, Encode(JobShardsRecord{JobShards: 3}), "number of job shards"},
+		"intent key without page":         {"r/i/1", Encode(IntentPage{}), "page"},
+		"negative page":                   {"r/d/0/-1", Encode(CompletionPage{}), "page"},
+		"intent, invalid job ID":          {IntentPageKey(PageID{}), Encode(IntentPage{"a b": {IntentEntry(0, "m-1", 1)}}), "job ID"},
+		"intent without machine":          {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"0"}}), "intent"},
+		"intent, task not a number":       {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"x m-1 1"}}), "intent"},
+		"header with two amounts":         {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"@red 1 2"}}), "intent header"},
+		"header, amount not a number":     {IntentPageKey(PageID{}), Encode(IntentPage{"run-1": {"@red 1 2 x"}}), "intent header"},
+		"completions, invalid job ID":     {CompletionPageKey(PageID{}), Encode(CompletionPage{"a b/0": {1}}), "completion chunk"},
+		"completions, chunk not a number": {CompletionPageKey(PageID{}), Encode(CompletionPage{"run-1/x": {1}}), "completion chunk"},
+		"completions, chunk out of range": {CompletionPageKey(PageID{}), Encode(CompletionPage{"run-1/13": {1}}), "completion chunk"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := newTestView(t, 2).Apply(c.key, c.value, 1)
@@ -152,7 +155,7 @@
 			}
 			var malformed *MalformedError
 			if errors.As(err, &malformed) != (c.what != "") || malformed != nil && malformed.What != c.what {
-				t.Errorf("error %v, not of a malformed %s", err, c.what)
+				t.Errorf("error %v, want malformed %q", err, c.what)
 			}
 			if malformed != nil && !strings.Contains(err.Error(), strconv.Quote(malformed.Text)) {
 				t.Errorf("error %v does not quote %q", err, malformed.Text)
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -1,28 +1,30 @@
-// Package storage holds what a controller knows of the cluster: the types, keys and
-// encoding of the durable records, and the View that is read from them. It does no I/O
-// and knows no clock.
+// Package storage defines the replicated state of the cluster: the types, keys and
+// encoding of the durable records, and the View built from them. It does no I/O and
+// reads no clock.
 //
-// A View is filled by Apply and Remove alone, in the order in which the key-value store
-// made the changes; records of the first reading come in the order of their keys, so
-// that a record may name a job or a machine whose own record follows. Everything runs on
-// the controller's event loop: nothing here may be used from two goroutines at a time.
+// Only Apply and Remove fill a View. They are called in the order in which the key-value
+// store made the changes, except during the first read, which returns records in the
+// order of their keys: a record may then name a job or a machine whose own record is
+// read later. Everything runs on the controller's event loop: nothing in this package is
+// safe for concurrent use.
 //
-// # The life of a job
+// # The life cycle of a job
 //
-// A Job is a row of the View. Where it stands is not stored but follows from the records:
+// A Job is a row of the View. Its state is not stored but derived from the records:
 //
-//   - active (Job.Active): it has a record (JobKey) and is not known to be cancelled.
-//   - awaiting dependencies (Job.AwaitsDependencies): some job that it depends on is not
-//     known to be done. None of its tasks starts.
-//   - runnable (Job.Runnable): active, and awaiting nothing.
-//   - cancelled: its own final record or that of a job that it depends on says so, or the
-//     controller that made the cancellation durable did (View.MarkCancelled). Its record
-//     is removed later, with the write of its final record.
-//   - ended (Job.Ended): its record is gone, replaced by a final record (FinalKey) that
-//     says whether it was done or cancelled. Final records are not part of the View;
-//     those of jobs that others depend on are read one by one (View.SetOutcome).
-//   - forgotten: no record, intent, completion, attempt or dependent names an ended job
+//   - active (Job.Active): the job has a record (JobKey) and is not known to be cancelled.
+//   - awaiting dependencies (Job.AwaitsDependencies): at least one job that it depends on
+//     is not known to be done. None of its tasks starts.
+//   - runnable (Job.Runnable): the job is active and awaits no dependencies.
+//   - cancelled: its own final record, or that of a job that it depends on, says so, or
+//     the controller that made the cancellation durable reported it (View.MarkCancelled).
+//     The job's record is removed later, in the transaction that writes its final record.
+//   - ended (Job.Ended): the job's record has been replaced by a final record (FinalKey)
+//     that says whether the job was done or cancelled. Final records are not part of the
+//     View; those of jobs that others depend on are read one by one (View.SetOutcome).
+//   - deleted: no record, intent, completion, attempt or dependent names the ended job
 //     any more; its row and its index are free (View.ForgetJob).
 //
-// A row without a record is thus an ended job, or one that another record named first.
+// A row without a record is therefore either an ended job or a job that another record
+// named before the job's own record was read.
 package storage
--- a/internal/storage/helpers_test.go
+++ b/internal/storage/helpers_test.go
@@ -7,12 +7,12 @@
 	"rockrun/internal/protocol"
 )
 
-// testView is a view with the teams red and blue that is told of records as the changes
-// of the store would.
+// testView is a view with the teams red and blue. Its methods apply records as the change
+// stream of the store does.
 type testView struct {
 	*View
 	t       *testing.T
-	version uint64 // of the last record written or removed
+	version uint64 // of the last record that was written or removed
 }
 
 func newTestView(t *testing.T, shards int) *testView {
@@ -20,7 +20,7 @@
 	return &testView{View: NewView([]Team{{Name: "red", GuaranteedCPUs: 64, MaxCPUs: 128}, {Name: "blue"}}, shards), t: t}
 }
 
-// put takes in a record under the next version.
+// put applies a record with the next version.
 func (v *testView) put(key string, record any) {
 	v.t.Helper()
 	v.version++
@@ -29,7 +29,7 @@
 	}
 }
 
-// remove takes in the removal of a record under the next version.
+// remove applies the removal of a record with the next version.
 func (v *testView) remove(key string) {
 	v.version++
 	v.Remove(key, v.version)
@@ -39,7 +39,7 @@
 	return protocol.JobSpec{ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: tasks, CPUs: 1}
 }
 
-// accept takes in a job of one task.
+// accept applies the record of a job with one task.
 func (v *testView) accept(id string, dependencies ...string) {
 	v.t.Helper()
 	s := spec(id, 1)
@@ -47,16 +47,17 @@
 	v.put(JobKey(id), JobRecord{SubmittedAtMS: 1000, Spec: s})
 }
 
-// end takes in that a job's record was removed, without a word of how it ended.
+// end applies the removal of a job's record without a final record.
 func (v *testView) end(id string) { v.remove(JobKey(id)) }
 
-// final takes in the final record of a job.
+// final applies the final record of a job and returns the sorted IDs of the jobs that it
+// releases and cancels.
 func (v *testView) final(id, stage string, atMS int64) (released, cancelled []string) {
 	releasedJobs, cancelledJobs := v.SetOutcome(id, FinalRecord{Stage: stage, EndedAtMS: atMS})
 	return ids(releasedJobs), ids(cancelledJobs)
 }
 
-// ids are the IDs of jobs in their order.
+// ids returns the IDs of jobs, sorted.
 func ids(jobs []*Job) []string {
 	var list []string
 	for _, j := range jobs {
@@ -66,7 +67,7 @@
 	return list
 }
 
-// state is where a job stands in its life.
+// state describes the state of a job in its life cycle.
 func (v *testView) state(id string) string {
 	_, j := v.Jobs.Find(id)
 	switch {
@@ -82,7 +83,7 @@
 	return "cancelled"
 }
 
-// findJob returns a job's row, which must exist.
+// findJob returns a job's row and fails the test if there is none.
 func (v *testView) findJob(id string) *Job {
 	v.t.Helper()
 	_, j := v.Jobs.Find(id)
@@ -92,7 +93,7 @@
 	return j
 }
 
-// findMachine returns a machine's row, which must exist.
+// findMachine returns a machine's row and fails the test if there is none.
 func (v *testView) findMachine(name string) *Machine {
 	v.t.Helper()
 	_, m := v.Machines.Find(name)
--- a/internal/storage/job.go
+++ b/internal/storage/job.go
@@ -2,49 +2,51 @@
 
 import "rockrun/internal/protocol"
 
-// Job is a job as the durable records tell of it; see the package's comment for its life.
+// Job is the state of a job according to the durable records. The package comment
+// describes its life cycle.
 type Job struct {
 	protocol.JobSpec
 	TaskProgress
 	jobRelations
 
 	Index         int    // in View.Jobs
-	Version       uint64 // of its record; 0 where it has none: it has ended, or is not read yet
+	Version       uint64 // of its record; 0 if the job has ended or its record has not been read yet
 	SubmittedAtMS int64
-	Shard         int // the job shard that owns it, -1 while that is not settled
-	// References counts the attempts and pages of completions that refer to the row. They
-	// keep the index in use; see View.ForgetJob.
+	Shard         int // the job shard that owns it; -1 while not decided, see ShardAssignment.shardOf
+	// References counts the attempts and completion page chunks that refer to the row. The
+	// index is not reused while the count is above 0; see View.ForgetJob.
 	References int
-	// CancellationConfirmed: the controller that made the cancellation durable has said
-	// so. The record's removal follows with the changes, however late.
+	// CancellationConfirmed is set when the controller that made the cancellation durable
+	// has reported it. The change stream reports the removal of the job's record later,
+	// with no bound on the delay.
 	CancellationConfirmed bool
 
-	// The indices of what the specification names.
-	TeamIndex          int   // -1 for a team that the settings do not have
-	MachineTypeIndices []int // allowed machine types, nil for any
+	// Indices of the names in the specification.
+	TeamIndex          int   // -1 for a team that is not in the settings
+	MachineTypeIndices []int // allowed machine types; nil for any
 	ZoneIndex          int   // -1 for any
 	ImageIndex         int
 }
 
-// Ended reports whether the job is done or cancelled and its record is gone. It is also
-// true of a row that has no record yet.
+// Ended reports whether the job is done or cancelled and its record has been removed. It
+// is also true for a row whose record has not been read yet.
 func (j *Job) Ended() bool { return j.Version == 0 }
 
-// Active reports whether the job has neither ended nor been cancelled: its tasks may run
+// Active reports whether the job has neither ended nor been cancelled. Its tasks may run
 // once all its dependencies are done.
 func (j *Job) Active() bool { return !j.Ended() && !j.cancelled() }
 
-// Runnable reports whether the job's tasks may start now. Only such a job counts for
-// quota, order and demand.
+// Runnable reports whether the job's tasks may start now. Only runnable jobs count for
+// quota, scheduling order and demand.
 func (j *Job) Runnable() bool { return j.Active() && !j.AwaitsDependencies() }
 
-// OpenTasks returns how many tasks are neither completed nor named by an intent.
+// OpenTasks returns the number of tasks that are neither completed nor named by an intent.
 func (j *Job) OpenTasks() int { return max(j.Tasks-j.CompletedCount-j.intendedUncompleted, 0) }
 
 // IsService reports whether the job's tasks run until it is cancelled.
 func (j *Job) IsService() bool { return j.Kind == protocol.KindService }
 
-// job returns the row of a job, making one for a new ID.
+// job returns the row of a job, and adds one if the ID is new.
 func (v *View) job(id string) *Job {
 	if _, j := v.Jobs.Find(id); j != nil {
 		return j
@@ -93,10 +95,10 @@
 	v.ForgetJob(j)
 }
 
-// ForgetJob drops the row of a job that has ended once nothing names it any more. Whoever
-// lowers Job.References calls it.
+// ForgetJob deletes the row of a job that has ended if no record, attempt or dependent
+// refers to the job any more. Callers that decrement Job.References must call it.
 func (v *View) ForgetJob(j *Job) {
 	if j.Ended() && len(j.IntendedTasks) == 0 && j.References == 0 && !j.HasDependents() {
-		v.Jobs.Drop(j.ID)
+		v.Jobs.Delete(j.ID)
 	}
 }
--- a/internal/storage/job_end.go
+++ b/internal/storage/job_end.go
@@ -2,9 +2,10 @@
 
 import "rockrun/internal/protocol"
 
-// EndJobOperations are the changes that end a job: its record leaves what controllers
-// follow and its final one is written, in one transaction under the version of the first,
-// so only one end can ever happen.
+// EndJobOperations returns the operations that end a job: one deletes its record, which
+// all controllers follow, and the other writes its final record. The caller must put both
+// into one transaction with a precondition on the version of the job's record, so that a
+// job can end only once.
 func EndJobOperations(job string, final FinalRecord) []protocol.Operation {
 	return []protocol.Operation{
 		{Delete: JobKey(job)},
--- a/internal/storage/job_test.go
+++ b/internal/storage/job_test.go
@@ -7,9 +7,9 @@
 	"rockrun/internal/protocol"
 )
 
-// TestJobIsForgottenLast: a job is forgotten only once nothing names it, so that no index
-// is used for two jobs at a time.
-func TestJobIsForgottenLast(t *testing.T) {
+// TestJobRetainedWhileReferenced: the row of a job is deleted only when nothing refers to
+// it any more. If it were deleted earlier, two jobs could use one index at the same time.
+func TestJobRetainedWhileReferenced(t *testing.T) {
 	v := newTestView(t, 1)
 	v.put(JobKey("run-1"), JobRecord{Spec: spec("run-1", 2)})
 	v.put(CompletionPageKey(PageID{}), CompletionPage{CompletionChunkName("run-1", 0): {1}})
@@ -22,17 +22,18 @@
 	}
 	v.remove(CompletionPageKey(PageID{}))
 	v.remove(IntentPageKey(PageID{}))
-	if _, still := v.Jobs.Find("run-1"); still != j {
-		t.Fatal("forgotten while an attempt refers to it")
+	if _, found := v.Jobs.Find("run-1"); found != j {
+		t.Fatal("row was deleted while an attempt refers to it")
 	}
 	j.References--
 	v.ForgetJob(j)
 	if id, _ := v.Jobs.Find("run-1"); id >= 0 {
-		t.Error("never forgotten")
+		t.Error("row was not deleted with the last reference")
 	}
 }
 
-// TestJobRow: a record's names become indices, and an empty zone or list of types none.
+// TestJobRow: names in a record are converted to indices. An empty zone becomes -1 and an
+// empty list of machine types becomes nil.
 func TestJobRow(t *testing.T) {
 	v := newTestView(t, 1)
 	v.accept("run-1")
@@ -51,8 +52,8 @@
 	}
 }
 
-// TestTaskProgress: a task is open, running or completed, in whichever order its intents
-// and its completion come and go.
+// TestTaskProgress: tasks are counted as open, running or completed, in whatever order
+// their intents and completions are added and removed.
 func TestTaskProgress(t *testing.T) {
 	j := &Job{JobSpec: spec("run-1", 4), TaskProgress: newTaskProgress()}
 	check := func(step string, open, running, completed int) {
@@ -61,26 +62,26 @@
 			t.Errorf("%s: %d open, %d running, %d completed", step, j.OpenTasks(), j.RunningTasks(), j.CompletedCount)
 		}
 	}
-	check("new", 4, 0, 0)
+	check("new job", 4, 0, 0)
 	j.countIntent(1, 1)
 	j.countIntent(1, 1)
-	check("one task named twice", 3, 1, 0)
+	check("two intents for a task", 3, 1, 0)
 	j.countIntent(1, -1)
-	check("and once again", 3, 1, 0)
+	check("one of two intents removed", 3, 1, 0)
 	j.addCompleted(0, TaskSet{1 << 1})
-	check("completed while named", 3, 0, 1)
+	check("completed while an intent names the task", 3, 0, 1)
 	j.countIntent(1, -1)
-	check("completed", 3, 0, 1)
+	check("completed, last intent removed", 3, 0, 1)
 	j.addCompleted(0, TaskSet{1<<1 | 1<<3})
-	check("another completed", 2, 0, 2)
+	check("another task completed", 2, 0, 2)
 	j.countIntent(3, 1)
-	check("an intent of a completed task", 2, 0, 2)
+	check("intent for a completed task", 2, 0, 2)
 	j.addCompleted(protocol.MaxTasks/TasksPerChunk, make(TaskSet, TasksPerChunk))
-	check("an empty chunk", 2, 0, 2)
+	check("empty chunk", 2, 0, 2)
 }
 
-// TestJobShard: arrays belong to the batch shard, services to the others by their IDs,
-// and no job to any before the number of job shards is settled.
+// TestJobShard: arrays belong to the batch shard and services to the other job shards by
+// their IDs. No job belongs to a shard before the number of job shards is decided.
 func TestJobShard(t *testing.T) {
 	v := newTestView(t, 4)
 	const services = 60
@@ -90,12 +91,12 @@
 		v.put(JobKey(service.ID), JobRecord{Spec: service})
 	}
 	v.accept("run-1")
-	stranger := spec("run-2", 1)
-	stranger.Team = "none"
-	v.put(JobKey("run-2"), JobRecord{Spec: stranger})
+	unknownTeam := spec("run-2", 1)
+	unknownTeam.Team = "none"
+	v.put(JobKey("run-2"), JobRecord{Spec: unknownTeam})
 	v.Jobs.All(func(_ int, j *Job) {
 		if j.Shard != -1 {
-			t.Errorf("%s belongs to %d before it is settled", j.ID, j.Shard)
+			t.Errorf("%s belongs to shard %d before the number of job shards is decided", j.ID, j.Shard)
 		}
 	})
 	v.put(KeyJobShards, JobShardsRecord{JobShards: 4})
@@ -104,12 +105,12 @@
 		switch {
 		case j.TeamIndex < 0:
 			if j.Shard != -1 {
-				t.Errorf("%s of no team belongs to %d", j.ID, j.Shard)
+				t.Errorf("%s of an unknown team belongs to shard %d", j.ID, j.Shard)
 			}
 		case j.IsService():
 			byShard[j.Shard]++
 		case j.Shard != BatchShard:
-			t.Errorf("%s belongs to %d", j.ID, j.Shard)
+			t.Errorf("%s belongs to shard %d", j.ID, j.Shard)
 		}
 	})
 	if byShard[BatchShard] != 0 || byShard[1] == 0 || byShard[2] == 0 || byShard[3] == 0 {
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestEffectiveRank: a job has the highest priority of those that wait for it, for as
-// long as they are active.
+// TestEffectiveRank: a job inherits the highest priority of its direct and indirect
+// dependents while they are active.
 func TestEffectiveRank(t *testing.T) {
 	v := newTestView(t, 1)
 	v.accept("run-1")
@@ -126,7 +127,7 @@
 	first := v.findJob("run-1")
 	own := first.Rank()
 	if got := v.EffectiveRank(first); got != own {
-		t.Errorf("rank %d, its own is %d", got, own)
+		t.Errorf("rank %d, own rank is %d", got, own)
 	}
 	urgent := spec("run-3", 1)
 	urgent.Priority, urgent.Dependencies = "critical", []string{"run-2"}
@@ -135,18 +136,18 @@
 	}
 	v.put(JobKey("run-3"), JobRecord{Spec: urgent})
 	if got := v.EffectiveRank(first); got != urgent.Rank() {
-		t.Errorf("rank %d, that of the last of the pipeline is %d", got, urgent.Rank())
+		t.Errorf("rank %d, rank of the last job of the pipeline is %d", got, urgent.Rank())
 	}
 	if got := v.EffectiveRank(first); got != urgent.Rank() {
-		t.Errorf("rank %d when asked again", got)
+		t.Errorf("rank %d when computed again", got)
 	}
 	v.MarkCancelled("run-3")
-	v.accept("run-4") // from the next change on
+	v.accept("run-4") // the cached rank is recomputed after the next change of the view
 	if got := v.EffectiveRank(first); got != own {
-		t.Errorf("rank %d after that one was cancelled, its own is %d", got, own)
+		t.Errorf("rank %d after the urgent job was cancelled, own rank is %d", got, own)
 	}
 	v.end("run-3")
 	if got := v.EffectiveRank(first); got != own {
-		t.Errorf("rank %d after that one ended, its own is %d", got, own)
+		t.Errorf("rank %d after the urgent job ended, own rank is %d", got, own)
 	}
 }
--- a/internal/storage/leadership.go
+++ b/internal/storage/leadership.go
@@ -1,10 +1,10 @@
 package storage
 
-// Leadership is who leads, as the records say.
+// Leadership is the leader and the term according to the records.
 type Leadership struct {
 	Leader        LeaderRecord
-	LeaderVersion uint64 // 0 while there is no leader
-	Term          uint64 // the highest so far
+	LeaderVersion uint64 // 0 if there is no leader
+	Term          uint64 // the highest term so far
 	TermVersion   uint64
 }
 
--- a/internal/storage/machine.go
+++ b/internal/storage/machine.go
@@ -2,45 +2,46 @@
 
 import "slices"
 
-// Machine is a machine as the durable records tell of it. A row remains while a machine
-// group or an intent names it.
+// Machine is the state of a machine according to the durable records. Its row is retained
+// while a machine group or an intent names the machine.
 type Machine struct {
 	MachineEntry        // as last read; Phase is never empty
 	Index        int    // in View.Machines
-	Group        string // ID of the machine group it is in; empty once no group names it
+	Group        string // ID of the machine group that names it; empty if none does
 
-	// What follows is its group's, as last read.
+	// The following fields are copied from the machine group, as last read.
 	Type         string
 	Zone         string
 	Spot         bool
-	Shard        int // -1 where no group has named it
+	Shard        int // -1 if no group has named the machine
 	FencingToken uint64
 	RentedAtMS   int64
 	TypeIndex    int
 	ZoneIndex    int
 
-	Intents map[TaskRef]Intent // attempts that may be on it
+	Intents map[TaskRef]Intent // attempts that may be on the machine
 }
 
-// Exists reports whether a group names the machine and it is not deleted.
+// Exists reports whether a group names the machine and the machine is not deleted.
 func (m *Machine) Exists() bool { return m.Group != "" && m.Phase != PhaseDeleted }
 
-// Deleted reports whether a record says that the cloud has deleted the machine. That no group
-// names it does not say so: it may be in another that was not read yet.
+// Deleted reports whether a record says that the cloud has deleted the machine. A machine
+// that no group names is not reported as deleted: its record may be in a group that has not
+// been read yet.
 func (m *Machine) Deleted() bool { return m.Group != "" && m.Phase == PhaseDeleted }
 
-// MachineGroup is a MachineGroupRecord with its version.
+// MachineGroup is a MachineGroupRecord and its version.
 type MachineGroup struct {
 	MachineGroupRecord
 	Version uint64
 }
 
-// names reports whether the group has an entry of a machine.
-func (g *MachineGroup) names(machine string) bool {
+// contains reports whether the group has an entry for a machine.
+func (g *MachineGroup) contains(machine string) bool {
 	return slices.ContainsFunc(g.Machines, func(entry MachineEntry) bool { return entry.Name == machine })
 }
 
-// machine returns the row of a machine, making one for a new name.
+// machine returns the row of a machine, and adds one if the name is new.
 func (v *View) machine(name string) *Machine {
 	if _, m := v.Machines.Find(name); m != nil {
 		return m
@@ -50,19 +51,19 @@
 	return m
 }
 
-// forgetMachine drops the row of a machine that no record names any more.
+// forgetMachine deletes the row of a machine if no group or intent names the machine.
 func (v *View) forgetMachine(m *Machine) {
 	if m.Group == "" && len(m.Intents) == 0 {
-		v.Machines.Drop(m.Name)
+		v.Machines.Delete(m.Name)
 	}
 }
 
 func (v *View) applyMachineGroup(stored storedRecord) error {
-	known := uint64(0)
+	knownVersion := uint64(0)
 	if group := v.MachineGroups[stored.name]; group != nil {
-		known = group.Version
+		knownVersion = group.Version
 	}
-	record, newer, err := decodeNewer[MachineGroupRecord](stored, known)
+	record, newer, err := decodeNewer[MachineGroupRecord](stored, knownVersion)
 	if newer {
 		v.setMachineGroup(stored.name, &MachineGroup{record, stored.version})
 	}
@@ -76,8 +77,8 @@
 	}
 }
 
-// setMachineGroup replaces a group. A machine that moves to another group is named by
-// both for a moment, in either order; what was read last counts.
+// setMachineGroup replaces a group. While a machine moves, both its old and its new group
+// may name it, and their records may be read in either order; the last one read wins.
 func (v *View) setMachineGroup(id string, group *MachineGroup) {
 	v.FleetRevision++
 	old := v.MachineGroups[id]
@@ -86,11 +87,11 @@
 		v.setMachine(id, group, &group.Machines[i])
 	}
 	if old != nil {
-		v.removeLeftOut(id, old, group)
+		v.removeMissingMachines(id, old, group)
 	}
 }
 
-// setMachine fills the row of a machine from its group and its entry there.
+// setMachine updates the row of a machine from its group and its entry in the group.
 func (v *View) setMachine(groupID string, group *MachineGroup, entry *MachineEntry) {
 	row := v.machine(entry.Name)
 	row.MachineEntry = *entry
@@ -104,11 +105,12 @@
 	row.TypeIndex, row.ZoneIndex = v.MachineTypeID(group.Type), v.ZoneNames.ID(group.Zone)
 }
 
-// removeLeftOut takes those machines out of a group that only its old record names.
-func (v *View) removeLeftOut(groupID string, old, group *MachineGroup) {
+// removeMissingMachines marks machines that only the old record of a group names as deleted
+// and removes them from the group. Machines that another group has named since are skipped.
+func (v *View) removeMissingMachines(groupID string, old, group *MachineGroup) {
 	for i := range old.Machines {
 		name := old.Machines[i].Name
-		if group.names(name) {
+		if group.contains(name) {
 			continue
 		}
 		if _, m := v.Machines.Find(name); m != nil && m.Group == groupID {
--- a/internal/storage/machine_test.go
+++ b/internal/storage/machine_test.go
@@ -6,8 +6,9 @@
 	"rockrun/internal/protocol"
 )
 
-// TestMachineMovesBetweenGroups: a machine that moves is named by both groups for a
-// moment. What was read last counts, and the old group's change takes nothing away.
+// TestMachineMovesBetweenGroups: while a machine moves, both groups name it for a moment.
+// The group that was read last wins, and the removal of the machine's entry from the old
+// group must not affect the machine.
 func TestMachineMovesBetweenGroups(t *testing.T) {
 	v := newTestView(t, 2)
 	entry := MachineEntry{Name: "m-1", Address: "10.0.0.1:1", Phase: PhaseDraining, DrainStamp: 4, Evict: true}
@@ -17,7 +18,7 @@
 		t.Errorf("%+v", m)
 	}
 	if other := v.findMachine("m-2"); other.Phase != PhaseActive {
-		t.Errorf("a machine without a phase is %q", other.Phase)
+		t.Errorf("machine without a phase in its entry has phase %q", other.Phase)
 	}
 	v.put(MachineGroupKey("new"), MachineGroupRecord{Type: "small", Zone: "z", Shard: 1, Machines: []MachineEntry{entry}})
 	v.put(MachineGroupKey("old"), MachineGroupRecord{Type: "small", Zone: "z", Machines: []MachineEntry{{Name: "m-2"}}})
@@ -29,9 +30,9 @@
 	}
 }
 
-// TestMachineIsForgottenLast: a machine that left its group stays, as deleted, while an
-// intent names it.
-func TestMachineIsForgottenLast(t *testing.T) {
+// TestMachineRetainedWhileIntentNamesIt: the row of a machine that no group names is
+// retained, as deleted, while an intent names the machine.
+func TestMachineRetainedWhileIntentNamesIt(t *testing.T) {
 	v := newTestView(t, 1)
 	v.put(MachineGroupKey("g"), MachineGroupRecord{Type: "small", Machines: []MachineEntry{{Name: "m-1"}, {Name: "m-2"}}})
 	v.put(IntentPageKey(PageID{}), IntentPage{"run-1": {IntentEntry(0, "m-1", 1)}})
@@ -40,15 +41,16 @@
 		t.Errorf("%+v", m)
 	}
 	if id, _ := v.Machines.Find("m-2"); id >= 0 {
-		t.Error("a machine that nothing names is not forgotten")
+		t.Error("row of a machine that no record names was not deleted")
 	}
 	v.remove(IntentPageKey(PageID{}))
 	if id, _ := v.Machines.Find("m-1"); id >= 0 {
-		t.Error("never forgotten")
+		t.Error("row was not deleted with the last intent")
 	}
 }
 
-// TestEligible: which machines a job's owner and the size of its tasks allow.
+// TestEligible: a machine is eligible if the job's specification allows it and the
+// machine is large enough for a task.
 func TestEligible(t *testing.T) {
 	v := newTestView(t, 1)
 	v.put(KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{
@@ -59,19 +61,19 @@
 		job     func(s *protocol.JobSpec)
 		want    bool
 	}{
-		"any":                    {MachineGroupRecord{Type: "small"}, func(*protocol.JobSpec) {}, true},
-		"as large as it":         {MachineGroupRecord{Type: "small"}, func(s *protocol.JobSpec) { s.CPUs, s.MemoryGB = 4, 16 }, true},
-		"too many CPUs":          {MachineGroupRecord{Type: "small"}, func(s *protocol.JobSpec) { s.CPUs = 4.01 }, false},
-		"too much memory":        {MachineGroupRecord{Type: "small"}, func(s *protocol.JobSpec) { s.MemoryGB = 17 }, false},
-		"no GPU":                 {MachineGroupRecord{Type: "small"}, func(s *protocol.JobSpec) { s.GPUs = 1 }, false},
-		"a GPU":                  {MachineGroupRecord{Type: "large"}, func(s *protocol.JobSpec) { s.GPUs = 1 }, true},
-		"allowed type":           {MachineGroupRecord{Type: "large"}, func(s *protocol.JobSpec) { s.Types = []string{"large"} }, true},
-		"other type":             {MachineGroupRecord{Type: "small"}, func(s *protocol.JobSpec) { s.Types = []string{"large"} }, false},
-		"type without a size":    {MachineGroupRecord{Type: "unknown"}, func(*protocol.JobSpec) {}, false},
-		"its zone":               {MachineGroupRecord{Type: "small", Zone: "z"}, func(s *protocol.JobSpec) { s.Zone = "z" }, true},
-		"other zone":             {MachineGroupRecord{Type: "small", Zone: "z"}, func(s *protocol.JobSpec) { s.Zone = "y" }, false},
-		"spot, which it allows":  {MachineGroupRecord{Type: "small", Spot: true}, func(s *protocol.JobSpec) { s.Spot = true }, true},
-		"spot, which it refuses": {MachineGroupRecord{Type: "small", Spot: true}, func(*protocol.JobSpec) {}, false},
+		"no constraints":       {MachineGroupRecord{Type: "small"}, func(*protocol.JobSpec) {}, true},
+		"whole machine":        {MachineGroupRecord{Type: "small"}, func(s *protocol.JobSpec) { s.CPUs, s.MemoryGB = 4, 16 }, true},
+		"too many CPUs":        {MachineGroupRecord{Type: "small"}, func(s *protocol.JobSpec) { s.CPUs = 4.01 }, false},
+		"too much memory":      {MachineGroupRecord{Type: "small"}, func(s *protocol.JobSpec) { s.MemoryGB = 17 }, false},
+		"no GPU":               {MachineGroupRecord{Type: "small"}, func(s *protocol.JobSpec) { s.GPUs = 1 }, false},
+		"GPU":                  {MachineGroupRecord{Type: "large"}, func(s *protocol.JobSpec) { s.GPUs = 1 }, true},
+		"allowed type":         {MachineGroupRecord{Type: "large"}, func(s *protocol.JobSpec) { s.Types = []string{"large"} }, true},
+		"other type":           {MachineGroupRecord{Type: "small"}, func(s *protocol.JobSpec) { s.Types = []string{"large"} }, false},
+		"type of unknown size": {MachineGroupRecord{Type: "unknown"}, func(*protocol.JobSpec) {}, false},
+		"required zone":        {MachineGroupRecord{Type: "small", Zone: "z"}, func(s *protocol.JobSpec) { s.Zone = "z" }, true},
+		"other zone":           {MachineGroupRecord{Type: "small", Zone: "z"}, func(s *protocol.JobSpec) { s.Zone = "y" }, false},
+		"spot allowed":         {MachineGroupRecord{Type: "small", Spot: true}, func(s *protocol.JobSpec) { s.Spot = true }, true},
+		"spot not allowed":     {MachineGroupRecord{Type: "small", Spot: true}, func(*protocol.JobSpec) {}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.machine.Machines = []MachineEntry{{Name: "m-1"}}
--- a/internal/storage/priority.go
+++ b/internal/storage/priority.go
@@ -1,18 +1,20 @@
 package storage
 
-// inheritedRank is a job's effective rank as last worked out.
+// inheritedRank is a cached result of EffectiveRank.
 type inheritedRank struct {
-	revision uint64 // of the jobs that it follows from, see Revisions.jobsRevision
+	revision uint64 // of the jobs from which the rank was computed; see Revisions.jobsRevision
 	rank     int
 }
 
-// jobsRevision changes with every job that comes, ends or is cancelled; it is never 0.
+// jobsRevision returns a number that increases when a job is read or ends, when a job's last
+// dependency is done, and when jobs are cancelled with another. It is never 0, which marks
+// an inheritedRank that has not been computed.
 func (r *Revisions) jobsRevision() uint64 { return r.JobsAdded + r.JobsEnded + 1 }
 
-// EffectiveRank is a job's effective priority as a number of which 0 is the highest: the
-// highest priority of the job itself and of all active jobs that depend on it, directly
-// or through others. Users set the priority on the last job of a pipeline only, and it
-// may come long after the first.
+// EffectiveRank returns a job's effective priority as a number, with 0 for the highest
+// priority. It is the highest priority of the job itself and of all active jobs that depend
+// on it, directly or transitively: users set the priority only on the last job of a
+// pipeline, which may be submitted long after the first job.
 func (v *View) EffectiveRank(j *Job) int {
 	revision := v.jobsRevision()
 	if j.inherited.revision == revision {
--- a/internal/storage/quotas.go
+++ b/internal/storage/quotas.go
@@ -1,23 +1,24 @@
 package storage
 
-// Team is a team of the settings with its quota; an amount of 0 is none.
+// Team is a team from the settings and its quota. An amount of 0 means that the team has no
+// such guarantee or maximum.
 type Team struct {
 	Name                    string
 	GuaranteedCPUs, MaxCPUs float64
 	GuaranteedGPUs, MaxGPUs float64
 	HasGuarantee            bool  // set by NewView
-	QuotaSplit              []int // parts of WholeQuota by job shard; nil while not split
+	QuotaSplit              []int // parts of WholeQuota, by job shard; nil while not split
 }
 
-// HasQuota reports whether the team has a guaranteed or maximum amount to be split.
+// HasQuota reports whether the team has a guaranteed or maximum amount to split.
 func (t *Team) HasQuota() bool {
 	return t.GuaranteedCPUs > 0 || t.MaxCPUs > 0 || t.GuaranteedGPUs > 0 || t.MaxGPUs > 0
 }
 
-// Quotas are the teams and how their quotas are split among the job shards.
+// Quotas are the teams and the split of their quotas among the job shards.
 type Quotas struct {
 	Teams             []Team
-	TeamNames         Names // indices are those of Teams
+	TeamNames         Names // same indices as Teams
 	QuotaSplitVersion uint64
 }
 
@@ -43,8 +44,9 @@
 	return nil
 }
 
-// QuotaShare is a job shard's part of an amount of a team's quota: all of it where there
-// is one job shard, nothing where the quota is not split among several yet.
+// QuotaShare returns a job shard's part of an amount of a team's quota. The part is the
+// whole amount if there is at most one job shard, and 0 if there are several and the quota
+// has not been split yet.
 func (v *View) QuotaShare(team *Team, jobShard int, amount float64) float64 {
 	if v.JobShards <= 1 {
 		return amount
--- a/internal/storage/quotas_test.go
+++ b/internal/storage/quotas_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestQuotaShare: one job shard has all of a quota; of several, each has its part, and
-// nothing before the split is known.
-func TestQuotaShare(t *testing.T) {
+// TestShardQuota: a single job shard has the whole quota. Each of several job shards has
+// its part, and nothing before the split has been read.
+func TestShardQuota(t *testing.T) {
 	v := newTestView(t, 3)
 	red, blue := &v.Teams[0], &v.Teams[1]
 	if !red.HasQuota() || !red.HasGuarantee || blue.HasQuota() || blue.HasGuarantee {
@@ -13,7 +13,7 @@
 	check := func(step string, jobShard int, want float64) {
 		t.Helper()
 		if got := v.QuotaShare(red, jobShard, 100); got != want {
-			t.Errorf("%s: job shard %d has %v, not %v", step, jobShard, got, want)
+			t.Errorf("%s: job shard %d has %v, want %v", step, jobShard, got, want)
 		}
 	}
 	v.put(KeyJobShards, JobShardsRecord{JobShards: 1})
@@ -23,6 +23,6 @@
 	v.put(KeyQuotaSplit, QuotaSplitRecord{"red": {WholeQuota / 4, WholeQuota / 2}})
 	check("split", 0, 25)
 	check("split", 1, 50)
-	check("no job shard", 2, 0)
-	check("no job shard", -1, 0)
+	check("job shard out of range", 2, 0)
+	check("job shard out of range", -1, 0)
 }
--- a/internal/storage/shards.go
+++ b/internal/storage/shards.go
@@ -7,54 +7,57 @@
 	"rockrun/internal/protocol"
 )
 
-// BatchShard is the job shard of all arrays. Services belong to the other job shards
-// where there are any.
+// BatchShard is the job shard that owns all arrays. Services belong to the other job
+// shards, or to this one if it is the only one.
 const BatchShard = 0
 
-// Grant is a shard's GrantRecord with its version, 0 while the shard was never granted.
+// Grant is a shard's GrantRecord and its version, which is 0 if the shard was never granted.
 type Grant struct {
 	GrantRecord
 	Version uint64
 }
 
-// sameHolder reports whether a grant is to the holder of another.
+// sameHolder reports whether two grants name the same incarnation of the same controller.
 func (g *GrantRecord) sameHolder(other *GrantRecord) bool {
 	return g.Controller == other.Controller && g.Incarnation == other.Incarnation
 }
 
-// Liveness is the last LivenessRecord of a controller with its version.
+// Liveness is the last LivenessRecord of a controller and its version.
 type Liveness struct {
 	LivenessRecord
 	Version uint64
 }
 
-// ShardAssignment is which controller holds which shard, and which shards own jobs.
+// ShardAssignment records which controller holds each shard and which shards own jobs.
 type ShardAssignment struct {
 	Grants           []Grant // by shard
-	JobShards        int     // shards that own jobs, from 0 on; 0 while their number is not settled
+	JobShards        int     // number of job shards, which are the first shards; 0 while not decided
 	JobShardsVersion uint64
 	Liveness         map[string]Liveness // by controller
-	heldSince        []uint64            // by shard, see HeldSince
+	heldSince        []uint64            // by shard; see HeldSince
 }
 
-// newShardAssignment makes an assignment in which no shard was granted yet.
+// newShardAssignment returns an assignment in which no shard has been granted.
 func newShardAssignment(shards int) ShardAssignment {
 	return ShardAssignment{Grants: make([]Grant, shards), Liveness: map[string]Liveness{}, heldSince: make([]uint64, shards)}
 }
 
-// HeldSince is the version with which the present incarnation of a shard's holder was granted
-// it. Later grants that only raise its token leave it as it is; another holder in between
-// changes it, though both grants are read at once.
+// HeldSince returns the version of the grant with which the current incarnation of a
+// shard's holder acquired the shard. Later grants to the same incarnation, which only raise
+// the fencing token, do not change it. A grant to another holder in between does, even if
+// it is read together with the grant that follows it.
 func (a *ShardAssignment) HeldSince(shard int) uint64 { return a.heldSince[shard] }
 
-// GrantCondition makes a transaction depend on the grant of a shard as it stands.
+// GrantCondition returns the precondition that a shard's grant has not changed since it
+// was last read.
 func (a *ShardAssignment) GrantCondition(shard int) protocol.Condition {
 	return protocol.Condition{Key: GrantKey(shard), Version: a.Grants[shard].Version}
 }
 
-// shardOf is the job shard of a job, -1 while that is not settled. Arrays share one,
-// where machines that one job leaves serve the next; services, which stay, are spread
-// over the others by their IDs.
+// shardOf returns the job shard that owns a job. It returns -1 while the number of job
+// shards is not decided and for a job of an unknown team. All arrays share one job shard,
+// so that machines released by one array can run the next. Services run until they are
+// cancelled and are spread over the other job shards by a hash of their IDs.
 func (a *ShardAssignment) shardOf(j *Job) int {
 	switch {
 	case a.JobShards == 0 || j.TeamIndex < 0:
@@ -82,7 +85,7 @@
 	}
 	grant, newer, err := decodeNewer[GrantRecord](stored, v.Grants[shard].Version)
 	if newer {
-		if former := &v.Grants[shard]; !grant.sameHolder(&former.GrantRecord) {
+		if previous := &v.Grants[shard]; !grant.sameHolder(&previous.GrantRecord) {
 			v.heldSince[shard] = stored.version
 		}
 		v.Grants[shard] = Grant{grant, stored.version}
--- a/internal/storage/shards_test.go
+++ b/internal/storage/shards_test.go
@@ -6,20 +6,22 @@
 	"rockrun/internal/protocol"
 )
 
-// TestGrantCondition: it holds the version of the grant as it stands, 0 where there is none.
+// TestGrantCondition: the precondition holds the version of the grant last read, or 0 if
+// the shard was never granted.
 func TestGrantCondition(t *testing.T) {
 	v := newTestView(t, 2)
 	v.put(GrantKey(1), GrantRecord{Controller: "a"})
 	for shard, version := range []uint64{0, v.version} {
 		want := protocol.Condition{Key: GrantKey(shard), Version: version}
 		if got := v.GrantCondition(shard); got != want {
-			t.Errorf("shard %d: %+v, not %+v", shard, got, want)
+			t.Errorf("shard %d: %+v, want %+v", shard, got, want)
 		}
 	}
 }
 
-// TestHeldSince: a grant that only raises the token leaves it; another controller or another
-// incarnation in between changes it, though the last grant is to the same holder as before.
+// TestHeldSince: a grant that only raises the fencing token does not change the version. A
+// grant to another controller or incarnation in between does, even if the last grant is to
+// the same holder as the first.
 func TestHeldSince(t *testing.T) {
 	v := newTestView(t, 1)
 	grant := func(controller string, incarnation, token uint64) uint64 {
@@ -28,7 +30,7 @@
 	}
 	first := grant("a", 1, 1)
 	if raised := grant("a", 1, 2); raised != first {
-		t.Errorf("with a raised token held since %d, not %d", raised, first)
+		t.Errorf("after the token was raised: held since %d, want %d", raised, first)
 	}
 	other := grant("b", 1, 3)
 	back := grant("a", 1, 4)
--- a/internal/storage/table.go
+++ b/internal/storage/table.go
@@ -1,106 +1,107 @@
 package storage
 
-// Names gives names dense indices. Names are turned into indices where records are
-// read; all that works on the view compares indices. The zero value is empty.
+// Names assigns dense indices to names. Names are converted to indices when records are
+// read, so that code working on the view compares indices. The zero value is empty.
 type Names struct {
-	ids   map[string]int
-	names []string
+	indices map[string]int
+	names   []string
 }
 
-// ID returns the index of a name, giving it one if need be.
+// ID returns the index of a name, and adds the name if it is new.
 func (n *Names) ID(name string) int {
-	if id, ok := n.ids[name]; ok {
-		return id
+	if index, ok := n.indices[name]; ok {
+		return index
 	}
-	if n.ids == nil {
-		n.ids = map[string]int{}
+	if n.indices == nil {
+		n.indices = map[string]int{}
 	}
-	id := len(n.names)
-	n.ids[name] = id
+	index := len(n.names)
+	n.indices[name] = index
 	n.names = append(n.names, name)
-	return id
+	return index
 }
 
-// Lookup returns the index of a name, or -1.
+// Lookup returns the index of a name, or -1 if the name is not present.
 func (n *Names) Lookup(name string) int {
-	if id, ok := n.ids[name]; ok {
-		return id
+	if index, ok := n.indices[name]; ok {
+		return index
 	}
 	return -1
 }
 
-// Len returns how many names there are.
+// Len returns the number of names.
 func (n *Names) Len() int { return len(n.names) }
 
-// Name returns the name with an index, or an empty one.
-func (n *Names) Name(id int) string {
-	if id < 0 || id >= len(n.names) {
+// Name returns the name with an index, or an empty string if there is none.
+func (n *Names) Name(index int) string {
+	if index < 0 || index >= len(n.names) {
 		return ""
 	}
-	return n.names[id]
+	return n.names[index]
 }
 
-// Table holds rows by name under dense indices. The index of a dropped row is given to
-// a later one. The zero value is empty.
+// Table holds named rows under dense indices. The index of a deleted row is reused for a
+// later row. The zero value is empty.
 type Table[T any] struct {
-	ids  map[string]int
-	rows []*T
-	free []int // indices of dropped rows, the next to be used last
+	indices map[string]int
+	rows    []*T
+	free    []int // indices of deleted rows; the last is reused first
 }
 
-// Get returns the row with an index, or nil.
-func (t *Table[T]) Get(id int) *T {
-	if id < 0 || id >= len(t.rows) {
+// Get returns the row with an index, or nil if there is none.
+func (t *Table[T]) Get(index int) *T {
+	if index < 0 || index >= len(t.rows) {
 		return nil
 	}
-	return t.rows[id]
+	return t.rows[index]
 }
 
-// Find returns the index and row of a name, or -1 and nil.
+// Find returns the index and row of a name, or -1 and nil if there is none.
 func (t *Table[T]) Find(name string) (int, *T) {
-	id, ok := t.ids[name]
+	index, ok := t.indices[name]
 	if !ok {
 		return -1, nil
 	}
-	return id, t.rows[id]
+	return index, t.rows[index]
 }
 
-// Add puts a row under a name that the table does not have and returns its index.
+// Add stores a row under a new name and returns its index. The table must not have the
+// name yet.
 func (t *Table[T]) Add(name string, row *T) int {
-	if t.ids == nil {
-		t.ids = map[string]int{}
+	if t.indices == nil {
+		t.indices = map[string]int{}
 	}
-	id := t.nextIndex()
-	t.rows[id] = row
-	t.ids[name] = id
-	return id
+	index := t.allocateIndex()
+	t.rows[index] = row
+	t.indices[name] = index
+	return index
 }
 
-// nextIndex makes room for a row.
-func (t *Table[T]) nextIndex() int {
+// allocateIndex returns the index of a free row, and extends the table if there is none.
+func (t *Table[T]) allocateIndex() int {
 	if n := len(t.free); n > 0 {
-		id := t.free[n-1]
+		index := t.free[n-1]
 		t.free = t.free[:n-1]
-		return id
+		return index
 	}
 	t.rows = append(t.rows, nil)
 	return len(t.rows) - 1
 }
 
-// Drop removes the row of a name, if there is one.
-func (t *Table[T]) Drop(name string) {
-	if id, ok := t.ids[name]; ok {
-		delete(t.ids, name)
-		t.rows[id] = nil
-		t.free = append(t.free, id)
+// Delete removes the row of a name. It does nothing if there is none.
+func (t *Table[T]) Delete(name string) {
+	if index, ok := t.indices[name]; ok {
+		delete(t.indices, name)
+		t.rows[index] = nil
+		t.free = append(t.free, index)
 	}
 }
 
-// All calls visit for every row in the order of the indices.
-func (t *Table[T]) All(visit func(id int, row *T)) {
-	for id, row := range t.rows {
+// All calls visit for every row in ascending order of the indices.
+func (t *Table[T]) All(visit func(index int, row *T)) {
+	for index, row := range t.rows {
 		if row != nil {
-			visit(id, row)
+			visit(index, row)
 		}
 	}
 }
--- a/internal/storage/table_test.go
+++ b/internal/storage/table_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestNames: a name keeps its index.
+// TestNames: the index of a name does not change.
 func TestNames(t *testing.T) {
 	var names Names
 	if names.Lookup("a") != -1 || names.Name(0) != "" || names.Len() != 0 {
@@ -19,34 +19,35 @@
 	}
 }
 
-// TestTable: rows keep their indices, and a dropped one's is given to the next.
+// TestTable: the index of a row does not change, and the index of a deleted row is reused
+// for the next row.
 func TestTable(t *testing.T) {
 	var table Table[string]
-	if id, row := table.Find("a"); id != -1 || row != nil || table.Get(0) != nil {
+	if index, row := table.Find("a"); index != -1 || row != nil || table.Get(0) != nil {
 		t.Error("the zero value is not empty")
 	}
 	rows := []string{"row a", "row b", "row c"}
 	for i, name := range []string{"a", "b", "c"} {
-		if id := table.Add(name, &rows[i]); id != i {
-			t.Errorf("%s has index %d", name, id)
+		if index := table.Add(name, &rows[i]); index != i {
+			t.Errorf("%s has index %d", name, index)
 		}
 	}
-	table.Drop("b")
-	table.Drop("none")
-	if id, row := table.Find("b"); id != -1 || row != nil || table.Get(1) != nil {
-		t.Error("b is not dropped")
+	table.Delete("b")
+	table.Delete("none")
+	if index, row := table.Find("b"); index != -1 || row != nil || table.Get(1) != nil {
+		t.Error("row b is not deleted")
 	}
 	var visited []int
-	table.All(func(id int, _ *string) { visited = append(visited, id) })
+	table.All(func(index int, _ *string) { visited = append(visited, index) })
 	if !slices.Equal(visited, []int{0, 2}) {
 		t.Errorf("visited %v", visited)
 	}
-	if id := table.Add("d", &rows[1]); id != 1 || table.Get(1) != &rows[1] {
-		t.Errorf("d has index %d", id)
+	if index := table.Add("d", &rows[1]); index != 1 || table.Get(1) != &rows[1] {
+		t.Errorf("d has index %d", index)
 	}
 }
 
-// TestTaskSet: a set grows with its members, and its copy does not.
+// TestTaskSet: a set grows as tasks are added, and a copy of the set does not change.
 func TestTaskSet(t *testing.T) {
 	var set TaskSet
 	set.Set(9)
--- a/internal/storage/view.go
+++ b/internal/storage/view.go
@@ -1,11 +1,12 @@
 package storage
 
 // View is the replicated records as this controller has read them. Apply and Remove
-// change it, and the two words that come ahead of the changes: MarkCancelled and
-// SetOutcome. All others read it, with two exceptions: attempts count themselves in
-// Job.References and then call ForgetJob, and any name may be given an index.
+// change it as the store reports changes. MarkCancelled and SetOutcome add information that
+// arrives ahead of those changes. All other code only reads the view, with two exceptions:
+// the owner of an attempt counts it in Job.References and calls ForgetJob after removing it,
+// and any caller may add a name to a Names table.
 //
-// Its parts by concern are embedded: view.Leader is the Leadership's.
+// The parts of the view are embedded by concern: view.Leader is a field of Leadership.
 type View struct {
 	Leadership
 	ShardAssignment
@@ -27,22 +28,22 @@
 	dependencyWork
 }
 
-// Revisions grow with changes of the view. Whoever keeps something that follows from
-// those looks again only when they have grown.
+// Revisions are counters that increase when the view changes. Code that caches data
+// derived from the view recomputes the data only after the counter for it has increased.
 type Revisions struct {
-	JobsAdded     uint64 // with every job that is read, and whose last dependency is done
-	JobsEnded     uint64 // with every job that ends or is found to be cancelled with another
-	FleetRevision uint64 // with every machine group, grant, or number of job shards
+	JobsAdded     uint64 // increases when a job is read and when a job's last dependency is done
+	JobsEnded     uint64 // increases when a job ends or is found to be cancelled with another
+	FleetRevision uint64 // increases with each change of a machine group, a grant or the number of job shards
 }
 
-// recordPage is a page of intents or completions as last read.
+// recordPage is an intent page or a completion page as last read.
 type recordPage[T any] struct {
 	version uint64
 	entries []T
 }
 
-// NewView makes an empty view for the teams of the settings and a number of shards. It
-// keeps and completes the teams.
+// NewView returns an empty view for the teams from the settings and a number of shards.
+// It retains the slice of teams and sets HasGuarantee in each.
 func NewView(teams []Team, shards int) *View {
 	return &View{
 		ShardAssignment: newShardAssignment(shards),
