--- a/internal/coordination/autoscaler/catalogue.go
+++ b/internal/coordination/autoscaler/catalogue.go
@@ -28,7 +28,7 @@
 
 // CatalogueOf returns the catalogue of the machine types and zones in a view.
 func CatalogueOf(view *storage.View) Catalogue {
-	return Catalogue{MachineTypes: view.MachineTypes, ZoneIndex: view.ZoneNames.ID, Fits: view.FitsMachineType}
+	return Catalogue{MachineTypes: view.MachineTypes, ZoneIndex: view.ZoneNames.Index, Fits: view.FitsMachineType}
 }
 
 // hourlyPrice returns the price of a machine of a type per hour.
--- a/internal/coordination/provisioning/adoption.go
+++ b/internal/coordination/provisioning/adoption.go
@@ -179,6 +179,6 @@
 // record yet.
 func (c *Config) pendingSupply(machineType, zone string, spot bool, shard int) *autoscaler.Supply {
 	view := c.view()
-	index := view.MachineTypeID(machineType)
-	return autoscaler.NewSupply(&view.MachineTypes[index], autoscaler.Pool{MachineType: index, Zone: view.ZoneNames.ID(zone), Spot: spot}, shard)
+	index := view.MachineTypeIndex(machineType)
+	return autoscaler.NewSupply(&view.MachineTypes[index], autoscaler.Pool{MachineType: index, Zone: view.ZoneNames.Index(zone), Spot: spot}, shard)
 }
--- a/internal/coordination/provisioning/adoption_test.go
+++ b/internal/coordination/provisioning/adoption_test.go
@@ -24,7 +24,7 @@
 			l := newTestLeader(t)
 			l.provisioner.types.refresh(l.now)
 			l.provisioner.scaleOuts.add(autoscaler.ScaleOut{
-				Pool: autoscaler.Pool{MachineType: l.replica.View.MachineTypeID("small"), Zone: l.replica.View.ZoneNames.ID("z")}, Count: 2, Shard: 1,
+				Pool: autoscaler.Pool{MachineType: l.replica.View.MachineTypeIndex("small"), Zone: l.replica.View.ZoneNames.Index("z")}, Count: 2, Shard: 1,
 			})
 			l.provisioner.scaleOuts.send(l.now)
 			l.provisioner.OnUnrecordedHeartbeat(&protocol.AgentHeartbeat{Machine: "m-000001", MachineType: "small", Zone: "z"})
--- a/internal/coordination/quota/guarantee.go
+++ b/internal/coordination/quota/guarantee.go
@@ -23,8 +23,8 @@
 	}
 	team, teamUsage := &g.view.Teams[job.TeamIndex], &g.claimed[job.Shard][job.TeamIndex]
 	teamUsage.Add(job, float64(remaining))
-	if !team.HasGuarantee || teamUsage.CPUs > g.view.QuotaShare(team, job.Shard, team.GuaranteedCPUs)+storage.RoundingTolerance {
+	if !team.HasGuarantee || teamUsage.CPUs > g.view.ShardQuota(team, job.Shard, team.GuaranteedCPUs)+storage.RoundingTolerance {
 		return false
 	}
-	return job.GPUs == 0 || teamUsage.GPUs <= g.view.QuotaShare(team, job.Shard, team.GuaranteedGPUs)+storage.RoundingTolerance
+	return job.GPUs == 0 || teamUsage.GPUs <= g.view.ShardQuota(team, job.Shard, team.GuaranteedGPUs)+storage.RoundingTolerance
 }
--- a/internal/coordination/quota/quota.go
+++ b/internal/coordination/quota/quota.go
@@ -33,8 +33,8 @@
 // WithinShardQuota reports whether a team's usage in a job shard is within the shard's part of
 // the team's maximum.
 func WithinShardQuota(view *storage.View, team *storage.Team, shard int, usage Usage) bool {
-	return WithinPart(usage.CPUs, team.MaxCPUs, view.QuotaShare(team, shard, team.MaxCPUs)) &&
-		WithinPart(usage.GPUs, team.MaxGPUs, view.QuotaShare(team, shard, team.MaxGPUs))
+	return WithinPart(usage.CPUs, team.MaxCPUs, view.ShardQuota(team, shard, team.MaxCPUs)) &&
+		WithinPart(usage.GPUs, team.MaxGPUs, view.ShardQuota(team, shard, team.MaxGPUs))
 }
 
 // guaranteedFraction returns a team's guarantee as a fraction of its maximum, in units of
--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -175,7 +175,7 @@
 // guaranteedCPUs returns a shard's part of the CPUs that a team is guaranteed.
 func (p *placer) guaranteedCPUs(team, shard int) float64 {
 	view := p.reconciler.View
-	return view.QuotaShare(&view.Teams[team], shard, view.Teams[team].GuaranteedCPUs)
+	return view.ShardQuota(&view.Teams[team], shard, view.Teams[team].GuaranteedCPUs)
 }
 
 // NextAttemptNumber returns a number above that of every earlier attempt.
--- a/internal/coordination/reconcile/reconciler.go
+++ b/internal/coordination/reconcile/reconciler.go
@@ -102,7 +102,7 @@
 	attempt.job.References--
 	attempt.progress.attempts--
 	attempt.progress.nextTask = min(attempt.progress.nextTask, attempt.task)
-	r.View.ForgetJob(attempt.job)
+	r.View.DeleteJobIfUnreferenced(attempt.job)
 }
 
 // Tick does the periodic work: lease expiry, fencing of newly held agents, probes, due
--- a/internal/storage/catalogue.go
+++ b/internal/storage/catalogue.go
@@ -18,10 +18,10 @@
 	ZoneNames           Names
 }
 
-// MachineTypeID returns the index of a machine type. It adds the name if it is new, even if
+// MachineTypeIndex returns the index of a machine type. It adds the name if it is new, even if
 // the cloud does not offer such a type.
-func (c *Catalogue) MachineTypeID(name string) int {
-	index := c.MachineTypeNames.ID(name)
+func (c *Catalogue) MachineTypeIndex(name string) int {
+	index := c.MachineTypeNames.Index(name)
 	for len(c.MachineTypes) <= index {
 		c.MachineTypes = append(c.MachineTypes, protocol.MachineType{Name: c.MachineTypeNames.Name(len(c.MachineTypes))})
 	}
@@ -49,7 +49,7 @@
 	}
 	c.MachineTypesVersion = stored.version
 	for _, machineType := range catalogue.Types {
-		index := c.MachineTypeID(machineType.Name) // may extend MachineTypes
+		index := c.MachineTypeIndex(machineType.Name) // may extend MachineTypes
 		c.MachineTypes[index] = machineType
 	}
 	return nil
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -19,69 +19,69 @@
 		events func(v *testView)
 		want   string // of run-9
 	}{
-		{"no dependencies", func(v *testView) { v.accept("run-9") }, "runnable"},
-		{"an unfinished dependency", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1") }, "awaits dependencies"},
-		{"a dependency that ended, not known how", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.end("run-1") }, "awaits dependencies"},
-		{"a dependency that ended before", func(v *testView) { v.accept("run-9", "run-1") }, "awaits dependencies"},
-		{"a dependency that is done", func(v *testView) { v.accept("run-9", "run-1"); v.final("run-1", done, 0) }, "runnable"},
-		{"a dependency known to be done before its record is removed", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.final("run-1", done, 0) }, "runnable"},
-		{"one of two dependencies done", func(v *testView) { v.accept("run-9", "run-1", "run-2"); v.final("run-1", done, 0) }, "awaits dependencies"},
+		{"no dependencies", func(v *testView) { v.addJob("run-9") }, "runnable"},
+		{"an unfinished dependency", func(v *testView) { v.addJob("run-1"); v.addJob("run-9", "run-1") }, "awaits dependencies"},
+		{"a dependency that ended, not known how", func(v *testView) { v.addJob("run-1"); v.addJob("run-9", "run-1"); v.removeJobRecord("run-1") }, "awaits dependencies"},
+		{"a dependency that ended before", func(v *testView) { v.addJob("run-9", "run-1") }, "awaits dependencies"},
+		{"a dependency that is done", func(v *testView) { v.addJob("run-9", "run-1"); v.applyFinal("run-1", done, 0) }, "runnable"},
+		{"a dependency known to be done before its record is removed", func(v *testView) { v.addJob("run-1"); v.addJob("run-9", "run-1"); v.applyFinal("run-1", done, 0) }, "runnable"},
+		{"one of two dependencies done", func(v *testView) { v.addJob("run-9", "run-1", "run-2"); v.applyFinal("run-1", done, 0) }, "awaits dependencies"},
 		{"both dependencies done", func(v *testView) {
-			v.accept("run-9", "run-1", "run-2")
-			v.final("run-2", done, 0)
-			v.final("run-1", done, 0)
+			v.addJob("run-9", "run-1", "run-2")
+			v.applyFinal("run-2", done, 0)
+			v.applyFinal("run-1", done, 0)
 		}, "runnable"},
-		{"a dependency named twice and done", func(v *testView) { v.accept("run-9", "run-1", "run-1"); v.final("run-1", done, 0) }, "runnable"},
-		{"a cancelled dependency", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.final("run-1", cancelled, 0) }, "cancelled with run-1"},
+		{"a dependency named twice and done", func(v *testView) { v.addJob("run-9", "run-1", "run-1"); v.applyFinal("run-1", done, 0) }, "runnable"},
+		{"a cancelled dependency", func(v *testView) { v.addJob("run-1"); v.addJob("run-9", "run-1"); v.applyFinal("run-1", cancelled, 0) }, "cancelled with run-1"},
 		{"a dependency that another controller says it cancelled", func(v *testView) {
-			v.accept("run-1")
-			v.accept("run-9", "run-1")
+			v.addJob("run-1")
+			v.addJob("run-9", "run-1")
 			v.MarkCancelled("run-1")
 		}, "cancelled with run-1"},
 		{"a dependency that was cancelled before", func(v *testView) {
-			v.accept("run-1")
+			v.addJob("run-1")
 			v.MarkCancelled("run-1")
-			v.accept("run-9", "run-1")
+			v.addJob("run-9", "run-1")
 		}, "cancelled with run-1"},
 		{"a cancelled dependency beside one that is done", func(v *testView) {
-			v.accept("run-9", "run-1", "run-2")
-			v.final("run-1", done, 0)
-			v.final("run-2", cancelled, 0)
+			v.addJob("run-9", "run-1", "run-2")
+			v.applyFinal("run-1", done, 0)
+			v.applyFinal("run-2", cancelled, 0)
 		}, "cancelled with run-2"},
 		{"a chain cancelled at its root", func(v *testView) {
-			v.accept("run-1")
-			v.accept("run-2", "run-1")
-			v.accept("run-3", "run-2")
-			v.accept("run-9", "run-3")
-			v.final("run-1", cancelled, 0)
+			v.addJob("run-1")
+			v.addJob("run-2", "run-1")
+			v.addJob("run-3", "run-2")
+			v.addJob("run-9", "run-3")
+			v.applyFinal("run-1", cancelled, 0)
 		}, "cancelled with run-1"},
 		{"a chain that was cancelled before its last job came", func(v *testView) {
-			v.accept("run-1")
-			v.accept("run-2", "run-1")
-			v.final("run-1", cancelled, 0)
-			v.accept("run-9", "run-2")
+			v.addJob("run-1")
+			v.addJob("run-2", "run-1")
+			v.applyFinal("run-1", cancelled, 0)
+			v.addJob("run-9", "run-2")
 		}, "cancelled with run-1"},
 		{"a chain in which the one between has its final record by now", func(v *testView) {
-			v.accept("run-1")
-			v.accept("run-2", "run-1")
-			v.final("run-1", cancelled, 0)
-			v.end("run-2")
-			v.accept("run-9", "run-2")
+			v.addJob("run-1")
+			v.addJob("run-2", "run-1")
+			v.applyFinal("run-1", cancelled, 0)
+			v.removeJobRecord("run-2")
+			v.addJob("run-9", "run-2")
 		}, "awaits dependencies"}, // nothing depended on it, so how it ended is read anew
 		{"records read in the order of their names", func(v *testView) {
-			v.accept("run-9", "run-95")
-			v.accept("run-95", "run-96")
-			v.accept("run-96")
-			v.final("run-96", cancelled, 0)
+			v.addJob("run-9", "run-95")
+			v.addJob("run-95", "run-96")
+			v.addJob("run-96")
+			v.applyFinal("run-96", cancelled, 0)
 		}, "cancelled with run-96"},
 		{"a diamond with one side done", func(v *testView) {
-			v.accept("run-2", "run-1")
-			v.accept("run-3", "run-1")
-			v.accept("run-9", "run-2", "run-3")
-			v.final("run-1", done, 0)
-			v.final("run-2", done, 0)
+			v.addJob("run-2", "run-1")
+			v.addJob("run-3", "run-1")
+			v.addJob("run-9", "run-2", "run-3")
+			v.applyFinal("run-1", done, 0)
+			v.applyFinal("run-2", done, 0)
 		}, "awaits dependencies"},
-		{"its own user cancels it", func(v *testView) { v.accept("run-9", "run-1"); v.MarkCancelled("run-9") }, "awaits dependencies"}, // and it is not active: Runnable says so
+		{"its own user cancels it", func(v *testView) { v.addJob("run-9", "run-1"); v.MarkCancelled("run-9") }, "awaits dependencies"}, // and it is not active: Runnable says so
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := newTestView(t, 1)
@@ -97,12 +97,12 @@
 // cancelled. There is one final record; what is said against it later changes nothing.
 func TestFirstFinalRecordDecides(t *testing.T) {
 	v := newTestView(t, 1)
-	v.accept("run-1")
-	v.accept("run-2", "run-1")
-	if released, _ := v.final("run-1", protocol.StageDone, 0); !slices.Equal(released, []string{"run-2"}) {
+	v.addJob("run-1")
+	v.addJob("run-2", "run-1")
+	if released, _ := v.applyFinal("run-1", protocol.StageDone, 0); !slices.Equal(released, []string{"run-2"}) {
 		t.Errorf("released: %v", released)
 	}
-	if _, cancelled := v.final("run-1", protocol.StageCancelled, 0); len(cancelled) > 0 || v.state("run-2") != "runnable" {
+	if _, cancelled := v.applyFinal("run-1", protocol.StageCancelled, 0); len(cancelled) > 0 || v.state("run-2") != "runnable" {
 		t.Errorf("cancelled: %v, it %s", cancelled, v.state("run-2"))
 	}
 }
@@ -111,15 +111,15 @@
 // Versions before 0.2 wrote none into the final record.
 func TestReadyTime(t *testing.T) {
 	v := newTestView(t, 1)
-	v.accept("run-9", "run-1", "run-2", "run-3")
-	v.final("run-1", protocol.StageDone, 5000)
-	v.final("run-2", protocol.StageDone, 3000)
-	v.final("run-3", protocol.StageDone, 0)
+	v.addJob("run-9", "run-1", "run-2", "run-3")
+	v.applyFinal("run-1", protocol.StageDone, 5000)
+	v.applyFinal("run-2", protocol.StageDone, 3000)
+	v.applyFinal("run-3", protocol.StageDone, 0)
 	_, j := v.Jobs.Find("run-9")
 	if j.ReadyAtMS() != 5000 {
 		t.Errorf("ready at %d", j.ReadyAtMS())
 	}
-	v.accept("run-8", "run-3")
+	v.addJob("run-8", "run-3")
 	if _, j := v.Jobs.Find("run-8"); j.ReadyAtMS() != j.SubmittedAtMS {
 		t.Errorf("ready at %d", j.ReadyAtMS())
 	}
@@ -129,28 +129,28 @@
 // others depend on, each once; and those on which it depends whether a job is cancelled.
 func TestUnreadOutcomes(t *testing.T) {
 	v := newTestView(t, 1)
-	v.accept("run-1")
-	v.accept("run-2", "run-1")
-	v.accept("run-3", "run-2")
-	v.accept("run-4", "run-2", "run-5")
+	v.addJob("run-1")
+	v.addJob("run-2", "run-1")
+	v.addJob("run-3", "run-2")
+	v.addJob("run-4", "run-2", "run-5")
 	_, third := v.Jobs.Find("run-3")
-	if got := ids(v.UnreadOutcomes()); !slices.Equal(got, []string{"run-5"}) {
+	if got := jobIDs(v.UnreadOutcomes()); !slices.Equal(got, []string{"run-5"}) {
 		t.Errorf("wanted: %v", got)
 	}
 	if got := v.UnreadOutcomesUpstream(third); len(got) > 0 {
-		t.Errorf("wanted for run-3: %v", ids(got))
+		t.Errorf("wanted for run-3: %v", jobIDs(got))
 	}
-	v.end("run-1")
-	if got := ids(v.UnreadOutcomesUpstream(third)); !slices.Equal(got, []string{"run-1"}) {
+	v.removeJobRecord("run-1")
+	if got := jobIDs(v.UnreadOutcomesUpstream(third)); !slices.Equal(got, []string{"run-1"}) {
 		t.Errorf("wanted for run-3: %v", got)
 	}
-	v.end("run-2")
-	if got := ids(v.UnreadOutcomes()); !slices.Equal(got, []string{"run-2", "run-5"}) {
+	v.removeJobRecord("run-2")
+	if got := jobIDs(v.UnreadOutcomes()); !slices.Equal(got, []string{"run-2", "run-5"}) {
 		t.Errorf("wanted: %v", got) // nothing depends on run-1 any more
 	}
-	v.end("run-3")
-	v.end("run-4")
-	if got := ids(v.UnreadOutcomes()); len(got) > 0 {
+	v.removeJobRecord("run-3")
+	v.removeJobRecord("run-4")
+	if got := jobIDs(v.UnreadOutcomes()); len(got) > 0 {
 		t.Errorf("wanted: %v", got)
 	}
 	v.Jobs.All(func(_ int, j *Job) { t.Errorf("%s is not forgotten", j.ID) })
@@ -160,21 +160,21 @@
 // that says of it is known without reading its final record.
 func TestCancelledJobEnds(t *testing.T) {
 	v := newTestView(t, 1)
-	v.accept("run-1")
-	v.accept("run-2", "run-1")
-	v.accept("run-3", "run-2")
-	v.final("run-1", protocol.StageCancelled, 0)
-	if got := ids(v.CancelledDependents()); !slices.Equal(got, []string{"run-2", "run-3"}) {
+	v.addJob("run-1")
+	v.addJob("run-2", "run-1")
+	v.addJob("run-3", "run-2")
+	v.applyFinal("run-1", protocol.StageCancelled, 0)
+	if got := jobIDs(v.CancelledDependents()); !slices.Equal(got, []string{"run-2", "run-3"}) {
 		t.Errorf("final records to write: %v", got)
 	}
-	v.end("run-2")
-	if got := ids(v.CancelledDependents()); !slices.Equal(got, []string{"run-3"}) {
+	v.removeJobRecord("run-2")
+	if got := jobIDs(v.CancelledDependents()); !slices.Equal(got, []string{"run-3"}) {
 		t.Errorf("final records to write: %v", got)
 	}
 	if got := v.UnreadOutcomes(); len(got) > 0 {
-		t.Errorf("wanted: %v", ids(got))
+		t.Errorf("wanted: %v", jobIDs(got))
 	}
-	v.accept("run-4", "run-2")
+	v.addJob("run-4", "run-2")
 	if got := v.state("run-4"); !strings.HasPrefix(got, "cancelled") {
 		t.Errorf("run-4 %s", got)
 	}
@@ -201,7 +201,7 @@
 			p.dependencies[id] = append(p.dependencies[id], pipelineJob(p.random.IntN(i)))
 		}
 	}
-	p.live.accept(id, p.dependencies[id]...)
+	p.live.addJob(id, p.dependencies[id]...)
 }
 
 // endJob ends a job, if it is unfinished, in one of the ways in which it can end.
@@ -215,11 +215,11 @@
 	}
 	p.finals[id] = stage
 	if p.random.IntN(2) == 0 { // the final record is known before or after the job's record is removed
-		p.live.final(id, stage, 0)
-		p.live.end(id)
+		p.live.applyFinal(id, stage, 0)
+		p.live.removeJobRecord(id)
 	} else {
-		p.live.end(id)
-		p.live.final(id, stage, 0)
+		p.live.removeJobRecord(id)
+		p.live.applyFinal(id, stage, 0)
 	}
 }
 
@@ -227,7 +227,7 @@
 func (p *randomPipelines) readOutcomes(v *testView) {
 	for unread := v.UnreadOutcomes(); len(unread) > 0; unread = v.UnreadOutcomes() {
 		for _, j := range unread {
-			v.final(j.ID, p.finals[j.ID], 0)
+			v.applyFinal(j.ID, p.finals[j.ID], 0)
 		}
 	}
 }
@@ -246,7 +246,7 @@
 		started := newTestView(t, 1)
 		for _, i := range random.Perm(pipelineJobs) {
 			if id := pipelineJob(i); p.finals[id] == "" {
-				started.accept(id, p.dependencies[id]...)
+				started.addJob(id, p.dependencies[id]...)
 			}
 		}
 		p.readOutcomes(started)
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -23,7 +23,7 @@
 //     that says whether the job was done or cancelled. Final records are not part of the
 //     View; those of jobs that others depend on are read one by one (View.SetOutcome).
 //   - deleted: no record, intent, completion, attempt or dependent names the ended job
-//     any more; its row and its index are free (View.ForgetJob).
+//     any more; its row and its index are free (View.DeleteJobIfUnreferenced).
 //
 // A row without a record is therefore either an ended job or a job that another record
 // named before the job's own record was read.
--- a/internal/storage/helpers_test.go
+++ b/internal/storage/helpers_test.go
@@ -39,26 +39,26 @@
 	return protocol.JobSpec{ID: id, Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: tasks, CPUs: 1}
 }
 
-// accept applies the record of a job with one task.
-func (v *testView) accept(id string, dependencies ...string) {
+// addJob applies the record of a job with one task.
+func (v *testView) addJob(id string, dependencies ...string) {
 	v.t.Helper()
 	s := spec(id, 1)
 	s.Dependencies = dependencies
 	v.put(JobKey(id), JobRecord{SubmittedAtMS: 1000, Spec: s})
 }
 
-// end applies the removal of a job's record without a final record.
-func (v *testView) end(id string) { v.remove(JobKey(id)) }
+// removeJobRecord applies the removal of a job's record without a final record.
+func (v *testView) removeJobRecord(id string) { v.remove(JobKey(id)) }
 
-// final applies the final record of a job and returns the sorted IDs of the jobs that it
+// applyFinal applies the final record of a job and returns the sorted IDs of the jobs that it
 // releases and cancels.
-func (v *testView) final(id, stage string, atMS int64) (released, cancelled []string) {
+func (v *testView) applyFinal(id, stage string, atMS int64) (released, cancelled []string) {
 	releasedJobs, cancelledJobs := v.SetOutcome(id, FinalRecord{Stage: stage, EndedAtMS: atMS})
-	return ids(releasedJobs), ids(cancelledJobs)
+	return jobIDs(releasedJobs), jobIDs(cancelledJobs)
 }
 
-// ids returns the IDs of jobs, sorted.
-func ids(jobs []*Job) []string {
+// jobIDs returns the IDs of jobs, sorted.
+func jobIDs(jobs []*Job) []string {
 	var list []string
 	for _, j := range jobs {
 		list = append(list, j.ID)
--- a/internal/storage/intents.go
+++ b/internal/storage/intents.go
@@ -112,8 +112,8 @@
 			if err != nil {
 				return nil, err
 			}
-			task := TaskRef{v.job(jobID).Index, planned.task}
-			entries = append(entries, intentEntry{v.machine(planned.machine), task, planned.attempt})
+			task := TaskRef{v.findOrAddJob(jobID).Index, planned.task}
+			entries = append(entries, intentEntry{v.findOrAddMachine(planned.machine), task, planned.attempt})
 		}
 	}
 	return entries, nil
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	if j := v.job(jobID); j.Ended() && j.TeamIndex < 0 {
+	if j := v.findOrAddJob(jobID); j.Ended() && j.TeamIndex < 0 {
 		j.Team, j.TeamIndex = header.team, v.TeamNames.Lookup(header.team)
 		j.CPUs, j.GPUs, j.MemoryGB = header.cpus, header.gpus, header.memoryGB
 	}
@@ -159,10 +159,10 @@
 		intent.entries--
 		if intent.entries <= 0 {
 			delete(entry.machine.Intents, entry.task)
-			v.forgetMachine(entry.machine)
+			v.deleteMachineIfUnreferenced(entry.machine)
 		} else {
 			entry.machine.Intents[entry.task] = intent
 		}
 	}
-	v.ForgetJob(j)
+	v.DeleteJobIfUnreferenced(j)
 }
--- a/internal/storage/job.go
+++ b/internal/storage/job.go
@@ -14,7 +14,7 @@
 	SubmittedAtMS int64
 	Shard         int // the job shard that owns it; -1 while not decided, see ShardAssignment.shardOf
 	// References counts the attempts and completion page chunks that refer to the row. The
-	// index is not reused while the count is above 0; see View.ForgetJob.
+	// index is not reused while the count is above 0; see View.DeleteJobIfUnreferenced.
 	References int
 	// CancellationConfirmed is set when the controller that made the cancellation durable
 	// has reported it. The change stream reports the removal of the job's record later,
@@ -46,8 +46,8 @@
 // IsService reports whether the job's tasks run until it is cancelled.
 func (j *Job) IsService() bool { return j.Kind == protocol.KindService }
 
-// job returns the row of a job, and adds one if the ID is new.
-func (v *View) job(id string) *Job {
+// findOrAddJob returns the row of a job, and adds one if the ID is new.
+func (v *View) findOrAddJob(id string) *Job {
 	if _, j := v.Jobs.Find(id); j != nil {
 		return j
 	}
@@ -58,7 +58,7 @@
 }
 
 func (v *View) applyJob(stored storedRecord) error {
-	j := v.job(stored.name)
+	j := v.findOrAddJob(stored.name)
 	record, newer, err := decodeNewer[JobRecord](stored, j.Version)
 	if newer {
 		v.setJob(j, record, stored.version)
@@ -70,14 +70,14 @@
 	spec := &record.Spec
 	j.JobSpec, j.SubmittedAtMS, j.Version = *spec, record.SubmittedAtMS, version
 	j.TeamIndex = v.TeamNames.Lookup(spec.Team)
-	j.ImageIndex = v.ImageNames.ID(spec.Image)
+	j.ImageIndex = v.ImageNames.Index(spec.Image)
 	j.ZoneIndex = -1
 	if spec.Zone != "" {
-		j.ZoneIndex = v.ZoneNames.ID(spec.Zone)
+		j.ZoneIndex = v.ZoneNames.Index(spec.Zone)
 	}
 	j.MachineTypeIndices = nil
 	for _, name := range spec.Types {
-		j.MachineTypeIndices = append(j.MachineTypeIndices, v.MachineTypeID(name))
+		j.MachineTypeIndices = append(j.MachineTypeIndices, v.MachineTypeIndex(name))
 	}
 	j.Shard = v.shardOf(j)
 	v.JobsAdded++
@@ -92,12 +92,12 @@
 	j.Version = 0
 	v.JobsEnded++
 	v.endJob(j)
-	v.ForgetJob(j)
+	v.DeleteJobIfUnreferenced(j)
 }
 
-// ForgetJob deletes the row of a job that has ended if no record, attempt or dependent
+// DeleteJobIfUnreferenced deletes the row of a job that has ended if no record, attempt or dependent
 // refers to the job any more. Callers that decrement Job.References must call it.
-func (v *View) ForgetJob(j *Job) {
+func (v *View) DeleteJobIfUnreferenced(j *Job) {
 	if j.Ended() && len(j.IntendedTasks) == 0 && j.References == 0 && !j.HasDependents() {
 		v.Jobs.Delete(j.ID)
 	}
--- a/internal/storage/job_test.go
+++ b/internal/storage/job_test.go
@@ -16,7 +16,7 @@
 	v.put(IntentPageKey(PageID{}), IntentPage{"run-1": {IntentEntry(1, "m-1", 5)}})
 	j := v.findJob("run-1")
 	j.References++
-	v.end("run-1")
+	v.removeJobRecord("run-1")
 	if !j.Ended() || !v.HasStaleCompletions(PageID{}) {
 		t.Fatalf("ended %t, stale %t", j.Ended(), v.HasStaleCompletions(PageID{}))
 	}
@@ -26,7 +26,7 @@
 		t.Fatal("row was deleted while an attempt refers to it")
 	}
 	j.References--
-	v.ForgetJob(j)
+	v.DeleteJobIfUnreferenced(j)
 	if id, _ := v.Jobs.Find("run-1"); id >= 0 {
 		t.Error("row was not deleted with the last reference")
 	}
@@ -36,7 +36,7 @@
 // empty list of machine types becomes nil.
 func TestJobRow(t *testing.T) {
 	v := newTestView(t, 1)
-	v.accept("run-1")
+	v.addJob("run-1")
 	if j := v.findJob("run-1"); j.TeamIndex != 0 || j.ZoneIndex != -1 || j.MachineTypeIndices != nil || j.SubmittedAtMS != 1000 || j.Shard != -1 {
 		t.Errorf("%+v", j)
 	}
@@ -90,7 +90,7 @@
 		service.Kind = protocol.KindService
 		v.put(JobKey(service.ID), JobRecord{Spec: service})
 	}
-	v.accept("run-1")
+	v.addJob("run-1")
 	unknownTeam := spec("run-2", 1)
 	unknownTeam.Team = "none"
 	v.put(JobKey("run-2"), JobRecord{Spec: unknownTeam})
@@ -122,8 +122,8 @@
 // dependents while they are active.
 func TestEffectiveRank(t *testing.T) {
 	v := newTestView(t, 1)
-	v.accept("run-1")
-	v.accept("run-2", "run-1")
+	v.addJob("run-1")
+	v.addJob("run-2", "run-1")
 	first := v.findJob("run-1")
 	own := first.Rank()
 	if got := v.EffectiveRank(first); got != own {
@@ -142,11 +142,11 @@
 		t.Errorf("rank %d when computed again", got)
 	}
 	v.MarkCancelled("run-3")
-	v.accept("run-4") // the cached rank is recomputed after the next change of the view
+	v.addJob("run-4") // the cached rank is recomputed after the next change of the view
 	if got := v.EffectiveRank(first); got != own {
 		t.Errorf("rank %d after the urgent job was cancelled, own rank is %d", got, own)
 	}
-	v.end("run-3")
+	v.removeJobRecord("run-3")
 	if got := v.EffectiveRank(first); got != own {
 		t.Errorf("rank %d after the urgent job ended, own rank is %d", got, own)
 	}
--- a/internal/storage/machine.go
+++ b/internal/storage/machine.go
@@ -41,8 +41,8 @@
 	return slices.ContainsFunc(g.Machines, func(entry MachineEntry) bool { return entry.Name == machine })
 }
 
-// machine returns the row of a machine, and adds one if the name is new.
-func (v *View) machine(name string) *Machine {
+// findOrAddMachine returns the row of a machine, and adds one if the name is new.
+func (v *View) findOrAddMachine(name string) *Machine {
 	if _, m := v.Machines.Find(name); m != nil {
 		return m
 	}
@@ -51,8 +51,8 @@
 	return m
 }
 
-// forgetMachine deletes the row of a machine if no group or intent names the machine.
-func (v *View) forgetMachine(m *Machine) {
+// deleteMachineIfUnreferenced deletes the row of a machine if no group or intent names the machine.
+func (v *View) deleteMachineIfUnreferenced(m *Machine) {
 	if m.Group == "" && len(m.Intents) == 0 {
 		v.Machines.Delete(m.Name)
 	}
@@ -93,7 +93,7 @@
 
 // setMachine updates the row of a machine from its group and its entry in the group.
 func (v *View) setMachine(groupID string, group *MachineGroup, entry *MachineEntry) {
-	row := v.machine(entry.Name)
+	row := v.findOrAddMachine(entry.Name)
 	row.MachineEntry = *entry
 	if row.Phase == "" {
 		row.Phase = PhaseActive
@@ -102,7 +102,7 @@
 	row.Type, row.Zone, row.Spot = group.Type, group.Zone, group.Spot
 	row.Shard, row.FencingToken = group.Shard, group.FencingToken
 	row.RentedAtMS = group.RentedAtMS
-	row.TypeIndex, row.ZoneIndex = v.MachineTypeID(group.Type), v.ZoneNames.ID(group.Zone)
+	row.TypeIndex, row.ZoneIndex = v.MachineTypeIndex(group.Type), v.ZoneNames.Index(group.Zone)
 }
 
 // removeMissingMachines marks machines that only the old record of a group names as deleted
@@ -115,7 +115,7 @@
 		}
 		if _, m := v.Machines.Find(name); m != nil && m.Group == groupID {
 			m.Group, m.Phase = "", PhaseDeleted
-			v.forgetMachine(m)
+			v.deleteMachineIfUnreferenced(m)
 		}
 	}
 }
--- a/internal/storage/quotas.go
+++ b/internal/storage/quotas.go
@@ -26,7 +26,7 @@
 	quotas := Quotas{Teams: teams}
 	for i := range teams {
 		team := &teams[i]
-		quotas.TeamNames.ID(team.Name)
+		quotas.TeamNames.Index(team.Name)
 		team.HasGuarantee = team.GuaranteedCPUs > 0 || team.GuaranteedGPUs > 0
 	}
 	return quotas
@@ -44,10 +44,10 @@
 	return nil
 }
 
-// QuotaShare returns a job shard's part of an amount of a team's quota. The part is the
+// ShardQuota returns a job shard's part of an amount of a team's quota. The part is the
 // whole amount if there is at most one job shard, and 0 if there are several and the quota
 // has not been split yet.
-func (v *View) QuotaShare(team *Team, jobShard int, amount float64) float64 {
+func (v *View) ShardQuota(team *Team, jobShard int, amount float64) float64 {
 	if v.JobShards <= 1 {
 		return amount
 	}
--- a/internal/storage/quotas_test.go
+++ b/internal/storage/quotas_test.go
@@ -12,7 +12,7 @@
 	}
 	check := func(step string, jobShard int, want float64) {
 		t.Helper()
-		if got := v.QuotaShare(red, jobShard, 100); got != want {
+		if got := v.ShardQuota(red, jobShard, 100); got != want {
 			t.Errorf("%s: job shard %d has %v, want %v", step, jobShard, got, want)
 		}
 	}
--- a/internal/storage/table.go
+++ b/internal/storage/table.go
@@ -7,8 +7,8 @@
 	names   []string
 }
 
-// ID returns the index of a name, and adds the name if it is new.
-func (n *Names) ID(name string) int {
+// Index returns the index of a name, and adds the name if it is new.
+func (n *Names) Index(name string) int {
 	if index, ok := n.indices[name]; ok {
 		return index
 	}
--- a/internal/storage/table_test.go
+++ b/internal/storage/table_test.go
@@ -11,7 +11,7 @@
 	if names.Lookup("a") != -1 || names.Name(0) != "" || names.Len() != 0 {
 		t.Error("the zero value is not empty")
 	}
-	if a, b := names.ID("a"), names.ID("b"); a != 0 || b != 1 || names.ID("a") != 0 || names.Lookup("b") != 1 {
+	if a, b := names.Index("a"), names.Index("b"); a != 0 || b != 1 || names.Index("a") != 0 || names.Lookup("b") != 1 {
 		t.Errorf("indices %d and %d", a, b)
 	}
 	if names.Name(1) != "b" || names.Name(2) != "" || names.Name(-1) != "" || names.Len() != 2 {
