--- a/internal/storage/codec.go
+++ b/internal/storage/codec.go
@@ -9,8 +9,8 @@
 	"rockrun/internal/protocol"
 )
 
-// Encode turns a record into the value that is stored. Records hold nothing that can't be
-// encoded, so that a failure is a fault of the program and panics.
+// Encode returns the stored value of a record. Every record type can be encoded, so a
+// failure is a programming error and panics.
 func Encode(record any) json.RawMessage {
 	data, err := json.Marshal(record)
 	if err != nil {
@@ -19,17 +19,17 @@
 	return data
 }
 
-// DecodeFinal reads the record of a job that has ended. Its error wraps the decoder's.
+// DecodeFinal decodes the final record of a job. Its error wraps the JSON decoder's error.
 func DecodeFinal(value json.RawMessage) (FinalRecord, error) {
 	var final FinalRecord
 	if err := json.Unmarshal(value, &final); err != nil {
-		return final, fmt.Errorf("final record: %w", err)
+		return final, fmt.Errorf("decode final record: %w", err)
 	}
 	return final, nil
 }
 
-// headerMark begins an entry of an IntentPage that is an IntentHeader.
-const headerMark = "@"
+// headerPrefix is the first character of an IntentPage entry that is an IntentHeader.
+const headerPrefix = "@"
 
 // intentHeader is a decoded IntentHeader.
 type intentHeader struct {
@@ -37,18 +37,18 @@
 	cpus, gpus, memoryGB float64
 }
 
-// IntentHeader encodes in an IntentPage whose quota a job's tasks count against and how
-// much each takes. The job's own record is gone once it is cancelled, while its tasks
-// may still be on machines that nobody can reach.
+// IntentHeader returns the IntentPage entry with the team whose quota a job's tasks count
+// against and the resources of each task. The record of a cancelled job is deleted while
+// its tasks may still be on unreachable machines, and the header preserves these values.
 func IntentHeader(team string, cpus, gpus, memoryGB float64) string {
-	number := func(amount float64) string { return " " + strconv.FormatFloat(amount, 'g', -1, 64) }
-	return headerMark + team + number(cpus) + number(gpus) + number(memoryGB)
+	formatAmount := func(amount float64) string { return " " + strconv.FormatFloat(amount, 'g', -1, 64) }
+	return headerPrefix + team + formatAmount(cpus) + formatAmount(gpus) + formatAmount(memoryGB)
 }
 
-// parseIntentHeader is the reverse of IntentHeader.
+// parseIntentHeader decodes an entry that IntentHeader returned.
 func parseIntentHeader(entry string) (intentHeader, error) {
-	parts := strings.Split(strings.TrimPrefix(entry, headerMark), " ")
-	firstAmount := len(parts) - 3 // a team's name may hold spaces
+	parts := strings.Split(strings.TrimPrefix(entry, headerPrefix), " ")
+	firstAmount := len(parts) - 3 // a team's name may contain spaces
 	if firstAmount < 1 {
 		return intentHeader{}, &MalformedError{What: "intent header", Text: entry}
 	}
@@ -62,40 +62,40 @@
 	return header, nil
 }
 
-// IntentEntry encodes an attempt in an IntentPage: the task's number, the machine, and
-// the number of the attempt in base 36.
+// IntentEntry returns the IntentPage entry of an attempt: the task number, the machine,
+// and the attempt number in base 36.
 func IntentEntry(task int, machine string, attempt uint64) string {
 	return strconv.Itoa(task) + " " + machine + " " + strconv.FormatUint(attempt, 36)
 }
 
-// plannedAttempt is a decoded IntentEntry.
-type plannedAttempt struct {
+// parsedIntent is a decoded IntentEntry.
+type parsedIntent struct {
 	task    int
 	machine string
 	attempt uint64
 }
 
-// parseIntentEntry is the reverse of IntentEntry.
-func parseIntentEntry(entry string) (plannedAttempt, error) {
+// parseIntentEntry decodes an entry that IntentEntry returned.
+func parseIntentEntry(entry string) (parsedIntent, error) {
 	taskText, rest, hasMachine := strings.Cut(entry, " ")
 	machine, attemptText, hasAttempt := strings.Cut(rest, " ")
 	task, taskErr := strconv.Atoi(taskText)
 	attempt, attemptErr := strconv.ParseUint(attemptText, 36, 64)
 	if !hasMachine || !hasAttempt || taskErr != nil || attemptErr != nil || task < 0 || task >= protocol.MaxTasks {
-		return plannedAttempt{}, &MalformedError{What: "intent", Text: entry}
+		return parsedIntent{}, &MalformedError{What: "intent", Text: entry}
 	}
-	return plannedAttempt{task, machine, attempt}, nil
+	return parsedIntent{task, machine, attempt}, nil
 }
 
-// TasksPerChunk is how many tasks one entry of a CompletionPage covers; an entry stays
-// below 1.4 KiB.
+// TasksPerChunk is the number of tasks that one entry of a CompletionPage covers. It keeps
+// an entry below 1.4 KiB.
 const TasksPerChunk = 8192
 
-// CompletionChunkName names a chunk of a job's tasks in a CompletionPage. Chunk 0 begins
-// with task 0, chunk 1 with task TasksPerChunk.
+// CompletionChunkName returns the name of a chunk of a job's tasks in a CompletionPage.
+// Chunk 0 begins with task 0, chunk 1 with task TasksPerChunk.
 func CompletionChunkName(id string, chunk int) string { return id + "/" + strconv.Itoa(chunk) }
 
-// parseCompletionChunkName is the reverse of CompletionChunkName.
+// parseCompletionChunkName parses a name that CompletionChunkName returned.
 func parseCompletionChunkName(name string) (id string, chunk int, err error) {
 	id, chunkText, ok := strings.Cut(name, "/")
 	chunk, chunkErr := strconv.Atoi(chunkText)
--- a/internal/storage/codec_test.go
+++ b/internal/storage/codec_test.go
@@ -7,8 +7,8 @@
 	"rockrun/internal/protocol"
 )
 
-// TestCodecs: what is encoded is decoded to the same.
-func TestCodecs(t *testing.T) {
+// TestCodecRoundTrip: what is encoded is decoded to the same.
+func TestCodecRoundTrip(t *testing.T) {
 	for _, want := range []PageID{{}, {Shard: 3, Page: 41}} {
 		if got, err := parsePagePath(want.path()); err != nil || got != want {
 			t.Errorf("%v became %v, %v", want, got, err)
@@ -20,7 +20,7 @@
 		}
 	}
 	const largest = ^uint64(0)
-	last := plannedAttempt{protocol.MaxTasks - 1, "m-1", largest}
+	last := parsedIntent{protocol.MaxTasks - 1, "m-1", largest}
 	if got, err := parseIntentEntry(IntentEntry(last.task, last.machine, last.attempt)); err != nil || got != last {
 		t.Errorf("%+v became %+v, %v", last, got, err)
 	}
--- a/internal/storage/completions.go
+++ b/internal/storage/completions.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// CompletionPageVersion returns the version of a page of completions, 0 if there is none.
+// CompletionPageVersion returns the version of a completion page, or 0 if there is no such page.
 func (v *View) CompletionPageVersion(id PageID) uint64 {
 	if page := v.completionPages[id]; page != nil {
 		return page.version
@@ -13,13 +13,13 @@
 	return 0
 }
 
-// HasStaleCompletions reports whether a page of completions names jobs that have ended.
+// HasStaleCompletions reports whether a completion page names jobs that have ended.
 func (v *View) HasStaleCompletions(id PageID) bool {
 	page := v.completionPages[id]
 	return page != nil && slices.ContainsFunc(page.entries, (*Job).Ended)
 }
 
-// EachCompletionPage calls visit for every page of completions of a shard, in no order.
+// EachCompletionPage calls visit for every completion page of a shard, in unspecified order.
 func (v *View) EachCompletionPage(shard int, visit func(page int)) {
 	for id := range v.completionPages {
 		if id.Shard == shard {
@@ -48,7 +48,7 @@
 func (v *View) removeCompletionPage(removal storedRecord) {
 	id, err := parsePagePath(removal.name)
 	if err != nil {
-		return // no such page was read
+		return // no page with a malformed key was applied
 	}
 	if page := v.completionPages[id]; page != nil && removal.version > page.version {
 		v.setCompletionPage(id, &recordPage[*Job]{})
@@ -56,9 +56,10 @@
 	}
 }
 
-// readCompletions takes in what a page says and returns its jobs, each once for every
-// chunk, with a reference counted for it. Records are read in the order of their keys, so
-// that a page can come before its jobs; what it says is kept for them.
+// readCompletions adds the completions of a page to the progress of its jobs. It returns
+// one job for each chunk and counts a reference to the job for each. Records are first read
+// in key order, so a page can be read before the records of its jobs; its completions are
+// then retained in new rows of the jobs.
 func (v *View) readCompletions(id PageID, record CompletionPage) (jobs []*Job, err error) {
 	for _, name := range slices.Sorted(maps.Keys(record)) {
 		jobID, chunk, err := parseCompletionChunkName(name)
@@ -74,7 +75,7 @@
 	return jobs, nil
 }
 
-// setCompletionPage replaces a page and gives up the references of the old one.
+// setCompletionPage replaces a page and releases the references that the old page counted.
 func (v *View) setCompletionPage(id PageID, page *recordPage[*Job]) {
 	old := v.completionPages[id]
 	v.completionPages[id] = page
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -6,61 +6,62 @@
 	"slices"
 )
 
-// A job may depend on others: none of its tasks starts before all of them are done, and
-// it is cancelled with any of them, directly or through others. Both follow from the
-// jobs' durable records alone: from the dependencies in the record of the one and the
-// final records of the others. Nothing else is stored of it, so there is nothing that
-// could disagree. Since no task of a job has started before its dependencies were done,
-// and what is done can't be cancelled any more, a job that is cancelled with another has
-// no task that would have to be stopped.
+// A job may depend on other jobs. None of its tasks starts before all dependencies are
+// done, and the job is cancelled with any direct or indirect dependency. Both rules are
+// evaluated from durable records alone: the dependencies in the job's own record and the
+// final records of the dependencies. No other dependency state is stored, so no stored
+// state can contradict the records. A job cancelled with a dependency has no task to stop,
+// because none of its tasks started before all dependencies were done, and a job that is
+// done can no longer be cancelled.
 //
-// Rows of jobs that have ended stay in the table for as long as an unfinished job depends
-// on them.
+// The row of an ended job stays in the table while an unfinished job depends on the job.
 
-// Outcome is what has become of a job.
+// Outcome is how a job ended, as far as the view knows.
 type Outcome int
 
 // Outcomes of jobs.
 const (
-	OutcomeOpen      Outcome = iota // it is unfinished, or its final record has not been read
-	OutcomeDone                     // all its tasks are done
-	OutcomeCancelled                // it was cancelled, by its user or with a job that it depends on
+	OutcomeUnknown   Outcome = iota // the job is unfinished, or its final record has not been read
+	OutcomeDone                     // all tasks of the job are done
+	OutcomeCancelled                // the job was cancelled by its user or with a dependency
 )
 
-// jobRelations are a job's relations to its dependencies and its dependents. Both lists
-// mirror each other: of a job in the dependencies of another, that one is a dependent.
+// jobRelations links a job to its dependencies and its dependents. The two lists mirror
+// each other: a job is among the dependents of each of its dependencies.
 type jobRelations struct {
-	dependencies        []*Job // without repeats; empty once the job has ended
-	dependents          []*Job // unfinished jobs that depend on this one
-	pendingDependencies int    // dependencies that are not known to be done
+	dependencies        []*Job // without duplicates; empty once the job has ended
+	dependents          []*Job // unfinished jobs that depend on this job
+	pendingDependencies int    // number of dependencies that are not known to be done
 	outcome             Outcome
-	endedAtMS           int64 // wall clock time of the end; 0: not known
-	// cancelledBy is the cancelled job that this one depends on, directly or through
-	// others.
+	endedAtMS           int64 // wall clock time of the end; 0: unknown
+	// cancelledBy is the cancelled job that this job directly or indirectly depends on, or
+	// nil.
 	cancelledBy *Job
 
 	inherited inheritedRank
 }
 
-// dependencyWork is what dependencies ask of the controller.
+// dependencyWork holds the jobs for which dependencies require an action of the controller.
 type dependencyWork struct {
-	unreadOutcomes      map[*Job]bool // ended jobs with dependents whose final records were not read
-	cancelledDependents map[*Job]bool // unfinished jobs that are cancelled with another
+	unreadOutcomes      map[*Job]bool // ended jobs that have dependents and an unread final record
+	cancelledDependents map[*Job]bool // unfinished jobs that are cancelled with a dependency
 }
 
-// AwaitsDependencies reports whether, as far as is known, some job that this one depends
-// on is not done.
+// AwaitsDependencies reports whether any job that this job depends on is not known to be
+// done.
 func (j *Job) AwaitsDependencies() bool { return j.pendingDependencies > 0 }
 
-// HasDependents reports whether an unfinished job depends on this one.
+// HasDependents reports whether an unfinished job depends on this job.
 func (j *Job) HasDependents() bool { return len(j.dependents) > 0 }
 
-// CancelledBy returns the cancelled job with which this one is cancelled, or nil.
+// CancelledBy returns the direct or indirect dependency with which this job is cancelled, or
+// nil.
 func (j *Job) CancelledBy() *Job { return j.cancelledBy }
 
-// ReadyAtMS is the wall clock time from which the job could start: when its last
-// dependency was done, or its submission. Final records written by versions before 0.2
-// say no time; those jobs ended before the submission of any that has dependencies.
+// ReadyAtMS returns the wall clock time from which the job could start: its submission or
+// the end of its last dependency, whichever is later. Final records written by versions
+// before 0.2 contain no time. The jobs of these records ended before any job with
+// dependencies was submitted, so their end times do not matter here.
 func (j *Job) ReadyAtMS() int64 {
 	ready := j.SubmittedAtMS
 	for _, dependency := range j.dependencies {
@@ -69,16 +70,18 @@
 	return ready
 }
 
-// cancelled reports whether the job is known to be cancelled, whether its own final
-// record is written by now or follows from that of another.
+// cancelled reports whether the job is known to be cancelled. The job's own final record
+// may not be written yet if the job is cancelled with a dependency.
 func (j *Job) cancelled() bool {
 	return j.CancellationConfirmed || j.outcome == OutcomeCancelled || j.cancelledBy != nil
 }
 
-// outcomeUnread reports whether the job has ended and a dependent waits to know how.
-func (j *Job) outcomeUnread() bool { return j.Ended() && j.outcome == OutcomeOpen && j.HasDependents() }
+// outcomeUnread reports whether the job has ended, has dependents and an unread final record.
+func (j *Job) outcomeUnread() bool {
+	return j.Ended() && j.outcome == OutcomeUnknown && j.HasDependents()
+}
 
-// linkDependencies takes in which jobs a job depends on.
+// linkDependencies replaces the dependencies of a job.
 func (v *View) linkDependencies(j *Job, ids []string) {
 	v.unlinkDependencies(j)
 	for _, id := range ids {
@@ -91,41 +94,41 @@
 		if dependency.outcome != OutcomeDone {
 			j.pendingDependencies++
 		}
-		v.noteUnread(dependency)
+		v.updateUnread(dependency)
 		if dependency.cancelled() {
 			v.cancelDependents(dependency)
 		}
 	}
-	v.noteUnread(j) // it was taken for one that has ended until its own record was read
+	v.updateUnread(j) // the job counted as ended until its own record was read
 	if j.cancelled() {
-		v.cancelDependents(j) // those whose records were read before this one
+		v.cancelDependents(j) // dependents whose records were read before this job's record
 	}
 }
 
-// unlinkDependencies takes back which jobs a job depends on.
+// unlinkDependencies removes the dependencies of a job.
 func (v *View) unlinkDependencies(j *Job) {
 	dependencies := j.dependencies
 	j.dependencies, j.pendingDependencies, j.cancelledBy = nil, 0, nil
 	delete(v.cancelledDependents, j)
 	for _, dependency := range dependencies {
 		dependency.dependents = slices.DeleteFunc(dependency.dependents, func(dependent *Job) bool { return dependent == j })
-		v.noteUnread(dependency)
+		v.updateUnread(dependency)
 		v.ForgetJob(dependency)
 	}
 }
 
-// endJob takes in that a job has ended. One that was known to be cancelled can't have
-// ended in any other way.
+// endJob records that a job has ended. A job that was known to be cancelled cannot have
+// ended in another way.
 func (v *View) endJob(j *Job) {
 	if j.cancelled() {
 		j.outcome = OutcomeCancelled
 	}
 	v.unlinkDependencies(j)
-	v.noteUnread(j)
+	v.updateUnread(j)
 }
 
-// noteUnread keeps the set of jobs whose final records are wanted.
-func (w *dependencyWork) noteUnread(j *Job) {
+// updateUnread adds a job to the unread outcomes or removes it, according to its state.
+func (w *dependencyWork) updateUnread(j *Job) {
 	if j.outcomeUnread() {
 		w.unreadOutcomes[j] = true
 	} else {
@@ -133,8 +136,9 @@
 	}
 }
 
-// MarkCancelled takes in that a job's cancellation is durable, ahead of the changes. It
-// returns the jobs that are cancelled with it and were not known to be.
+// MarkCancelled records that a job's cancellation is durable, before the view receives the
+// removal of the job's record. It returns the dependents that were not yet known to be
+// cancelled.
 func (v *View) MarkCancelled(id string) []*Job {
 	_, j := v.Jobs.Find(id)
 	if j == nil {
@@ -144,37 +148,37 @@
 	return v.cancelDependents(j)
 }
 
-// SetOutcome takes in the final record of a job, which is not among the changes. It
-// returns the jobs that can start now and those that are cancelled by it. Of a job, only
-// the first record counts, and of one without a row none.
+// SetOutcome applies the final record of a job; Apply does not receive final records. It
+// returns the jobs that can start now and the jobs that are cancelled as a result. Only the
+// first final record of a job has an effect, and only if the job has a row.
 func (v *View) SetOutcome(id string, final FinalRecord) (released, cancelled []*Job) {
 	_, j := v.Jobs.Find(id)
-	if j == nil || j.outcome != OutcomeOpen {
+	if j == nil || j.outcome != OutcomeUnknown {
 		return nil, nil
 	}
 	j.outcome, j.endedAtMS = final.outcome(), final.EndedAtMS
-	v.noteUnread(j)
+	v.updateUnread(j)
 	if j.outcome == OutcomeCancelled {
 		return nil, v.cancelDependents(j)
 	}
 	return v.releaseDependents(j), nil
 }
 
-// releaseDependents takes in that a job is done and returns the jobs that awaited only
-// this one.
+// releaseDependents removes a done job from the pending dependencies of its dependents. It
+// returns the dependents that have no pending dependency left.
 func (v *View) releaseDependents(j *Job) (released []*Job) {
 	for _, dependent := range j.dependents {
 		dependent.pendingDependencies--
 		if dependent.pendingDependencies == 0 {
 			released = append(released, dependent)
-			v.JobsAdded++ // its place in the order follows from this moment
+			v.JobsAdded++ // the job's position in the placement order depends on this time
 		}
 	}
 	return released
 }
 
-// cancelDependents marks all that depend on a cancelled job, directly or through others,
-// and returns those that were not marked before.
+// cancelDependents marks all direct and indirect dependents of a cancelled job and returns
+// the jobs that were not marked before.
 func (v *View) cancelDependents(root *Job) (marked []*Job) {
 	origin := root
 	if root.cancelledBy != nil {
@@ -194,20 +198,21 @@
 		}
 	}
 	if len(marked) > 0 {
-		v.JobsEnded++ // whoever keeps a list of what may run looks again
+		v.JobsEnded++ // invalidates lists of runnable jobs
 	}
 	return marked
 }
 
-// CancelledDependents lists by ID the unfinished jobs that are cancelled with one that
-// they depend on: their own final records are still to be written.
+// CancelledDependents returns, sorted by ID, the unfinished jobs that are cancelled with a
+// dependency. Their own final records are still to be written.
 func (w *dependencyWork) CancelledDependents() []*Job { return sortedJobs(w.cancelledDependents) }
 
-// UnreadOutcomes lists by ID the jobs that have ended and whose final records are wanted.
+// UnreadOutcomes returns, sorted by ID, the ended jobs that have dependents and an unread
+// final record.
 func (w *dependencyWork) UnreadOutcomes() []*Job { return sortedJobs(w.unreadOutcomes) }
 
-// UnreadOutcomesUpstream lists those of the UnreadOutcomes on which it depends whether a
-// job is cancelled, that job itself included.
+// UnreadOutcomesUpstream returns the unread outcomes that can decide whether a job is
+// cancelled: those of the job itself and of its direct and indirect dependencies.
 func (w *dependencyWork) UnreadOutcomesUpstream(j *Job) (unread []*Job) {
 	if len(w.unreadOutcomes) == 0 {
 		return nil
@@ -229,8 +234,8 @@
 	return unread
 }
 
-// sortedJobs lists a set of jobs in the order of their IDs: what a controller does must
-// follow from what it knows alone, not from the order of a map.
+// sortedJobs returns a set of jobs sorted by ID. The actions of a controller must depend on
+// its state alone, not on the iteration order of a map.
 func sortedJobs(set map[*Job]bool) []*Job {
 	return slices.SortedFunc(maps.Keys(set), func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -10,9 +10,9 @@
 	"rockrun/internal/protocol"
 )
 
-// TestDependencies: what follows for a job from the records of its dependencies, for
+// TestJobStateFollowsDependencies: what follows for a job from the records of its dependencies, for
 // every state that they can be in.
-func TestDependencies(t *testing.T) {
+func TestJobStateFollowsDependencies(t *testing.T) {
 	const done, cancelled = protocol.StageDone, protocol.StageCancelled
 	for _, c := range []struct {
 		name   string
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestFirstFinalRecordDecides: a dependency ends as done in the moment in which it is
+// TestFirstFinalRecordWins: a dependency ends as done in the moment in which it is
 // cancelled. There is one final record; what is said against it later changes nothing.
-func TestFirstFinalRecordDecides(t *testing.T) {
+func TestFirstFinalRecordWins(t *testing.T) {
 	v := newTestView(t, 1)
 	v.accept("run-1")
 	v.accept("run-2", "run-1")
@@ -156,9 +156,9 @@
 	v.Jobs.All(func(_ int, j *Job) { t.Errorf("%s is not forgotten", j.ID) })
 }
 
-// TestCancelledJobEnds: the record of a job that was cancelled with another is removed. What
+// TestCancelledDependentEnds: the record of a job that was cancelled with another is removed. What
 // that says of it is known without reading its final record.
-func TestCancelledJobEnds(t *testing.T) {
+func TestCancelledDependentEnds(t *testing.T) {
 	v := newTestView(t, 1)
 	v.accept("run-1")
 	v.accept("run-2", "run-1")
@@ -180,83 +180,83 @@
 	}
 }
 
-// randomPipelines are jobs with random dependencies on earlier ones, of which some end.
-type randomPipelines struct {
+// randomJobGraph are jobs with random dependencies on earlier ones, of which some end.
+type randomJobGraph struct {
 	random       *rand.Rand
-	live         *testView // has seen everything happen
+	incremental  *testView // has seen everything happen
 	dependencies map[string][]string
-	finals       map[string]string // by ended job: the stage of its final record
+	finalStages  map[string]string // by ended job: the stage of its final record
 }
 
-const pipelineJobs = 30
+const graphJobs = 30
 
-// pipelineJob is the ID of the job that came as the i-th; IDs are not in this order.
-func pipelineJob(i int) string { return fmt.Sprintf("run-%d", (i*37)%100) }
+// graphJobID is the ID of the job that came as the i-th; IDs are not in this order.
+func graphJobID(i int) string { return fmt.Sprintf("run-%d", (i*37)%100) }
 
 // addJob accepts a job that depends on up to two earlier ones.
-func (p *randomPipelines) addJob(i int) {
-	id := pipelineJob(i)
-	for range p.random.IntN(3) {
+func (graph *randomJobGraph) addJob(i int) {
+	id := graphJobID(i)
+	for range graph.random.IntN(3) {
 		if i > 0 {
-			p.dependencies[id] = append(p.dependencies[id], pipelineJob(p.random.IntN(i)))
+			graph.dependencies[id] = append(graph.dependencies[id], graphJobID(graph.random.IntN(i)))
 		}
 	}
-	p.live.accept(id, p.dependencies[id]...)
+	graph.incremental.accept(id, graph.dependencies[id]...)
 }
 
 // endJob ends a job, if it is unfinished, in one of the ways in which it can end.
-func (p *randomPipelines) endJob(id string) {
-	if _, j := p.live.Jobs.Find(id); j == nil || j.Ended() {
+func (graph *randomJobGraph) endJob(id string) {
+	if _, j := graph.incremental.Jobs.Find(id); j == nil || j.Ended() {
 		return
 	}
 	stage := protocol.StageCancelled
-	if p.live.state(id) == "runnable" && p.random.IntN(3) > 0 {
+	if graph.incremental.state(id) == "runnable" && graph.random.IntN(3) > 0 {
 		stage = protocol.StageDone
 	}
-	p.finals[id] = stage
-	if p.random.IntN(2) == 0 { // the final record is known before or after the job's record is removed
-		p.live.final(id, stage, 0)
-		p.live.end(id)
+	graph.finalStages[id] = stage
+	if graph.random.IntN(2) == 0 { // the final record is known before or after the job's record is removed
+		graph.incremental.final(id, stage, 0)
+		graph.incremental.end(id)
 	} else {
-		p.live.end(id)
-		p.live.final(id, stage, 0)
+		graph.incremental.end(id)
+		graph.incremental.final(id, stage, 0)
 	}
 }
 
 // readOutcomes gives a view all the final records that it wants.
-func (p *randomPipelines) readOutcomes(v *testView) {
+func (graph *randomJobGraph) readOutcomes(v *testView) {
 	for unread := v.UnreadOutcomes(); len(unread) > 0; unread = v.UnreadOutcomes() {
 		for _, j := range unread {
-			v.final(j.ID, p.finals[j.ID], 0)
+			v.final(j.ID, graph.finalStages[j.ID], 0)
 		}
 	}
 }
 
-// TestDependenciesInAnyOrder: a controller that has seen everything happen and one that
+// TestDependenciesInAnyReadOrder: a controller that has seen everything happen and one that
 // starts and reads what is left come to the same, for random graphs of jobs of which
 // some are done and some cancelled.
-func TestDependenciesInAnyOrder(t *testing.T) {
+func TestDependenciesInAnyReadOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 11))
-		p := randomPipelines{random: random, live: newTestView(t, 1), dependencies: map[string][]string{}, finals: map[string]string{}}
-		for i := range pipelineJobs {
-			p.addJob(i)
-			p.endJob(pipelineJob(random.IntN(i + 1)))
+		graph := randomJobGraph{random: random, incremental: newTestView(t, 1), dependencies: map[string][]string{}, finalStages: map[string]string{}}
+		for i := range graphJobs {
+			graph.addJob(i)
+			graph.endJob(graphJobID(random.IntN(i + 1)))
 		}
-		started := newTestView(t, 1)
-		for _, i := range random.Perm(pipelineJobs) {
-			if id := pipelineJob(i); p.finals[id] == "" {
-				started.accept(id, p.dependencies[id]...)
+		rebuilt := newTestView(t, 1)
+		for _, i := range random.Perm(graphJobs) {
+			if id := graphJobID(i); graph.finalStages[id] == "" {
+				rebuilt.accept(id, graph.dependencies[id]...)
 			}
 		}
-		p.readOutcomes(started)
-		p.readOutcomes(p.live)
-		for i := range pipelineJobs {
-			id := pipelineJob(i)
-			lived, _, _ := strings.Cut(p.live.state(id), " with")
-			read, _, _ := strings.Cut(started.state(id), " with")
-			if lived != read {
-				t.Fatalf("seed %d: %s is %s for who saw it all, %s for who starts", seed, id, lived, read)
+		graph.readOutcomes(rebuilt)
+		graph.readOutcomes(graph.incremental)
+		for i := range graphJobs {
+			id := graphJobID(i)
+			incrementalState, _, _ := strings.Cut(graph.incremental.state(id), " with")
+			rebuiltState, _, _ := strings.Cut(rebuilt.state(id), " with")
+			if incrementalState != rebuiltState {
+				t.Fatalf("seed %d: %s is %s for who saw it all, %s for who starts", seed, id, incrementalState, rebuiltState)
 			}
 		}
 	}
--- a/internal/storage/intents.go
+++ b/internal/storage/intents.go
@@ -8,21 +8,21 @@
 	"rockrun/internal/protocol"
 )
 
-// Intent is an attempt at a task that may be on a machine.
+// Intent is an attempt that may be on a machine.
 type Intent struct {
-	Attempt uint64
-	Page    int // of the shard's holder, the last read that names the attempt
-	entries int // that name it
+	Attempt    uint64
+	Page       int // number of the last applied page, written by the shard's holder, that names the attempt
+	entryCount int // number of page entries that name the attempt
 }
 
-// intentEntry is an entry of an IntentPage, with names turned into rows and indices.
+// intentEntry is an entry of an IntentPage, with names resolved to rows and indices.
 type intentEntry struct {
 	machine *Machine
 	task    TaskRef
 	attempt uint64
 }
 
-// IntentPageVersion returns the version of a page of intents, 0 if there is none.
+// IntentPageVersion returns the version of an intent page, or 0 if there is no such page.
 func (v *View) IntentPageVersion(id PageID) uint64 {
 	if page := v.intentPages[id]; page != nil {
 		return page.version
@@ -30,7 +30,8 @@
 	return 0
 }
 
-// IntentPagesNaming lists the pages of a shard that name a machine, in no order.
+// IntentPagesNaming returns the intent pages of a shard that name a machine, in unspecified
+// order.
 func (v *View) IntentPagesNaming(shard int, m *Machine) (pages []int) {
 	for id, page := range v.intentPages {
 		if id.Shard == shard && slices.ContainsFunc(page.entries, func(e intentEntry) bool { return e.machine == m }) {
@@ -40,8 +41,8 @@
 	return pages
 }
 
-// EachIntentPage calls visit for every page of intents of a shard, in no order, with the
-// number of its entries.
+// EachIntentPage calls visit for every intent page of a shard with the number of its
+// entries, in unspecified order.
 func (v *View) EachIntentPage(shard int, visit func(page, entries int)) {
 	for id, page := range v.intentPages {
 		if id.Shard == shard {
@@ -70,7 +71,7 @@
 func (v *View) removeIntentPage(removal storedRecord) {
 	id, err := parsePagePath(removal.name)
 	if err != nil {
-		return // no such page was read
+		return // no page with a malformed key was applied
 	}
 	if page := v.intentPages[id]; page != nil && removal.version > page.version {
 		v.setIntentPage(id, &recordPage[intentEntry]{})
@@ -78,8 +79,8 @@
 	}
 }
 
-// setIntentPage replaces a page of intents. What both pages name is never missing in
-// between.
+// setIntentPage replaces an intent page. It adds the new entries before it removes the old
+// entries, so that an attempt that both pages name is never missing in between.
 func (v *View) setIntentPage(id PageID, page *recordPage[intentEntry]) {
 	for _, entry := range page.entries {
 		v.addIntent(entry, id.Page)
@@ -94,33 +95,33 @@
 	}
 }
 
-// readIntents reads the entries of a page. An intent can outlive its job, and a job of
-// which only intents are known counts as ended.
+// readIntents decodes the entries of a page. An intent can outlive its job, so a job that is
+// known only from intents counts as ended.
 func (v *View) readIntents(record IntentPage) (entries []intentEntry, err error) {
 	for _, jobID := range slices.Sorted(maps.Keys(record)) {
 		if !protocol.ValidJobID(jobID) {
 			return nil, &MalformedError{What: "job ID", Text: jobID}
 		}
 		for _, text := range record[jobID] {
-			if strings.HasPrefix(text, headerMark) {
+			if strings.HasPrefix(text, headerPrefix) {
 				if err := v.readIntentHeader(jobID, text); err != nil {
 					return nil, err
 				}
 				continue
 			}
-			planned, err := parseIntentEntry(text)
+			parsed, err := parseIntentEntry(text)
 			if err != nil {
 				return nil, err
 			}
-			task := TaskRef{v.job(jobID).Index, planned.task}
-			entries = append(entries, intentEntry{v.machine(planned.machine), task, planned.attempt})
+			task := TaskRef{v.job(jobID).Index, parsed.task}
+			entries = append(entries, intentEntry{v.machine(parsed.machine), task, parsed.attempt})
 		}
 	}
 	return entries, nil
 }
 
-// readIntentHeader takes from a header what a job's tasks take, and of whose quota, where
-// nothing else tells.
+// readIntentHeader sets a job's team and the resources of its tasks from a header, unless
+// the job's own record was read.
 func (v *View) readIntentHeader(jobID, text string) error {
 	header, err := parseIntentHeader(text)
 	if err != nil {
@@ -133,10 +134,11 @@
 	return nil
 }
 
-// addIntent counts an entry of a page. A page that is left to empty can name an attempt
-// long after it has ended, and be read after the one that names the next attempt at the
-// same task there. Attempts rise, so the higher one is the one that may be running: taken
-// for the other, its task would be started a second time.
+// addIntent adds a page entry to the job and the machine. A page that only loses entries can
+// name an attempt long after the attempt has ended, and can be read after the page that
+// names the next attempt of the same task on the same machine. Attempt numbers increase, so
+// the attempt with the highest number is the one that may be running. If a lower number
+// replaced it, the task would be started a second time.
 func (v *View) addIntent(entry intentEntry, page int) {
 	v.Jobs.Get(entry.task.Job).countIntent(entry.task.Task, 1)
 	intent := entry.machine.Intents[entry.task]
@@ -147,17 +149,17 @@
 		intent = Intent{Attempt: entry.attempt}
 	}
 	intent.Page = page
-	intent.entries++
+	intent.entryCount++
 	entry.machine.Intents[entry.task] = intent
 }
 
-// removeIntent takes back an entry of a page that was replaced.
+// removeIntent removes an entry of a replaced page from the job and the machine.
 func (v *View) removeIntent(entry intentEntry) {
 	j := v.Jobs.Get(entry.task.Job)
 	j.countIntent(entry.task.Task, -1)
 	if intent := entry.machine.Intents[entry.task]; intent.Attempt == entry.attempt {
-		intent.entries--
-		if intent.entries <= 0 {
+		intent.entryCount--
+		if intent.entryCount <= 0 {
 			delete(entry.machine.Intents, entry.task)
 			v.forgetMachine(entry.machine)
 		} else {
--- a/internal/storage/intents_test.go
+++ b/internal/storage/intents_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestLaterAttempt: where two pages name attempts at the same task on the same machine,
+// TestHighestAttemptCounts: where two pages name attempts at the same task on the same machine,
 // the later attempt counts, in whichever order the pages are read, and until its own
 // page no longer names it.
-func TestLaterAttempt(t *testing.T) {
+func TestHighestAttemptCounts(t *testing.T) {
 	old, next := PageID{Page: 5}, PageID{Page: 2}
 	attempts := map[PageID]uint64{old: 7, next: 9}
 	for _, order := range [][]PageID{{old, next}, {next, old}} {
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestMovedIntent: an attempt that moves to another page is never missing, and its row
+// TestIntentMovesToAnotherPage: an attempt that moves to another page is never missing, and its row
 // of the machine goes with the last entry.
-func TestMovedIntent(t *testing.T) {
+func TestIntentMovesToAnotherPage(t *testing.T) {
 	v := newTestView(t, 1)
 	from, to := PageID{Page: 1}, PageID{Page: 2}
 	page := IntentPage{"run-1": {IntentEntry(3, "m-1", 7)}}
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Keys of durable records. All but the final ones are below Prefix, which every
-// controller follows; a job that has ended leaves it, so that what a starting
-// controller reads stays as small as the work at hand.
+// Keys of durable records. Every controller replicates the keys below Prefix. Only final
+// records have keys outside of Prefix: a job that ends leaves no record below Prefix, so that
+// the amount of data that a starting controller reads depends on the unfinished jobs alone.
 const (
 	Prefix           = "r/"
 	KeyLeader        = "r/leader"
@@ -47,12 +47,13 @@
 // FinalKey is the key of the FinalRecord of a job that has ended.
 func FinalKey(id string) string { return prefixFinal + id }
 
-// PageID names a page of intents or completions. Only the holder of the shard writes it.
+// PageID identifies an intent page or a completion page. Only the holder of the shard writes
+// the page.
 type PageID struct{ Shard, Page int }
 
 func (p PageID) path() string { return strconv.Itoa(p.Shard) + "/" + strconv.Itoa(p.Page) }
 
-// parsePagePath is the reverse of PageID.path.
+// parsePagePath parses a path that PageID.path returned.
 func parsePagePath(path string) (PageID, error) {
 	shardText, pageText, ok := strings.Cut(path, "/")
 	shard, shardErr := strconv.Atoi(shardText)
--- a/internal/storage/task_progress.go
+++ b/internal/storage/task_progress.go
@@ -2,27 +2,27 @@
 
 import "rockrun/internal/protocol"
 
-// TaskRef names a task by its job's index and its number.
+// TaskRef identifies a task by the index of its job and the task number.
 type TaskRef struct{ Job, Task int }
 
-// TaskProgress is which tasks of a job are completed, and which may be on machines.
+// TaskProgress records which tasks of a job are completed and which may be on machines.
 type TaskProgress struct {
-	Completed       TaskSet // durably; completed tasks stay so
+	Completed       TaskSet // durable; a completed task remains completed
 	CompletedCount  int
-	CompletionPages map[int]int // by chunk of tasks: the page that holds its completions
-	IntendedTasks   map[int]int // by task: how many entries of intents name it
+	CompletionPages map[int]int // by chunk of tasks: number of the completion page that contains the chunk
+	IntendedTasks   map[int]int // by task: number of intent page entries that name the task
 
-	intendedUncompleted int // tasks that intents name and that are not completed
+	intendedUncompleted int // number of uncompleted tasks that intents name
 }
 
 func newTaskProgress() TaskProgress {
 	return TaskProgress{CompletionPages: map[int]int{}, IntendedTasks: map[int]int{}}
 }
 
-// RunningTasks returns how many tasks that are not completed intents name.
+// RunningTasks returns the number of uncompleted tasks that intents name.
 func (p *TaskProgress) RunningTasks() int { return p.intendedUncompleted }
 
-// addCompleted takes in the completed tasks of a chunk.
+// addCompleted adds the completed tasks of a chunk.
 func (p *TaskProgress) addCompleted(chunk int, completed TaskSet) {
 	for i := range min(TasksPerChunk, len(completed)*8) {
 		task := chunk*TasksPerChunk + i
@@ -37,7 +37,8 @@
 	}
 }
 
-// countIntent counts one more (1) or one less (-1) entry of intents that names a task.
+// countIntent adds change, which is 1 or -1, to the number of intent page entries that name a
+// task.
 func (p *TaskProgress) countIntent(task, change int) {
 	before := p.IntendedTasks[task]
 	after := before + change
