--- a/internal/storage/decode_test.go
+++ b/internal/storage/decode_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Size of what TestDecodedRecordsSurviveGarbageCollection reads: pages of intents, each of so
-// many jobs of which one machine has so many tasks.
+// Size of the records that TestDecodedRecordsSurviveGarbageCollection decodes: the number of
+// intent pages, jobs per page, and tasks per job. All tasks of a job are on one machine.
 const samplePages, sampleJobsPerPage, sampleTasksPerJob = 60, 12, 20
 
 func sampleJobID(page, job int) string       { return fmt.Sprintf("run-%d", page*100+job) }
@@ -47,10 +47,10 @@
 	}
 }
 
-// TestDecodedRecordsSurviveGarbageCollection reads pages while the garbage collector runs
-// all the time, and looks at what was read afterwards. A JSON package that uses package
-// unsafe once left pointers to freed memory behind: the runtime ended the process, or
-// a page would have said something else than its record.
+// TestDecodedRecordsSurviveGarbageCollection decodes pages while the garbage collector runs
+// continuously, and then compares the view with the records. A JSON package that uses package
+// unsafe once left pointers to freed memory: the runtime terminated the process, and a decoded
+// page could have differed from its record.
 func TestDecodedRecordsSurviveGarbageCollection(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(1))
 	stop := collectGarbageContinuously()
@@ -65,11 +65,11 @@
 		for job := range sampleJobsPerPage {
 			m := v.findMachine(sampleMachineName(page, job))
 			if len(m.Intents) != sampleTasksPerJob {
-				t.Fatalf("page %d, job %d: %+v", page, job, m)
+				t.Fatalf("page %d, job %d: machine %+v", page, job, m)
 			}
 			for ref, intent := range m.Intents {
 				if intent.Attempt != sampleAttempt(ref.Task) || v.Jobs.Get(ref.Job).ID != sampleJobID(page, job) {
-					t.Errorf("page %d, job %d: %+v is %+v", page, job, ref, intent)
+					t.Errorf("page %d, job %d: task %+v has intent %+v", page, job, ref, intent)
 				}
 			}
 		}
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -10,8 +10,8 @@
 	"rockrun/internal/protocol"
 )
 
-// TestJobStateFollowsDependencies: what follows for a job from the records of its dependencies, for
-// every state that they can be in.
+// TestJobStateFollowsDependencies checks the state of a job for every state of the records of
+// its dependencies.
 func TestJobStateFollowsDependencies(t *testing.T) {
 	const done, cancelled = protocol.StageDone, protocol.StageCancelled
 	for _, c := range []struct {
@@ -20,95 +20,95 @@
 		want   string // of run-9
 	}{
 		{"no dependencies", func(v *testView) { v.accept("run-9") }, "runnable"},
-		{"an unfinished dependency", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1") }, "awaits dependencies"},
-		{"a dependency that ended, not known how", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.end("run-1") }, "awaits dependencies"},
-		{"a dependency that ended before", func(v *testView) { v.accept("run-9", "run-1") }, "awaits dependencies"},
-		{"a dependency that is done", func(v *testView) { v.accept("run-9", "run-1"); v.final("run-1", done, 0) }, "runnable"},
-		{"a dependency known to be done before its record is removed", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.final("run-1", done, 0) }, "runnable"},
-		{"one of two dependencies done", func(v *testView) { v.accept("run-9", "run-1", "run-2"); v.final("run-1", done, 0) }, "awaits dependencies"},
+		{"unfinished dependency", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1") }, "awaits dependencies"},
+		{"ended dependency with unread final record", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.end("run-1") }, "awaits dependencies"},
+		{"dependency ended before submission", func(v *testView) { v.accept("run-9", "run-1") }, "awaits dependencies"},
+		{"done dependency", func(v *testView) { v.accept("run-9", "run-1"); v.final("run-1", done, 0) }, "runnable"},
+		{"done dependency whose record is not removed yet", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.final("run-1", done, 0) }, "runnable"},
+		{"one of two dependencies done, the other unread", func(v *testView) { v.accept("run-9", "run-1", "run-2"); v.final("run-1", done, 0) }, "awaits dependencies"},
 		{"both dependencies done", func(v *testView) {
 			v.accept("run-9", "run-1", "run-2")
 			v.final("run-2", done, 0)
 			v.final("run-1", done, 0)
 		}, "runnable"},
-		{"a dependency named twice and done", func(v *testView) { v.accept("run-9", "run-1", "run-1"); v.final("run-1", done, 0) }, "runnable"},
-		{"a cancelled dependency", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.final("run-1", cancelled, 0) }, "cancelled with run-1"},
-		{"a dependency that another controller says it cancelled", func(v *testView) {
+		{"done dependency listed twice", func(v *testView) { v.accept("run-9", "run-1", "run-1"); v.final("run-1", done, 0) }, "runnable"},
+		{"cancelled dependency", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.final("run-1", cancelled, 0) }, "cancelled with run-1"},
+		{"dependency cancelled according to another controller", func(v *testView) {
 			v.accept("run-1")
 			v.accept("run-9", "run-1")
 			v.MarkCancelled("run-1")
 		}, "cancelled with run-1"},
-		{"a dependency that was cancelled before", func(v *testView) {
+		{"dependency cancelled before submission", func(v *testView) {
 			v.accept("run-1")
 			v.MarkCancelled("run-1")
 			v.accept("run-9", "run-1")
 		}, "cancelled with run-1"},
-		{"a cancelled dependency beside one that is done", func(v *testView) {
+		{"one dependency cancelled, another done", func(v *testView) {
 			v.accept("run-9", "run-1", "run-2")
 			v.final("run-1", done, 0)
 			v.final("run-2", cancelled, 0)
 		}, "cancelled with run-2"},
-		{"a chain cancelled at its root", func(v *testView) {
+		{"chain cancelled at its root", func(v *testView) {
 			v.accept("run-1")
 			v.accept("run-2", "run-1")
 			v.accept("run-3", "run-2")
 			v.accept("run-9", "run-3")
 			v.final("run-1", cancelled, 0)
 		}, "cancelled with run-1"},
-		{"a chain that was cancelled before its last job came", func(v *testView) {
+		{"chain cancelled before its last job was submitted", func(v *testView) {
 			v.accept("run-1")
 			v.accept("run-2", "run-1")
 			v.final("run-1", cancelled, 0)
 			v.accept("run-9", "run-2")
 		}, "cancelled with run-1"},
-		{"a chain in which the one between has its final record by now", func(v *testView) {
+		{"chain whose middle job ended as cancelled before the last was submitted", func(v *testView) {
 			v.accept("run-1")
 			v.accept("run-2", "run-1")
 			v.final("run-1", cancelled, 0)
 			v.end("run-2")
 			v.accept("run-9", "run-2")
-		}, "awaits dependencies"}, // nothing depended on it, so how it ended is read anew
-		{"records read in the order of their names", func(v *testView) {
+		}, "awaits dependencies"}, // run-2 had no dependents and was forgotten, so its final record must be read
+		{"records read in key order", func(v *testView) {
 			v.accept("run-9", "run-95")
 			v.accept("run-95", "run-96")
 			v.accept("run-96")
 			v.final("run-96", cancelled, 0)
 		}, "cancelled with run-96"},
-		{"a diamond with one side done", func(v *testView) {
+		{"diamond with one side done", func(v *testView) {
 			v.accept("run-2", "run-1")
 			v.accept("run-3", "run-1")
 			v.accept("run-9", "run-2", "run-3")
 			v.final("run-1", done, 0)
 			v.final("run-2", done, 0)
 		}, "awaits dependencies"},
-		{"its own user cancels it", func(v *testView) { v.accept("run-9", "run-1"); v.MarkCancelled("run-9") }, "awaits dependencies"}, // and it is not active: Runnable says so
+		{"cancelled by its own user", func(v *testView) { v.accept("run-9", "run-1"); v.MarkCancelled("run-9") }, "awaits dependencies"}, // but not active, so not Runnable either
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := newTestView(t, 1)
 			c.events(v)
 			if got := v.state("run-9"); got != c.want {
-				t.Errorf("%s, not %s", got, c.want)
+				t.Errorf("run-9: %s; want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// TestFirstFinalRecordWins: a dependency ends as done in the moment in which it is
-// cancelled. There is one final record; what is said against it later changes nothing.
+// TestFirstFinalRecordWins: a dependency is done at the moment when it is cancelled. Only one
+// final record exists; a later contradicting outcome has no effect.
 func TestFirstFinalRecordWins(t *testing.T) {
 	v := newTestView(t, 1)
 	v.accept("run-1")
 	v.accept("run-2", "run-1")
 	if released, _ := v.final("run-1", protocol.StageDone, 0); !slices.Equal(released, []string{"run-2"}) {
-		t.Errorf("released: %v", released)
+		t.Errorf("released %v", released)
 	}
 	if _, cancelled := v.final("run-1", protocol.StageCancelled, 0); len(cancelled) > 0 || v.state("run-2") != "runnable" {
-		t.Errorf("cancelled: %v, it %s", cancelled, v.state("run-2"))
+		t.Errorf("cancelled %v; run-2: %s", cancelled, v.state("run-2"))
 	}
 }
 
-// TestReadyTime: other times than the deadline count from the end of the last dependency.
-// Versions before 0.2 wrote none into the final record.
+// TestReadyTime: all times except the deadline are measured from the end of the last
+// dependency. Versions before 0.2 wrote no end time to the final record.
 func TestReadyTime(t *testing.T) {
 	v := newTestView(t, 1)
 	v.accept("run-9", "run-1", "run-2", "run-3")
@@ -117,16 +117,16 @@
 	v.final("run-3", protocol.StageDone, 0)
 	_, j := v.Jobs.Find("run-9")
 	if j.ReadyAtMS() != 5000 {
-		t.Errorf("ready at %d", j.ReadyAtMS())
+		t.Errorf("run-9 ready at %d", j.ReadyAtMS())
 	}
 	v.accept("run-8", "run-3")
 	if _, j := v.Jobs.Find("run-8"); j.ReadyAtMS() != j.SubmittedAtMS {
-		t.Errorf("ready at %d", j.ReadyAtMS())
+		t.Errorf("run-8 ready at %d", j.ReadyAtMS())
 	}
 }
 
-// TestUnreadOutcomes: the final records that are wanted are those of ended jobs that
-// others depend on, each once; and those on which it depends whether a job is cancelled.
+// TestUnreadOutcomes: the view lists the unread final records of ended jobs with dependents,
+// each once, and the part of them that can decide whether a given job is cancelled.
 func TestUnreadOutcomes(t *testing.T) {
 	v := newTestView(t, 1)
 	v.accept("run-1")
@@ -135,29 +135,29 @@
 	v.accept("run-4", "run-2", "run-5")
 	_, third := v.Jobs.Find("run-3")
 	if got := ids(v.UnreadOutcomes()); !slices.Equal(got, []string{"run-5"}) {
-		t.Errorf("wanted: %v", got)
+		t.Errorf("unread before any job ended: %v", got)
 	}
 	if got := v.UnreadOutcomesUpstream(third); len(got) > 0 {
-		t.Errorf("wanted for run-3: %v", ids(got))
+		t.Errorf("unread upstream of run-3 before any job ended: %v", ids(got))
 	}
 	v.end("run-1")
 	if got := ids(v.UnreadOutcomesUpstream(third)); !slices.Equal(got, []string{"run-1"}) {
-		t.Errorf("wanted for run-3: %v", got)
+		t.Errorf("unread upstream of run-3 after the end of run-1: %v", got)
 	}
 	v.end("run-2")
 	if got := ids(v.UnreadOutcomes()); !slices.Equal(got, []string{"run-2", "run-5"}) {
-		t.Errorf("wanted: %v", got) // nothing depends on run-1 any more
+		t.Errorf("unread after the end of run-2: %v", got) // run-1 has no unfinished dependents any more
 	}
 	v.end("run-3")
 	v.end("run-4")
 	if got := ids(v.UnreadOutcomes()); len(got) > 0 {
-		t.Errorf("wanted: %v", got)
+		t.Errorf("unread after the end of all dependents: %v", got)
 	}
-	v.Jobs.All(func(_ int, j *Job) { t.Errorf("%s is not forgotten", j.ID) })
+	v.Jobs.All(func(_ int, j *Job) { t.Errorf("row of %s not dropped", j.ID) })
 }
 
-// TestCancelledDependentEnds: the record of a job that was cancelled with another is removed. What
-// that says of it is known without reading its final record.
+// TestCancelledDependentEnds: the record of a job that was cancelled with a dependency is
+// removed. The job's outcome is known without reading its final record.
 func TestCancelledDependentEnds(t *testing.T) {
 	v := newTestView(t, 1)
 	v.accept("run-1")
@@ -165,35 +165,37 @@
 	v.accept("run-3", "run-2")
 	v.final("run-1", protocol.StageCancelled, 0)
 	if got := ids(v.CancelledDependents()); !slices.Equal(got, []string{"run-2", "run-3"}) {
-		t.Errorf("final records to write: %v", got)
+		t.Errorf("cancelled dependents: %v", got)
 	}
 	v.end("run-2")
 	if got := ids(v.CancelledDependents()); !slices.Equal(got, []string{"run-3"}) {
-		t.Errorf("final records to write: %v", got)
+		t.Errorf("cancelled dependents after the end of run-2: %v", got)
 	}
 	if got := v.UnreadOutcomes(); len(got) > 0 {
-		t.Errorf("wanted: %v", ids(got))
+		t.Errorf("unread outcomes: %v", ids(got))
 	}
 	v.accept("run-4", "run-2")
 	if got := v.state("run-4"); !strings.HasPrefix(got, "cancelled") {
-		t.Errorf("run-4 %s", got)
+		t.Errorf("run-4: %s", got)
 	}
 }
 
-// randomJobGraph are jobs with random dependencies on earlier ones, of which some end.
+// randomJobGraph is a set of jobs with random dependencies on earlier jobs. Some of the jobs
+// end.
 type randomJobGraph struct {
 	random       *rand.Rand
-	incremental  *testView // has seen everything happen
+	incremental  *testView // receives every change when it happens
 	dependencies map[string][]string
-	finalStages  map[string]string // by ended job: the stage of its final record
+	finalStages  map[string]string // by ID of an ended job: the stage in its final record
 }
 
 const graphJobs = 30
 
-// graphJobID is the ID of the job that came as the i-th; IDs are not in this order.
+// graphJobID returns the ID of the job that is added as number i. The order of the IDs differs
+// from the order of the additions.
 func graphJobID(i int) string { return fmt.Sprintf("run-%d", (i*37)%100) }
 
-// addJob accepts a job that depends on up to two earlier ones.
+// addJob adds a job that depends on up to two earlier jobs.
 func (graph *randomJobGraph) addJob(i int) {
 	id := graphJobID(i)
 	for range graph.random.IntN(3) {
@@ -204,7 +206,7 @@
 	graph.incremental.accept(id, graph.dependencies[id]...)
 }
 
-// endJob ends a job, if it is unfinished, in one of the ways in which it can end.
+// endJob ends an unfinished job with a random outcome that its state permits.
 func (graph *randomJobGraph) endJob(id string) {
 	if _, j := graph.incremental.Jobs.Find(id); j == nil || j.Ended() {
 		return
@@ -214,7 +216,7 @@
 		stage = protocol.StageDone
 	}
 	graph.finalStages[id] = stage
-	if graph.random.IntN(2) == 0 { // the final record is known before or after the job's record is removed
+	if graph.random.IntN(2) == 0 { // the view reads the final record before or after the removal of the job's record
 		graph.incremental.final(id, stage, 0)
 		graph.incremental.end(id)
 	} else {
@@ -223,7 +225,7 @@
 	}
 }
 
-// readOutcomes gives a view all the final records that it wants.
+// readOutcomes applies to a view all final records that it reports as unread.
 func (graph *randomJobGraph) readOutcomes(v *testView) {
 	for unread := v.UnreadOutcomes(); len(unread) > 0; unread = v.UnreadOutcomes() {
 		for _, j := range unread {
@@ -232,9 +234,9 @@
 	}
 }
 
-// TestDependenciesInAnyReadOrder: a controller that has seen everything happen and one that
-// starts and reads what is left come to the same, for random graphs of jobs of which
-// some are done and some cancelled.
+// TestDependenciesInAnyReadOrder: a controller that has received every change and a controller
+// that starts later and reads the remaining records in any order compute the same job states.
+// The job graphs are random, with some jobs done and some cancelled.
 func TestDependenciesInAnyReadOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 11))
@@ -256,7 +258,7 @@
 			incrementalState, _, _ := strings.Cut(graph.incremental.state(id), " with")
 			rebuiltState, _, _ := strings.Cut(rebuilt.state(id), " with")
 			if incrementalState != rebuiltState {
-				t.Fatalf("seed %d: %s is %s for who saw it all, %s for who starts", seed, id, incrementalState, rebuiltState)
+				t.Fatalf("seed %d: %s is %s in the incremental view, %s in the rebuilt view", seed, id, incrementalState, rebuiltState)
 			}
 		}
 	}
--- a/internal/storage/intents_test.go
+++ b/internal/storage/intents_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestHighestAttemptCounts: where two pages name attempts at the same task on the same machine,
-// the later attempt counts, in whichever order the pages are read, and until its own
-// page no longer names it.
+// TestHighestAttemptCounts: if two pages name attempts of the same task on the same machine, the
+// view reports the attempt with the higher number. This holds for any read order of the pages,
+// until the page of that attempt no longer names it.
 func TestHighestAttemptCounts(t *testing.T) {
 	old, next := PageID{Page: 5}, PageID{Page: 2}
 	attempts := map[PageID]uint64{old: 7, next: 9}
@@ -19,21 +19,21 @@
 		m := v.findMachine("m-1")
 		ref := TaskRef{Job: v.findJob("run-1").Index, Task: 3}
 		if got := m.Intents[ref]; got.Attempt != 9 || got.Page != next.Page {
-			t.Errorf("order %v: %+v", order, got)
+			t.Errorf("read order %v: intent %+v", order, got)
 		}
 		v.put(IntentPageKey(old), IntentPage{"run-1": nil})
 		if got := m.Intents[ref]; got.Attempt != 9 {
-			t.Errorf("order %v, after the older is gone: %+v", order, got)
+			t.Errorf("read order %v, lower attempt removed: intent %+v", order, got)
 		}
 		v.put(IntentPageKey(next), IntentPage{"run-1": nil})
 		if got, ok := m.Intents[ref]; ok {
-			t.Errorf("order %v, after both are gone: %+v", order, got)
+			t.Errorf("read order %v, both attempts removed: intent %+v", order, got)
 		}
 	}
 }
 
-// TestIntentMovesToAnotherPage: an attempt that moves to another page is never missing, and its row
-// of the machine goes with the last entry.
+// TestIntentMovesToAnotherPage: an attempt that moves to another page is never missing. The rows
+// of its machine and its job are dropped with the last entry.
 func TestIntentMovesToAnotherPage(t *testing.T) {
 	v := newTestView(t, 1)
 	from, to := PageID{Page: 1}, PageID{Page: 2}
@@ -43,42 +43,41 @@
 	m := v.findMachine("m-1")
 	ref := TaskRef{Job: v.findJob("run-1").Index, Task: 3}
 	if pages := v.IntentPagesNaming(0, m); len(pages) != 2 {
-		t.Errorf("named by pages %v", pages)
+		t.Errorf("before the move: machine named by pages %v", pages)
 	}
 	v.remove(IntentPageKey(from))
 	if got := m.Intents[ref]; got.Attempt != 7 || got.Page != to.Page {
-		t.Errorf("after the move: %+v", got)
+		t.Errorf("after the move: intent %+v", got)
 	}
 	if pages := v.IntentPagesNaming(0, m); !slices.Equal(pages, []int{to.Page}) {
-		t.Errorf("named by pages %v", pages)
+		t.Errorf("after the move: machine named by pages %v", pages)
 	}
 	v.remove(IntentPageKey(to))
 	if id, _ := v.Machines.Find("m-1"); id >= 0 {
-		t.Error("the machine is not forgotten")
+		t.Error("row of the machine not dropped")
 	}
 	if id, _ := v.Jobs.Find("run-1"); id >= 0 {
-		t.Error("the job is not forgotten")
+		t.Error("row of the job not dropped")
 	}
 }
 
-// TestIntentHeader: what a header says of a job counts only where no record of the job was
-// read.
+// TestIntentHeader: the header of a job applies only if no record of the job was read.
 func TestIntentHeader(t *testing.T) {
 	page := IntentPage{"run-1": {IntentHeader("blue", 4, 1, 29.5), IntentEntry(0, "m-1", 1)}}
 	v := newTestView(t, 1)
 	v.put(IntentPageKey(PageID{}), page)
 	if j := v.findJob("run-1"); !j.Ended() || j.Team != "blue" || j.TeamIndex != 1 || j.CPUs != 4 || j.GPUs != 1 || j.MemoryGB != 29.5 {
-		t.Errorf("%+v", j.JobSpec)
+		t.Errorf("job without record: %+v", j.JobSpec)
 	}
 	known := newTestView(t, 1)
 	known.accept("run-1")
 	known.put(IntentPageKey(PageID{}), page)
 	if j := known.findJob("run-1"); j.Team != "red" || j.CPUs != 1 {
-		t.Errorf("%+v", j.JobSpec)
+		t.Errorf("job with record: %+v", j.JobSpec)
 	}
 }
 
-// TestPagesOfShard: only the pages of the shard are visited.
+// TestPagesOfShard: visiting the pages of a shard skips the pages of other shards.
 func TestPagesOfShard(t *testing.T) {
 	v := newTestView(t, 2)
 	v.put(IntentPageKey(PageID{Shard: 0, Page: 4}), IntentPage{"run-1": {IntentEntry(0, "m-1", 1)}})
@@ -86,7 +85,7 @@
 	v.put(CompletionPageKey(PageID{Shard: 1, Page: 6}), CompletionPage{})
 	v.EachIntentPage(1, func(page, entries int) {
 		if page != 5 || entries != 2 {
-			t.Errorf("page %d with %d entries", page, entries)
+			t.Errorf("visited page %d with %d entries", page, entries)
 		}
 	})
 	var completions []int
@@ -94,6 +93,6 @@
 		v.EachCompletionPage(shard, func(page int) { completions = append(completions, shard, page) })
 	}
 	if !slices.Equal(completions, []int{1, 6}) {
-		t.Errorf("shards and pages of completions: %v", completions)
+		t.Errorf("visited shards and completion pages: %v", completions)
 	}
 }
