--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -6,8 +6,8 @@
 )
 
 // Keys of durable records. Every controller replicates the keys below Prefix. Only final
-// records have keys outside of Prefix: a job that ends leaves no record below Prefix, so that
-// the amount of data that a starting controller reads depends on the unfinished jobs alone.
+// records have keys outside of Prefix: the record of a job moves out of Prefix when the job
+// ends, which limits the data that a starting controller reads to the current work.
 const (
 	Prefix           = "r/"
 	KeyLeader        = "r/leader"
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -5,7 +5,7 @@
 // Times in records are the wall clock's, in milliseconds since the Unix epoch.
 
 // LeaderRecord names the leader. It is attached to the leader's lease, and the store removes
-// it when the lease expires.
+// it together with the lease.
 type LeaderRecord struct {
 	Controller  string `json:"node"`
 	Incarnation uint64 `json:"inc"`
