--- a/internal/storage/completions.go
+++ b/internal/storage/completions.go
@@ -66,7 +66,7 @@
 		if err != nil {
 			return nil, err
 		}
-		j := v.job(jobID)
+		j := v.findOrAddJob(jobID)
 		j.addCompleted(chunk, record[name])
 		j.CompletionPages[chunk] = id.Page
 		j.References++
@@ -84,6 +84,6 @@
 	}
 	for _, j := range old.entries {
 		j.References--
-		v.ForgetJob(j)
+		v.DeleteJobIfUnreferenced(j)
 	}
 }
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -85,7 +85,7 @@
 func (v *View) linkDependencies(j *Job, ids []string) {
 	v.unlinkDependencies(j)
 	for _, id := range ids {
-		dependency := v.job(id)
+		dependency := v.findOrAddJob(id)
 		if dependency == j || slices.Contains(j.dependencies, dependency) {
 			continue
 		}
@@ -113,7 +113,7 @@
 	for _, dependency := range dependencies {
 		dependency.dependents = slices.DeleteFunc(dependency.dependents, func(dependent *Job) bool { return dependent == j })
 		v.updateUnread(dependency)
-		v.ForgetJob(dependency)
+		v.DeleteJobIfUnreferenced(dependency)
 	}
 }
 
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -19,69 +19,69 @@
 		events func(v *testView)
 		want   string // of run-9
 	}{
-		{"no dependencies", func(v *testView) { v.accept("run-9") }, "runnable"},
-		{"unfinished dependency", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1") }, "awaits dependencies"},
-		{"ended dependency with unread final record", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.end("run-1") }, "awaits dependencies"},
-		{"dependency ended before submission", func(v *testView) { v.accept("run-9", "run-1") }, "awaits dependencies"},
-		{"done dependency", func(v *testView) { v.accept("run-9", "run-1"); v.final("run-1", done, 0) }, "runnable"},
-		{"done dependency whose record is not removed yet", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.final("run-1", done, 0) }, "runnable"},
-		{"one of two dependencies done, the other unread", func(v *testView) { v.accept("run-9", "run-1", "run-2"); v.final("run-1", done, 0) }, "awaits dependencies"},
+		{"no dependencies", func(v *testView) { v.addJob("run-9") }, "runnable"},
+		{"unfinished dependency", func(v *testView) { v.addJob("run-1"); v.addJob("run-9", "run-1") }, "awaits dependencies"},
+		{"ended dependency with unread final record", func(v *testView) { v.addJob("run-1"); v.addJob("run-9", "run-1"); v.removeJobRecord("run-1") }, "awaits dependencies"},
+		{"dependency ended before submission", func(v *testView) { v.addJob("run-9", "run-1") }, "awaits dependencies"},
+		{"done dependency", func(v *testView) { v.addJob("run-9", "run-1"); v.applyFinal("run-1", done, 0) }, "runnable"},
+		{"done dependency whose record is not removed yet", func(v *testView) { v.addJob("run-1"); v.addJob("run-9", "run-1"); v.applyFinal("run-1", done, 0) }, "runnable"},
+		{"one of two dependencies done, the other unread", func(v *testView) { v.addJob("run-9", "run-1", "run-2"); v.applyFinal("run-1", done, 0) }, "awaits dependencies"},
 		{"both dependencies done", func(v *testView) {
-			v.accept("run-9", "run-1", "run-2")
-			v.final("run-2", done, 0)
-			v.final("run-1", done, 0)
+			v.addJob("run-9", "run-1", "run-2")
+			v.applyFinal("run-2", done, 0)
+			v.applyFinal("run-1", done, 0)
 		}, "runnable"},
-		{"done dependency listed twice", func(v *testView) { v.accept("run-9", "run-1", "run-1"); v.final("run-1", done, 0) }, "runnable"},
-		{"cancelled dependency", func(v *testView) { v.accept("run-1"); v.accept("run-9", "run-1"); v.final("run-1", cancelled, 0) }, "cancelled with run-1"},
+		{"done dependency listed twice", func(v *testView) { v.addJob("run-9", "run-1", "run-1"); v.applyFinal("run-1", done, 0) }, "runnable"},
+		{"cancelled dependency", func(v *testView) { v.addJob("run-1"); v.addJob("run-9", "run-1"); v.applyFinal("run-1", cancelled, 0) }, "cancelled with run-1"},
 		{"dependency cancelled according to another controller", func(v *testView) {
-			v.accept("run-1")
-			v.accept("run-9", "run-1")
+			v.addJob("run-1")
+			v.addJob("run-9", "run-1")
 			v.MarkCancelled("run-1")
 		}, "cancelled with run-1"},
 		{"dependency cancelled before submission", func(v *testView) {
-			v.accept("run-1")
+			v.addJob("run-1")
 			v.MarkCancelled("run-1")
-			v.accept("run-9", "run-1")
+			v.addJob("run-9", "run-1")
 		}, "cancelled with run-1"},
 		{"one dependency cancelled, another done", func(v *testView) {
-			v.accept("run-9", "run-1", "run-2")
-			v.final("run-1", done, 0)
-			v.final("run-2", cancelled, 0)
+			v.addJob("run-9", "run-1", "run-2")
+			v.applyFinal("run-1", done, 0)
+			v.applyFinal("run-2", cancelled, 0)
 		}, "cancelled with run-2"},
 		{"chain cancelled at its root", func(v *testView) {
-			v.accept("run-1")
-			v.accept("run-2", "run-1")
-			v.accept("run-3", "run-2")
-			v.accept("run-9", "run-3")
-			v.final("run-1", cancelled, 0)
+			v.addJob("run-1")
+			v.addJob("run-2", "run-1")
+			v.addJob("run-3", "run-2")
+			v.addJob("run-9", "run-3")
+			v.applyFinal("run-1", cancelled, 0)
 		}, "cancelled with run-1"},
 		{"chain cancelled before its last job was submitted", func(v *testView) {
-			v.accept("run-1")
-			v.accept("run-2", "run-1")
-			v.final("run-1", cancelled, 0)
-			v.accept("run-9", "run-2")
+			v.addJob("run-1")
+			v.addJob("run-2", "run-1")
+			v.applyFinal("run-1", cancelled, 0)
+			v.addJob("run-9", "run-2")
 		}, "cancelled with run-1"},
 		{"chain whose middle job ended as cancelled before the last was submitted", func(v *testView) {
-			v.accept("run-1")
-			v.accept("run-2", "run-1")
-			v.final("run-1", cancelled, 0)
-			v.end("run-2")
-			v.accept("run-9", "run-2")
+			v.addJob("run-1")
+			v.addJob("run-2", "run-1")
+			v.applyFinal("run-1", cancelled, 0)
+			v.removeJobRecord("run-2")
+			v.addJob("run-9", "run-2")
 		}, "awaits dependencies"}, // run-2 had no dependents and was forgotten, so its final record must be read
 		{"records read in key order", func(v *testView) {
-			v.accept("run-9", "run-95")
-			v.accept("run-95", "run-96")
-			v.accept("run-96")
-			v.final("run-96", cancelled, 0)
+			v.addJob("run-9", "run-95")
+			v.addJob("run-95", "run-96")
+			v.addJob("run-96")
+			v.applyFinal("run-96", cancelled, 0)
 		}, "cancelled with run-96"},
 		{"diamond with one side done", func(v *testView) {
-			v.accept("run-2", "run-1")
-			v.accept("run-3", "run-1")
-			v.accept("run-9", "run-2", "run-3")
-			v.final("run-1", done, 0)
-			v.final("run-2", done, 0)
+			v.addJob("run-2", "run-1")
+			v.addJob("run-3", "run-1")
+			v.addJob("run-9", "run-2", "run-3")
+			v.applyFinal("run-1", done, 0)
+			v.applyFinal("run-2", done, 0)
 		}, "awaits dependencies"},
-		{"cancelled by its own user", func(v *testView) { v.accept("run-9", "run-1"); v.MarkCancelled("run-9") }, "awaits dependencies"}, // but not active, so not Runnable either
+		{"cancelled by its own user", func(v *testView) { v.addJob("run-9", "run-1"); v.MarkCancelled("run-9") }, "awaits dependencies"}, // but not active, so not Runnable either
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := newTestView(t, 1)
@@ -97,12 +97,12 @@
 // final record exists; a later contradicting outcome has no effect.
 func TestFirstFinalRecordWins(t *testing.T) {
 	v := newTestView(t, 1)
-	v.accept("run-1")
-	v.accept("run-2", "run-1")
-	if released, _ := v.final("run-1", protocol.StageDone, 0); !slices.Equal(released, []string{"run-2"}) {
+	v.addJob("run-1")
+	v.addJob("run-2", "run-1")
+	if released, _ := v.applyFinal("run-1", protocol.StageDone, 0); !slices.Equal(released, []string{"run-2"}) {
 		t.Errorf("released %v", released)
 	}
-	if _, cancelled := v.final("run-1", protocol.StageCancelled, 0); len(cancelled) > 0 || v.state("run-2") != "runnable" {
+	if _, cancelled := v.applyFinal("run-1", protocol.StageCancelled, 0); len(cancelled) > 0 || v.state("run-2") != "runnable" {
 		t.Errorf("cancelled %v; run-2: %s", cancelled, v.state("run-2"))
 	}
 }
@@ -111,15 +111,15 @@
 // dependency. Versions before 0.2 wrote no end time to the final record.
 func TestReadyTime(t *testing.T) {
 	v := newTestView(t, 1)
-	v.accept("run-9", "run-1", "run-2", "run-3")
-	v.final("run-1", protocol.StageDone, 5000)
-	v.final("run-2", protocol.StageDone, 3000)
-	v.final("run-3", protocol.StageDone, 0)
+	v.addJob("run-9", "run-1", "run-2", "run-3")
+	v.applyFinal("run-1", protocol.StageDone, 5000)
+	v.applyFinal("run-2", protocol.StageDone, 3000)
+	v.applyFinal("run-3", protocol.StageDone, 0)
 	_, j := v.Jobs.Find("run-9")
 	if j.ReadyAtMS() != 5000 {
 		t.Errorf("run-9 ready at %d", j.ReadyAtMS())
 	}
-	v.accept("run-8", "run-3")
+	v.addJob("run-8", "run-3")
 	if _, j := v.Jobs.Find("run-8"); j.ReadyAtMS() != j.SubmittedAtMS {
 		t.Errorf("run-8 ready at %d", j.ReadyAtMS())
 	}
@@ -129,28 +129,28 @@
 // each once, and the part of them that can decide whether a given job is cancelled.
 func TestUnreadOutcomes(t *testing.T) {
 	v := newTestView(t, 1)
-	v.accept("run-1")
-	v.accept("run-2", "run-1")
-	v.accept("run-3", "run-2")
-	v.accept("run-4", "run-2", "run-5")
+	v.addJob("run-1")
+	v.addJob("run-2", "run-1")
+	v.addJob("run-3", "run-2")
+	v.addJob("run-4", "run-2", "run-5")
 	_, third := v.Jobs.Find("run-3")
-	if got := ids(v.UnreadOutcomes()); !slices.Equal(got, []string{"run-5"}) {
+	if got := jobIDs(v.UnreadOutcomes()); !slices.Equal(got, []string{"run-5"}) {
 		t.Errorf("unread before any job ended: %v", got)
 	}
 	if got := v.UnreadOutcomesUpstream(third); len(got) > 0 {
-		t.Errorf("unread upstream of run-3 before any job ended: %v", ids(got))
+		t.Errorf("unread upstream of run-3 before any job ended: %v", jobIDs(got))
 	}
-	v.end("run-1")
-	if got := ids(v.UnreadOutcomesUpstream(third)); !slices.Equal(got, []string{"run-1"}) {
+	v.removeJobRecord("run-1")
+	if got := jobIDs(v.UnreadOutcomesUpstream(third)); !slices.Equal(got, []string{"run-1"}) {
 		t.Errorf("unread upstream of run-3 after the end of run-1: %v", got)
 	}
-	v.end("run-2")
-	if got := ids(v.UnreadOutcomes()); !slices.Equal(got, []string{"run-2", "run-5"}) {
+	v.removeJobRecord("run-2")
+	if got := jobIDs(v.UnreadOutcomes()); !slices.Equal(got, []string{"run-2", "run-5"}) {
 		t.Errorf("unread after the end of run-2: %v", got) // run-1 has no unfinished dependents any more
 	}
-	v.end("run-3")
-	v.end("run-4")
-	if got := ids(v.UnreadOutcomes()); len(got) > 0 {
+	v.removeJobRecord("run-3")
+	v.removeJobRecord("run-4")
+	if got := jobIDs(v.UnreadOutcomes()); len(got) > 0 {
 		t.Errorf("unread after the end of all dependents: %v", got)
 	}
 	v.Jobs.All(func(_ int, j *Job) { t.Errorf("row of %s not dropped", j.ID) })
@@ -160,21 +160,21 @@
 // removed. The job's outcome is known without reading its final record.
 func TestCancelledDependentEnds(t *testing.T) {
 	v := newTestView(t, 1)
-	v.accept("run-1")
-	v.accept("run-2", "run-1")
-	v.accept("run-3", "run-2")
-	v.final("run-1", protocol.StageCancelled, 0)
-	if got := ids(v.CancelledDependents()); !slices.Equal(got, []string{"run-2", "run-3"}) {
+	v.addJob("run-1")
+	v.addJob("run-2", "run-1")
+	v.addJob("run-3", "run-2")
+	v.applyFinal("run-1", protocol.StageCancelled, 0)
+	if got := jobIDs(v.CancelledDependents()); !slices.Equal(got, []string{"run-2", "run-3"}) {
 		t.Errorf("cancelled dependents: %v", got)
 	}
-	v.end("run-2")
-	if got := ids(v.CancelledDependents()); !slices.Equal(got, []string{"run-3"}) {
+	v.removeJobRecord("run-2")
+	if got := jobIDs(v.CancelledDependents()); !slices.Equal(got, []string{"run-3"}) {
 		t.Errorf("cancelled dependents after the end of run-2: %v", got)
 	}
 	if got := v.UnreadOutcomes(); len(got) > 0 {
-		t.Errorf("unread outcomes: %v", ids(got))
+		t.Errorf("unread outcomes: %v", jobIDs(got))
 	}
-	v.accept("run-4", "run-2")
+	v.addJob("run-4", "run-2")
 	if got := v.state("run-4"); !strings.HasPrefix(got, "cancelled") {
 		t.Errorf("run-4: %s", got)
 	}
@@ -203,7 +203,7 @@
 			graph.dependencies[id] = append(graph.dependencies[id], graphJobID(graph.random.IntN(i)))
 		}
 	}
-	graph.incremental.accept(id, graph.dependencies[id]...)
+	graph.incremental.addJob(id, graph.dependencies[id]...)
 }
 
 // endJob ends an unfinished job with a random outcome that its state permits.
@@ -217,11 +217,11 @@
 	}
 	graph.finalStages[id] = stage
 	if graph.random.IntN(2) == 0 { // the view reads the final record before or after the removal of the job's record
-		graph.incremental.final(id, stage, 0)
-		graph.incremental.end(id)
+		graph.incremental.applyFinal(id, stage, 0)
+		graph.incremental.removeJobRecord(id)
 	} else {
-		graph.incremental.end(id)
-		graph.incremental.final(id, stage, 0)
+		graph.incremental.removeJobRecord(id)
+		graph.incremental.applyFinal(id, stage, 0)
 	}
 }
 
@@ -229,7 +229,7 @@
 func (graph *randomJobGraph) readOutcomes(v *testView) {
 	for unread := v.UnreadOutcomes(); len(unread) > 0; unread = v.UnreadOutcomes() {
 		for _, j := range unread {
-			v.final(j.ID, graph.finalStages[j.ID], 0)
+			v.applyFinal(j.ID, graph.finalStages[j.ID], 0)
 		}
 	}
 }
@@ -248,7 +248,7 @@
 		rebuilt := newTestView(t, 1)
 		for _, i := range random.Perm(graphJobs) {
 			if id := graphJobID(i); graph.finalStages[id] == "" {
-				rebuilt.accept(id, graph.dependencies[id]...)
+				rebuilt.addJob(id, graph.dependencies[id]...)
 			}
 		}
 		graph.readOutcomes(rebuilt)
--- a/internal/storage/intents.go
+++ b/internal/storage/intents.go
@@ -113,8 +113,8 @@
 			if err != nil {
 				return nil, err
 			}
-			task := TaskRef{v.job(jobID).Index, parsed.task}
-			entries = append(entries, intentEntry{v.machine(parsed.machine), task, parsed.attempt})
+			task := TaskRef{v.findOrAddJob(jobID).Index, parsed.task}
+			entries = append(entries, intentEntry{v.findOrAddMachine(parsed.machine), task, parsed.attempt})
 		}
 	}
 	return entries, nil
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	if j := v.job(jobID); j.Ended() && j.TeamIndex < 0 {
+	if j := v.findOrAddJob(jobID); j.Ended() && j.TeamIndex < 0 {
 		j.Team, j.TeamIndex = header.team, v.TeamNames.Lookup(header.team)
 		j.CPUs, j.GPUs, j.MemoryGB = header.cpus, header.gpus, header.memoryGB
 	}
@@ -161,10 +161,10 @@
 		intent.entryCount--
 		if intent.entryCount <= 0 {
 			delete(entry.machine.Intents, entry.task)
-			v.forgetMachine(entry.machine)
+			v.deleteMachineIfUnreferenced(entry.machine)
 		} else {
 			entry.machine.Intents[entry.task] = intent
 		}
 	}
-	v.ForgetJob(j)
+	v.DeleteJobIfUnreferenced(j)
 }
--- a/internal/storage/intents_test.go
+++ b/internal/storage/intents_test.go
@@ -70,7 +70,7 @@
 		t.Errorf("job without record: %+v", j.JobSpec)
 	}
 	known := newTestView(t, 1)
-	known.accept("run-1")
+	known.addJob("run-1")
 	known.put(IntentPageKey(PageID{}), page)
 	if j := known.findJob("run-1"); j.Team != "red" || j.CPUs != 1 {
 		t.Errorf("job with record: %+v", j.JobSpec)
