--- a/internal/compatibility/reader/records.go
+++ b/internal/compatibility/reader/records.go
@@ -70,7 +70,7 @@
 // on, which the older one does not know of; nothing is lost by leaving them out, as a
 // job that one version has and the other has not is still printed by the first.
 func knownByNameOnly(j *storage.Job) bool {
-	return j.Ended() && len(j.IntendedTasks) == 0 && j.CompletedCount == 0
+	return j.Ended() && len(j.IntentCounts) == 0 && j.CompletedCount == 0
 }
 
 func (r viewRecords) machines() (lines []string) {
@@ -81,7 +81,7 @@
 		}
 		slices.Sort(intents)
 		lines = append(lines, fmt.Sprintln("machine", m.Name, m.Group, m.Address, m.Type, m.Zone, m.Spot, m.Shard, m.FencingToken,
-			m.Phase, m.DrainStamp, m.Evict, m.RentedAtMS, m.DeletedAtMS, intents))
+			m.Phase, m.DrainStamp, m.Evict, m.CreatedAtMS, m.DeletedAtMS, intents))
 	})
 	return lines
 }
--- a/internal/coordination/autoscaler/fleet.go
+++ b/internal/coordination/autoscaler/fleet.go
@@ -35,7 +35,7 @@
 
 // MachineAge returns the time from a machine's creation to now, by the wall clock.
 func MachineAge(m *storage.Machine, now time.Time) time.Duration {
-	return time.Duration(now.UnixMilli()-m.RentedAtMS) * time.Millisecond
+	return time.Duration(now.UnixMilli()-m.CreatedAtMS) * time.Millisecond
 }
 
 // BootOverdue reports whether a machine's age exceeds the boot timeout of its type.
--- a/internal/coordination/autoscaler/pending.go
+++ b/internal/coordination/autoscaler/pending.go
@@ -35,7 +35,7 @@
 		if j.TeamIndex < 0 {
 			return
 		}
-		used[j.TeamIndex].Add(j, float64(len(j.IntendedTasks)))
+		used[j.TeamIndex].Add(j, float64(len(j.IntentCounts)))
 		if j.Runnable() && j.Shard >= 0 && j.OpenTasks() > 0 {
 			progress := placement.Progress{Remaining: j.Tasks - j.CompletedCount, Begun: j.RunningTasks() > 0 || j.CompletedCount > 0}
 			jobs = append(jobs, placement.NewCandidate(j, f.View.EffectiveRank(j), progress, f.Objectives, f.Now))
--- a/internal/coordination/provisioning/adoption.go
+++ b/internal/coordination/provisioning/adoption.go
@@ -125,7 +125,7 @@
 			a.add(record, originFound)
 			record.Machines = nil
 		}
-		record.Type, record.Zone, record.Spot, record.RentedAtMS = machine.machineType, machine.zone, machine.spot, machine.createdAtMS
+		record.Type, record.Zone, record.Spot, record.CreatedAtMS = machine.machineType, machine.zone, machine.spot, machine.createdAtMS
 		record.Machines = append(record.Machines, storage.MachineEntry{Name: name, Address: machine.address})
 		previous = machine
 	}
--- a/internal/coordination/provisioning/fixture_test.go
+++ b/internal/coordination/provisioning/fixture_test.go
@@ -136,7 +136,7 @@
 // putGroup applies the record of a machine group to the view.
 func (l *testLeader) putGroup(id string, entries ...storage.MachineEntry) {
 	l.put(storage.MachineGroupKey(id), storage.MachineGroupRecord{
-		Type: "small", Zone: "z", FencingToken: testGrantToken, RentedAtMS: l.Wall().Add(-time.Minute).UnixMilli(), Machines: entries,
+		Type: "small", Zone: "z", FencingToken: testGrantToken, CreatedAtMS: l.Wall().Add(-time.Minute).UnixMilli(), Machines: entries,
 	})
 }
 
--- a/internal/coordination/provisioning/moves.go
+++ b/internal/coordination/provisioning/moves.go
@@ -58,7 +58,7 @@
 func (v *moves) writeMove(move groupMove, group *storage.MachineGroup) {
 	target := storage.MachineGroupRecord{
 		Type: group.Type, Zone: group.Zone, Spot: group.Spot, Shard: move.toShard,
-		FencingToken: v.Leadership.NextFencingToken(), RentedAtMS: group.RentedAtMS,
+		FencingToken: v.Leadership.NextFencingToken(), CreatedAtMS: group.CreatedAtMS,
 	}
 	machines := v.machines[move]
 	changes := v.writer.changes[move.group]
--- a/internal/coordination/provisioning/scale_outs.go
+++ b/internal/coordination/provisioning/scale_outs.go
@@ -102,7 +102,7 @@
 	pool := s.poolOf(call)
 	s.Log.Info("machines created", "request", call.Request, "machines", names, "shard", call.shard, "count", len(names), "type", call.Type, "zone", call.Zone, "spot", call.Spot, "term", s.Leadership.Term())
 	s.adoptions.addCreated(storage.MachineGroupRecord{
-		Type: call.Type, Zone: call.Zone, Spot: call.Spot, Shard: call.shard, RentedAtMS: s.wallMS(),
+		Type: call.Type, Zone: call.Zone, Spot: call.Spot, Shard: call.shard, CreatedAtMS: s.wallMS(),
 	}, names)
 	if len(names) < call.Count {
 		s.recordRefusal(pool)
--- a/internal/storage/job.go
+++ b/internal/storage/job.go
@@ -41,7 +41,7 @@
 func (j *Job) Runnable() bool { return j.Active() && !j.AwaitsDependencies() }
 
 // OpenTasks returns the number of tasks that are neither completed nor named by an intent.
-func (j *Job) OpenTasks() int { return max(j.Tasks-j.CompletedCount-j.intendedUncompleted, 0) }
+func (j *Job) OpenTasks() int { return max(j.Tasks-j.CompletedCount-j.runningTasks, 0) }
 
 // IsService reports whether the job's tasks run until it is cancelled.
 func (j *Job) IsService() bool { return j.Kind == protocol.KindService }
@@ -98,7 +98,7 @@
 // DeleteJobIfUnreferenced deletes the row of a job that has ended if no record, attempt or dependent
 // refers to the job any more. Callers that decrement Job.References must call it.
 func (v *View) DeleteJobIfUnreferenced(j *Job) {
-	if j.Ended() && len(j.IntendedTasks) == 0 && j.References == 0 && !j.HasDependents() {
+	if j.Ended() && len(j.IntentCounts) == 0 && j.References == 0 && !j.HasDependents() {
 		v.Jobs.Delete(j.ID)
 	}
 }
--- a/internal/storage/machine.go
+++ b/internal/storage/machine.go
@@ -15,7 +15,7 @@
 	Spot         bool
 	Shard        int // -1 if no group has named the machine
 	FencingToken uint64
-	RentedAtMS   int64
+	CreatedAtMS  int64
 	TypeIndex    int
 	ZoneIndex    int
 
@@ -101,7 +101,7 @@
 	row.Group = groupID
 	row.Type, row.Zone, row.Spot = group.Type, group.Zone, group.Spot
 	row.Shard, row.FencingToken = group.Shard, group.FencingToken
-	row.RentedAtMS = group.RentedAtMS
+	row.CreatedAtMS = group.CreatedAtMS
 	row.TypeIndex, row.ZoneIndex = v.MachineTypeIndex(group.Type), v.ZoneNames.Index(group.Zone)
 }
 
--- a/internal/storage/machine_test.go
+++ b/internal/storage/machine_test.go
@@ -12,9 +12,9 @@
 func TestMachineMovesBetweenGroups(t *testing.T) {
 	v := newTestView(t, 2)
 	entry := MachineEntry{Name: "m-1", Address: "10.0.0.1:1", Phase: PhaseDraining, DrainStamp: 4, Evict: true}
-	v.put(MachineGroupKey("old"), MachineGroupRecord{Type: "small", Zone: "z", Shard: 0, FencingToken: 3, RentedAtMS: 9, Machines: []MachineEntry{entry, {Name: "m-2"}}})
+	v.put(MachineGroupKey("old"), MachineGroupRecord{Type: "small", Zone: "z", Shard: 0, FencingToken: 3, CreatedAtMS: 9, Machines: []MachineEntry{entry, {Name: "m-2"}}})
 	m := v.findMachine("m-1")
-	if m.MachineEntry != entry || m.Group != "old" || m.Type != "small" || m.Zone != "z" || m.FencingToken != 3 || m.RentedAtMS != 9 || !m.Exists() {
+	if m.MachineEntry != entry || m.Group != "old" || m.Type != "small" || m.Zone != "z" || m.FencingToken != 3 || m.CreatedAtMS != 9 || !m.Exists() {
 		t.Errorf("%+v", m)
 	}
 	if other := v.findMachine("m-2"); other.Phase != PhaseActive {
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -59,7 +59,7 @@
 	Spot         bool           `json:"spot,omitempty"`
 	Shard        int            `json:"shard"`
 	FencingToken uint64         `json:"token"` // lower bound of the fencing token of the shard's holder
-	RentedAtMS   int64          `json:"at"`
+	CreatedAtMS  int64          `json:"at"`
 	Machines     []MachineEntry `json:"m"`
 }
 
--- a/internal/storage/task_progress.go
+++ b/internal/storage/task_progress.go
@@ -10,17 +10,17 @@
 	Completed       TaskSet // durable; a completed task remains completed
 	CompletedCount  int
 	CompletionPages map[int]int // by chunk of tasks: number of the completion page that contains the chunk
-	IntendedTasks   map[int]int // by task: number of intent page entries that name the task
+	IntentCounts    map[int]int // by task: number of intent page entries that name the task
 
-	intendedUncompleted int // number of uncompleted tasks that intents name
+	runningTasks int // number of uncompleted tasks that intents name
 }
 
 func newTaskProgress() TaskProgress {
-	return TaskProgress{CompletionPages: map[int]int{}, IntendedTasks: map[int]int{}}
+	return TaskProgress{CompletionPages: map[int]int{}, IntentCounts: map[int]int{}}
 }
 
 // RunningTasks returns the number of uncompleted tasks that intents name.
-func (p *TaskProgress) RunningTasks() int { return p.intendedUncompleted }
+func (p *TaskProgress) RunningTasks() int { return p.runningTasks }
 
 // addCompleted adds the completed tasks of a chunk.
 func (p *TaskProgress) addCompleted(chunk int, completed TaskSet) {
@@ -31,8 +31,8 @@
 		}
 		p.Completed.Set(task)
 		p.CompletedCount++
-		if p.IntendedTasks[task] > 0 {
-			p.intendedUncompleted--
+		if p.IntentCounts[task] > 0 {
+			p.runningTasks--
 		}
 	}
 }
@@ -40,14 +40,14 @@
 // countIntent adds change, which is 1 or -1, to the number of intent page entries that name a
 // task.
 func (p *TaskProgress) countIntent(task, change int) {
-	before := p.IntendedTasks[task]
+	before := p.IntentCounts[task]
 	after := before + change
 	if after <= 0 {
-		delete(p.IntendedTasks, task)
+		delete(p.IntentCounts, task)
 	} else {
-		p.IntendedTasks[task] = after
+		p.IntentCounts[task] = after
 	}
 	if !p.Completed.Has(task) && (before > 0) != (after > 0) {
-		p.intendedUncompleted += change
+		p.runningTasks += change
 	}
 }
