--- a/internal/protocol/agent_client.go
+++ b/internal/protocol/agent_client.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// AgentClient sends commands straight to agents.
+// AgentClient sends commands directly to agents.
 type AgentClient struct {
 	HTTP    Caller
 	Timeout time.Duration
 }
 
-// Execute has the agent at an address carry out commands at once. Without an error the
-// heartbeat tells what is on the machine; done is false when the agent refused the commands
-// because of their fencing token or epoch. Errors match ErrOutcomeUnknown, ErrMalformed (the
-// answer is no heartbeat: the outcome is unknown then as well) or the kind of a RefusedError.
+// Execute sends commands to the agent at an address, which executes them immediately and
+// answers with a heartbeat. If done is false and there is no error, the agent has rejected
+// the commands because of their fencing token or epoch. Errors match ErrOutcomeUnknown,
+// ErrMalformed (the answer is not a heartbeat, so the outcome is unknown as well) or the kind
+// of a RefusedError.
 func (c *AgentClient) Execute(addr string, request CommandRequest) (heartbeat *AgentHeartbeat, done bool, err error) {
 	if request.Commands == nil {
 		request.Commands = []Command{}
@@ -25,7 +26,7 @@
 	case err != nil:
 		return nil, false, err
 	case status != http.StatusOK && status != http.StatusConflict:
-		return nil, false, refused("commands", status, answer)
+		return nil, false, newRefusedError("commands", status, answer)
 	}
 	heartbeat, err = ParseAgentHeartbeat(answer)
 	return heartbeat, status == http.StatusOK, err
--- a/internal/protocol/agent_test.go
+++ b/internal/protocol/agent_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// oddHeartbeats are bodies that are wrong in one way or look so. What is made of them must be
-// what the standard library makes of them: the faster one that reads heartbeats and answers is
-// not to be laxer.
-var oddHeartbeats = []string{
+// edgeCaseHeartbeats are bodies that are invalid in one way, or look invalid. The JSON package that
+// decodes heartbeats and answers is faster than the standard library and must not be less strict:
+// it must decode these bodies as the standard library does.
+var edgeCaseHeartbeats = []string{
 	``, ` `, `null`, `[]`, `{}`, `"x"`, `{`, `{"host":"m"`, `{"host":"m"}x`, `{"host":"m"} {}`, `{"host":"m",}`, `{'host':"m"}`,
 	`{"host":1}`, `{"host":null}`, `{"host":"m","host":"n"}`, `{"HOST":"m"}`, `{"host":"m" "tick":1}`, `{"host":"m","tick":-1}`,
 	`{"tick":1.5}`, `{"tick":1e3}`, `{"tick":"1"}`, `{"tick":01}`, `{"tick":+1}`, `{"tick":18446744073709551615}`,
@@ -20,26 +20,27 @@
 	"\ufeff{}", "{\"host\":\"m\"}\x00", `{"x":1}}`, `{"x"}`, `{:1}`, `{"a":1,,"b":2}`, `{"tick":1,"shift":2,"host":"m","more":{"deep":[[[[]]]]}}`,
 }
 
-// TestOddHeartbeats: no body is read otherwise than by the standard library.
-func TestOddHeartbeats(t *testing.T) {
-	for _, body := range oddHeartbeats {
+// TestParseAgentHeartbeatMatchesStandardLibrary compares the decoding of each body with that of the
+// standard library.
+func TestParseAgentHeartbeatMatchesStandardLibrary(t *testing.T) {
+	for _, body := range edgeCaseHeartbeats {
 		var want AgentHeartbeat
 		wantErr := json.Unmarshal([]byte(body), &want)
 		got, err := ParseAgentHeartbeat([]byte(body))
 		switch {
 		case wantErr != nil && err == nil:
-			t.Errorf("%q is taken for %+v; it is not JSON of a heartbeat: %v", body, got, wantErr)
+			t.Errorf("%q: decoded as %+v, but the standard library rejects it: %v", body, got, wantErr)
 		case wantErr == nil && want.Machine != "" && want.Epoch != 0 && err != nil:
 			t.Errorf("%q: %v", body, err)
 		case err == nil && !reflect.DeepEqual(*got, want):
-			t.Errorf("%q is read as %+v, not %+v", body, *got, want)
+			t.Errorf("%q: decoded as %+v, want %+v", body, *got, want)
 		}
 	}
 }
 
-// FuzzHeartbeat looks for bodies that are read otherwise than by the standard library.
+// FuzzHeartbeat searches for bodies that are decoded differently than by the standard library.
 func FuzzHeartbeat(f *testing.F) {
-	for _, body := range oddHeartbeats {
+	for _, body := range edgeCaseHeartbeats {
 		f.Add([]byte(body))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -47,23 +48,23 @@
 		wantErr := json.Unmarshal(body, &want)
 		got, err := ParseAgentHeartbeat(body)
 		if wantErr != nil && err == nil {
-			t.Errorf("%q is taken for %+v: %v", body, got, wantErr)
+			t.Errorf("%q: decoded as %+v, but the standard library rejects it: %v", body, got, wantErr)
 		}
 		if err == nil && !reflect.DeepEqual(*got, want) {
-			t.Errorf("%q is read as %+v, not %+v", body, *got, want)
+			t.Errorf("%q: decoded as %+v, want %+v", body, *got, want)
 		}
 	})
 }
 
-// TestParseAgentHeartbeat: a heartbeat names a machine and an epoch, and the newer of two is
-// told by epoch and sequence.
+// TestParseAgentHeartbeat checks that a heartbeat without a valid machine name or epoch is
+// rejected, and that heartbeats are ordered by epoch, then sequence number.
 func TestParseAgentHeartbeat(t *testing.T) {
 	if _, err := ParseAgentHeartbeat([]byte(`{"host":"m-1","shift":1,"tick":3,"pieces":null}`)); err != nil {
 		t.Error(err)
 	}
 	for _, body := range []string{"", "{}", `{"host":"m 1","shift":1}`, `{"host":"m-1"}`, `{"host":"m-1","shift":-1}`} {
 		if _, err := ParseAgentHeartbeat([]byte(body)); err == nil {
-			t.Errorf("%q was taken for a heartbeat", body)
+			t.Errorf("%q was accepted as a heartbeat", body)
 		}
 	}
 	heartbeat := AgentHeartbeat{Epoch: 2, Sequence: 5}
@@ -72,12 +73,12 @@
 		newer           bool
 	}{{2, 4, true}, {2, 5, false}, {2, 6, false}, {1, 99, true}, {3, 0, false}} {
 		if heartbeat.NewerThan(c.epoch, c.sequence) != c.newer {
-			t.Errorf("newer than %d, %d: %v", c.epoch, c.sequence, !c.newer)
+			t.Errorf("newer than epoch %d, sequence number %d: %v", c.epoch, c.sequence, !c.newer)
 		}
 	}
 }
 
-// TestHeartbeatAllocations bounds what reading a heartbeat costs.
+// TestHeartbeatAllocations limits the allocations for decoding a heartbeat.
 func TestHeartbeatAllocations(t *testing.T) {
 	body := []byte(`{"host":"m-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","loaner":true,"shift":1,"tick":88,"baton":41,"warnS":null,` +
 		`"pieces":[{"piece":"run-000412/3","try":2,"stage":"running"},{"piece":"run-000398/0","try":1,"stage":"ended","cause":"done"}]}`)
@@ -86,6 +87,6 @@
 			t.Fatal(err)
 		}
 	}); n > 11 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations for decoding a heartbeat", n)
 	}
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,6 +1,6 @@
 package protocol
 
-// MachineStage is how far a machine of the cloud's list is.
+// MachineStage is the stage of a machine in the cloud's list.
 type MachineStage = string
 
 // Stages of a machine.
@@ -10,29 +10,29 @@
 	MachineFailed  MachineStage = "failed"
 )
 
-// MachineType is a kind of machine that the cloud rents out. Prices are per hour and
-// machine.
+// MachineType is a type of machine that the cloud offers. Prices are per hour and machine.
 type MachineType struct {
 	Name            string   `json:"name"`
 	CPUs            float64  `json:"vcpus"`
 	GPUs            float64  `json:"gpus"`
 	MemoryGB        float64  `json:"ramGb"`
-	CacheGB         float64  `json:"cacheGb"`     // room for images
-	FetchGBPS       float64  `json:"fetchGbPerS"` // at which images are fetched
+	CacheGB         float64  `json:"cacheGb"`     // space for cached images
+	FetchGBPS       float64  `json:"fetchGbPerS"` // rate at which images are fetched
 	HourlyPrice     float64  `json:"hourly"`
 	HourlySpotPrice float64  `json:"marketPrice"`
 	BootSeconds     float64  `json:"bootS"`
 	Zones           []string `json:"yards"`
 }
 
-// MachineTypeCatalogue is the cloud's answer to what it rents out.
+// MachineTypeCatalogue is the list of the machine types that the cloud offers.
 type MachineTypeCatalogue struct {
 	Types []MachineType `json:"builds"`
 }
 
-// CreateMachinesRequest asks for machines.
+// CreateMachinesRequest is a request to create machines.
 type CreateMachinesRequest struct {
-	// Request names the creation for ever: the cloud carries out a repeated request once.
+	// Request is the idempotency key of the creation; it never expires. The cloud executes
+	// a repeated request once.
 	Request string `json:"ask"`
 	Type    string `json:"build"`
 	Zone    string `json:"yard"`
@@ -40,7 +40,7 @@
 	Count   int    `json:"count"`
 }
 
-// CloudMachine is a machine in the cloud's list.
+// CloudMachine is one machine in the cloud's list.
 type CloudMachine struct {
 	Name       string       `json:"id"`
 	Address    string       `json:"address"`
@@ -48,5 +48,5 @@
 	Zone       string       `json:"yard"`
 	Spot       bool         `json:"loaner"`
 	Stage      MachineStage `json:"stage"`
-	AgeSeconds float64      `json:"ageS"` // since it was created
+	AgeSeconds float64      `json:"ageS"` // since the machine was created
 }
--- a/internal/protocol/cloud_client.go
+++ b/internal/protocol/cloud_client.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// CloudClient speaks to the cloud's API. Errors match ErrNoCapacity, ErrOutcomeUnknown or
+// CloudClient calls the API of the cloud. Errors match ErrNoCapacity, ErrOutcomeUnknown or
 // the kind of a RefusedError.
 type CloudClient struct {
 	HTTP    Caller
@@ -15,25 +15,26 @@
 	Timeout time.Duration
 }
 
-// MachinesPerCall is how many machines one call of a list asks for.
+// MachinesPerCall is the page size of ListMachines.
 const MachinesPerCall = 500
 
-// cloudSaysNoCapacity is how the cloud says that it has no such machines.
-const cloudSaysNoCapacity = "no capacity"
+// cloudNoCapacityText is the error text of the cloud when it has no machines of the requested
+// type, zone and market.
+const cloudNoCapacityText = "no capacity"
 
 func (c *CloudClient) endpoint() endpoint {
 	return endpoint{http: c.HTTP, addr: c.Addr, timeout: c.Timeout}
 }
 
-// MachineTypes reads the machine types and their current prices.
+// MachineTypes returns the machine types and their current prices.
 func (c *CloudClient) MachineTypes() (MachineTypeCatalogue, error) {
 	var catalogue MachineTypeCatalogue
 	err := c.endpoint().expectOK("machine types", http.MethodGet, "/flavors", nil, &catalogue)
 	return catalogue, err
 }
 
-// CreateMachines rents machines and returns their names. The cloud may have fewer than were
-// asked for; ErrNoCapacity means that it has none.
+// CreateMachines creates machines and returns their names. The cloud may create fewer machines
+// than requested; ErrNoCapacity means that it has created none.
 func (c *CloudClient) CreateMachines(request CreateMachinesRequest) ([]string, error) {
 	var created machineNames
 	status, answer, err := c.endpoint().send(http.MethodPost, "/hosts", request, &created)
@@ -41,21 +42,21 @@
 	case err != nil:
 		return nil, err
 	case status == http.StatusOK && len(created.Machines) == 0:
-		return nil, ErrNoCapacity // an answer without machines, whatever it means, brings none
+		return nil, ErrNoCapacity // no machine was created, whatever the cause
 	case status == http.StatusOK:
 		return created.Machines, nil
-	case status == http.StatusServiceUnavailable && saysError(answer, cloudSaysNoCapacity):
+	case status == http.StatusServiceUnavailable && hasErrorText(answer, cloudNoCapacityText):
 		return nil, ErrNoCapacity
 	}
-	return nil, refused("create machines", status, answer)
+	return nil, newRefusedError("create machines", status, answer)
 }
 
-// DeleteMachines decommissions machines. No error means that they are gone.
+// DeleteMachines deletes machines. A nil error means that the machines are gone.
 func (c *CloudClient) DeleteMachines(names []string) error {
 	return c.endpoint().expectOK("delete machines", http.MethodPost, "/hosts/delete", machineNames{names}, nil)
 }
 
-// ListMachines reads all machines, page by page.
+// ListMachines returns all machines. It reads them page by page.
 func (c *CloudClient) ListMachines() ([]CloudMachine, error) {
 	var all []CloudMachine
 	after := ""
@@ -76,12 +77,12 @@
 	}
 }
 
-// machineNames is what the cloud answers to a creation, and what a deletion names.
+// machineNames is the answer to a creation and the request of a deletion.
 type machineNames struct {
 	Machines []string `json:"hosts"`
 }
 
-// machinePage is a part of the cloud's list.
+// machinePage is one page of the cloud's list of machines.
 type machinePage struct {
 	Machines []CloudMachine `json:"hosts"`
 	More     bool           `json:"more"`
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -9,45 +9,48 @@
 	jsonv1 "github.com/go-json-experiment/json/v1"
 )
 
-// What is known about a call to the cloud, the key-value store, an agent or a peer that did
-// not succeed. Every error of a client matches one of these or one of those of KVClient.
+// Kinds of failed calls to the cloud, the key-value store, an agent or a peer. Every error of
+// a client matches one of these or one of the errors of KVClient below.
 var (
-	// ErrNotExecuted says that the call was certainly not carried out.
+	// ErrNotExecuted means that the call was certainly not executed.
 	ErrNotExecuted = errors.New("refused, not carried out")
-	// ErrOutcomeUnknown says that the call may have been carried out, or may yet be.
+	// ErrOutcomeUnknown means that the call may have been executed or may still be executed.
 	ErrOutcomeUnknown = errors.New("no answer, outcome unknown")
-	// ErrRejected says that the call can never be carried out as it is, since it is
-	// malformed or over a limit. Sending it again is of no use.
-	ErrRejected = errors.New("rejected for good")
-	// ErrRateLimited says that the call was not carried out, since there were too many.
-	// It matches ErrNotExecuted as well.
+	// ErrRejected means that the call is malformed or exceeds a limit, so that a retry of
+	// the same call cannot succeed.
+	ErrRejected = errors.New("rejected permanently")
+	// ErrRateLimited means that the call was not executed because there were too many
+	// requests. It matches ErrNotExecuted as well.
 	ErrRateLimited = fmt.Errorf("%w: too many requests", ErrNotExecuted)
-	// ErrNoCapacity says that the cloud has no such machines now.
+	// ErrNoCapacity means that the cloud has no machines of the requested type, zone and
+	// market at present.
 	ErrNoCapacity = errors.New("no capacity")
 )
 
-// What the key-value store answers besides.
+// Errors of KVClient only.
 var (
-	// ErrConflict says that a condition of a transaction did not hold; nothing was changed.
-	ErrConflict = errors.New("condition not met")
-	// ErrLeaseNotFound says that the lease has ended.
+	// ErrConflict means that a precondition of a transaction did not hold. Nothing was
+	// changed.
+	ErrConflict = errors.New("precondition not met")
+	// ErrLeaseNotFound means that the lease has ended.
 	ErrLeaseNotFound = errors.New("no such lease")
-	// ErrCompacted says that the changes asked for are no longer kept; the keys must be
-	// read again.
-	ErrCompacted = errors.New("changes no longer kept")
+	// ErrCompacted means that the store no longer retains the requested changes. The keys
+	// must be read again.
+	ErrCompacted = errors.New("requested changes are compacted")
 )
 
-// ErrMalformed marks a body that its sender must correct; see MalformedError.
+// ErrMalformed means that a body is invalid and that its sender must correct it; see
+// MalformedError.
 var ErrMalformed = errors.New("malformed")
 
-// MalformedError says what is wrong with the body of a request. Its text is the body of the
-// answer, so senders see it. It matches ErrMalformed.
+// MalformedError describes what is invalid in a body. Its text is sent in the answer to an
+// invalid request. It matches ErrMalformed.
 type MalformedError struct {
-	// Field is the wire name of the field at fault, or of the whole message; empty where
-	// a submission as a whole is at fault.
+	// Field is the wire name of the invalid field or, if the whole message is invalid, of
+	// the message; empty for an invalid submission as a whole.
 	Field   string
 	Problem string
-	Cause   error // why the body could not be decoded; nil where it could
+	Cause   error // decode error; nil if the body could be decoded
 }
 
 // Error implements error.
@@ -59,7 +62,7 @@
 	return text + e.Problem
 }
 
-// Unwrap returns ErrMalformed and the cause, where there is one.
+// Unwrap returns ErrMalformed and the cause, if there is one.
 func (e *MalformedError) Unwrap() []error {
 	if e.Cause == nil {
 		return []error{ErrMalformed}
@@ -67,20 +70,21 @@
 	return []error{ErrMalformed, e.Cause}
 }
 
-// undecodable is the error of a body that is no JSON of the type expected.
-func undecodable(field string, cause error) *MalformedError {
+// newDecodeError returns the error for a body that is not JSON of the expected type.
+func newDecodeError(field string, cause error) *MalformedError {
 	return &MalformedError{Field: field, Problem: decodeProblem(cause), Cause: cause}
 }
 
-// typeNamesInProblems keeps the names that the first versions gave to the types below in
-// what senders are told, which must not change with the names of the code.
+// typeNamesInProblems replaces the Go names of types in error texts with the names that these
+// types had in the first versions. Senders see these texts, so a rename in the code must not
+// change them.
 var typeNamesInProblems = strings.NewReplacer(
 	"submission.", "rawSpec.",
 	"AgentHeartbeat", "Report",
 )
 
-// decodeProblem words why a body could not be decoded. Decoders name Go types where a value
-// is of the wrong type.
+// decodeProblem returns the text of a decode error. The text contains names of Go types if a
+// value is of the wrong type.
 func decodeProblem(cause error) string {
 	switch cause.(type) {
 	case *json.UnmarshalTypeError, *jsonv1.UnmarshalTypeError:
@@ -89,12 +93,12 @@
 	return cause.Error()
 }
 
-// RefusedError says that a service answered a call with a status that means failure.
+// RefusedError is the error of a call that a service answered with a failure status.
 type RefusedError struct {
 	Kind      error // ErrNotExecuted, ErrRejected or ErrRateLimited
 	Operation string
-	Status    int    // HTTP status of the answer
-	Answer    string // beginning of its body
+	Status    int    // HTTP status code of the answer
+	Answer    string // beginning of the body of the answer
 }
 
 // Error implements error.
@@ -105,10 +109,10 @@
 // Unwrap returns the kind.
 func (e *RefusedError) Unwrap() error { return e.Kind }
 
-// UnansweredError says that no answer came to a call, or one that could not be read. It
-// matches ErrOutcomeUnknown and its cause.
+// UnansweredError is the error of a call whose answer did not arrive or could not be decoded.
+// It matches ErrOutcomeUnknown and its cause.
 type UnansweredError struct {
-	Operation string // what was called and where
+	Operation string // HTTP method and path
 	Cause     error
 }
 
@@ -120,8 +124,10 @@
 // Unwrap returns ErrOutcomeUnknown and the cause.
 func (e *UnansweredError) Unwrap() []error { return []error{ErrOutcomeUnknown, e.Cause} }
 
-// TaskNameError says that a name is not one that TaskName makes.
+// TaskNameError means that a name does not have the form that TaskName returns.
 type TaskNameError struct{ Name string }
 
 // Error implements error.
-func (e *TaskNameError) Error() string { return fmt.Sprintf("task name %q", e.Name) }
+func (e *TaskNameError) Error() string {
+	return fmt.Sprintf("task name %q does not have the form run-000412/3 with a task number below %d", e.Name, MaxTasks)
+}
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -5,17 +5,18 @@
 	"strings"
 )
 
-// JobKind tells how the tasks of a job belong together.
+// JobKind is the kind of a job. It determines whether the tasks run independently or together,
+// and whether they end by themselves.
 type JobKind = string
 
 // Job kinds.
 const (
-	KindArray   JobKind = "sweep"    // tasks that end, each by itself
+	KindArray   JobKind = "sweep"    // independent tasks that run to completion
 	KindService JobKind = "standing" // replicas that run until cancelled
 	KindGang    JobKind = "gang"     // tasks that run together or not at all
 )
 
-// JobStage is how far a job is, as users see it.
+// JobStage is the stage of a job as shown to users.
 type JobStage = string
 
 // Job stages.
@@ -26,11 +27,11 @@
 	StageCancelled JobStage = "withdrawn"
 )
 
-// priorities in falling order; a job's Rank is its index here.
+// priorities lists the priorities, highest first; JobSpec.Rank returns an index into it.
 var priorities = [...]string{"critical", "urgent", "normal", "best_effort"}
 
-// JobSpec is a job as its user submitted it. It is also how a job is kept in the key-value
-// store. It has one field for each that users may send.
+// JobSpec is a job as submitted by its user, with one field for each field of a submission. The
+// key-value store holds jobs in the same form.
 type JobSpec struct {
 	ID       string  `json:"id"`
 	Class    string  `json:"lane"`
@@ -39,31 +40,31 @@
 	Priority string  `json:"rank"`
 	Tasks    int     `json:"pieces"`
 
-	// What each task takes of its machine, and the image that it runs.
+	// Resources and image of each task.
 	CPUs     float64 `json:"vcpus"`
 	GPUs     float64 `json:"gpus"`
 	MemoryGB float64 `json:"ramGb"`
 	Image    string  `json:"bundle"`
 	ImageGB  float64 `json:"sizeGb"`
 
-	// Where tasks may run: these machine types or any, this zone or any.
+	// Placement constraints. Empty Types or an empty Zone allow any.
 	Types   []string `json:"builds,omitempty"`
 	Zone    string   `json:"yard,omitempty"`
 	OneZone bool     `json:"together,omitempty"` // all tasks in one zone
 	Spread  bool     `json:"spread,omitempty"`   // at most half of the tasks in one zone
-	Spot    bool     `json:"loaner,omitempty"`   // spot machines as well
+	Spot    bool     `json:"loaner,omitempty"`   // spot machines are allowed as well
 
-	EstimateSeconds   float64 `json:"guessS,omitempty"` // of a task's run, by its user; often wrong
-	CheckpointSeconds float64 `json:"markS,omitempty"`  // between checkpoints; 0: never saves
-	SaveSeconds       float64 `json:"stashS,omitempty"` // to save when stopped
+	EstimateSeconds   float64 `json:"guessS,omitempty"` // run time of a task as estimated by the user; often wrong
+	CheckpointSeconds float64 `json:"markS,omitempty"`  // interval between checkpoints; 0: no checkpoints
+	SaveSeconds       float64 `json:"stashS,omitempty"` // time to save a checkpoint when stopped
 	DeadlineSeconds   float64 `json:"dueS,omitempty"`   // after submission; 0: no deadline
 
-	// Dependencies are the jobs that must be done before any task of this one starts,
-	// each named once.
+	// Dependencies are the ids of the jobs that must be done before any task of this job
+	// starts, without duplicates.
 	Dependencies []string `json:"waitsOn,omitempty"`
 }
 
-// Rank gives the job's priority as a number, 0 being the highest.
+// Rank returns the priority of the job as a number; 0 is the highest priority.
 func (s *JobSpec) Rank() int {
 	for i, p := range priorities {
 		if p == s.Priority {
@@ -73,8 +74,8 @@
 	return len(priorities)
 }
 
-// JobStatus is what a user is told about a job: how many of its tasks are done and how many
-// run.
+// JobStatus is the status of a job as shown to users: its stage, and how many of its tasks are
+// done and running.
 type JobStatus struct {
 	ID      string   `json:"id"`
 	Stage   JobStage `json:"stage"`
@@ -88,19 +89,19 @@
 	Stage JobStage `json:"stage"`
 }
 
-// ErrorBody is the body of every answer that is not a success.
+// ErrorBody is the body of every answer that reports an error.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
 
-// jobIDPrefix begins every job id; at most maxJobIDDigits digits follow.
+// A job id is jobIDPrefix followed by 1 to maxJobIDDigits digits.
 const (
 	jobIDPrefix    = "run-"
 	maxJobIDDigits = 18
 )
 
-// ValidJobID reports whether id has the form that every job id has: "run-" and 1 to 18
-// digits. Every task of every heartbeat and record passes here.
+// ValidJobID reports whether id has the form of a job id: "run-" and 1 to 18 digits. It is on
+// a hot path: it is called for every task in every heartbeat and record.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || len(digits) < 1 || len(digits) > maxJobIDDigits {
@@ -114,10 +115,11 @@
 	return true
 }
 
-// TaskName joins a job id and a task number.
+// TaskName returns the name of a task: the job id and the task number.
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// ParseTaskName takes a task's name apart. Its error is a *TaskNameError.
+// ParseTaskName splits the name of a task into job id and task number. Its error is a
+// *TaskNameError.
 func ParseTaskName(name string) (job string, task int, err error) {
 	job, number, ok := strings.Cut(name, "/")
 	if !ok || !ValidJobID(job) {
--- a/internal/protocol/json.go
+++ b/internal/protocol/json.go
@@ -5,11 +5,11 @@
 	jsonv1 "github.com/go-json-experiment/json/v1"
 )
 
-// decoding reads JSON as the standard library's first version does: names in any
-// case, the last of two fields of one name.
-var decoding = jsonv1.DefaultOptionsV1()
+// decodeOptions makes decoding behave like encoding/json version 1: field names are
+// case-insensitive, and the last of several fields with the same name applies.
+var decodeOptions = jsonv1.DefaultOptionsV1()
 
-// Decode reads what other processes send and what the records hold. The package must
-// be one that does without package unsafe: a faster one that did not left pointers to
-// freed memory behind (see docs/incidents/unsafe-json.md).
-func Decode(data []byte, into any) error { return json.Unmarshal(data, into, decoding) }
+// Decode decodes JSON from other processes and from records. The JSON package must not use
+// package unsafe: a faster package that used it left pointers to freed memory behind (see
+// docs/incidents/unsafe-json.md).
+func Decode(data []byte, into any) error { return json.Unmarshal(data, into, decodeOptions) }
--- a/internal/protocol/kv.go
+++ b/internal/protocol/kv.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// KeyValue is a key with its value.
+// KeyValue is a key and its value.
 type KeyValue struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"data"`
@@ -10,21 +10,22 @@
 	Lease   uint64          `json:"permit,omitempty"`
 }
 
-// KeyValuePage is a part of a range of keys, in their order.
+// KeyValuePage is one page of a range of keys, in key order.
 type KeyValuePage struct {
 	Items    []KeyValue `json:"items"`
 	More     bool       `json:"more"`
 	Revision uint64     `json:"epoch"` // at which the page was read
 }
 
-// Condition demands that a key has a version; 0 demands that it does not exist.
+// Condition is a precondition of a transaction: the key has the version, or does not exist if
+// the version is 0.
 type Condition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
 }
 
-// Operation is one change: either Put with Value, or Delete. A put with a lease is undone
-// when the lease ends.
+// Operation is one change: either Put with Value, or Delete. The store deletes a key that was
+// put with a lease when the lease ends.
 type Operation struct {
 	Put    string          `json:"put,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
@@ -32,13 +33,13 @@
 	Delete string          `json:"remove,omitempty"`
 }
 
-// Transaction applies all operations if all conditions hold, and nothing otherwise.
+// Transaction applies all operations if all preconditions hold, and none otherwise.
 type Transaction struct {
 	Conditions []Condition `json:"when"`
 	Operations []Operation `json:"apply,omitempty"`
 }
 
-// Event is a change to a key: a put, or a removal.
+// Event is a change to a key: a put or a deletion.
 type Event struct {
 	Put     string          `json:"put,omitempty"`
 	Remove  string          `json:"remove,omitempty"`
@@ -46,8 +47,8 @@
 	Version uint64          `json:"stamp"`
 }
 
-// Changes are the events after a revision, in their order.
+// Changes are the events after a revision, in order.
 type Changes struct {
-	Revision uint64  `json:"epoch"` // up to which they are complete
+	Revision uint64  `json:"epoch"` // up to which the events are complete
 	Events   []Event `json:"events"`
 }
--- a/internal/protocol/kv_client.go
+++ b/internal/protocol/kv_client.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// KVClient speaks to the key-value store. Every error matches one of ErrNotExecuted,
+// KVClient calls the key-value store. Every error matches one of ErrNotExecuted,
 // ErrRejected, ErrOutcomeUnknown, ErrConflict, ErrLeaseNotFound and ErrCompacted.
 type KVClient struct {
 	HTTP    Caller
@@ -16,33 +16,33 @@
 	Timeout time.Duration
 }
 
-// keysPerPage is how many keys one call of a list asks for.
+// keysPerPage is the page size of List.
 const keysPerPage = 1000
 
-// storeSaysNoLease is how the store refuses a transaction whose lease has ended.
-const storeSaysNoLease = "no such lease"
+// storeNoLeaseText is the error text of the store for a transaction whose lease has ended.
+const storeNoLeaseText = "no such lease"
 
 func (c *KVClient) endpoint() endpoint {
 	return endpoint{http: c.HTTP, addr: c.Addr, timeout: c.Timeout}
 }
 
-// Get reads one key; found is false when it does not exist.
+// Get reads one key; found is false if the key does not exist.
 func (c *KVClient) Get(key string) (item KeyValue, found bool, err error) {
 	status, answer, err := c.endpoint().send(http.MethodGet, "/store/"+key, nil, &item)
 	switch {
 	case err != nil:
 		return item, false, err
 	case status == http.StatusOK && item.Key != key:
-		return item, false, fmt.Errorf("%w: get %s: answer names %q", ErrOutcomeUnknown, key, item.Key)
+		return item, false, fmt.Errorf("%w: get %s: answer is for key %q", ErrOutcomeUnknown, key, item.Key)
 	case status == http.StatusOK:
 		return item, true, nil
 	case status == http.StatusNotFound:
 		return item, false, nil
 	}
-	return item, false, refused("get", status, answer)
+	return item, false, newRefusedError("get", status, answer)
 }
 
-// List reads a page of the keys with a prefix, beginning after the key given.
+// List reads one page of the keys with a prefix, starting after the given key.
 func (c *KVClient) List(prefix, after string) (KeyValuePage, error) {
 	path := "/store?prefix=" + url.QueryEscape(prefix) + "&most=" + strconv.Itoa(keysPerPage)
 	if after != "" {
@@ -53,8 +53,8 @@
 	return page, err
 }
 
-// Commit carries out a transaction and returns its revision. ErrConflict means that a
-// condition did not hold, ErrLeaseNotFound that a lease named by an operation has ended.
+// Commit executes a transaction and returns its revision. ErrConflict means that a
+// precondition did not hold, ErrLeaseNotFound that the lease of an operation has ended.
 func (c *KVClient) Commit(transaction Transaction) (uint64, error) {
 	if transaction.Conditions == nil {
 		transaction.Conditions = []Condition{}
@@ -70,14 +70,14 @@
 		return committed.Revision, nil
 	case status == http.StatusConflict:
 		return 0, fmt.Errorf("%w: %s", ErrConflict, answer)
-	case status == http.StatusBadRequest && saysError(answer, storeSaysNoLease):
+	case status == http.StatusBadRequest && hasErrorText(answer, storeNoLeaseText):
 		return 0, ErrLeaseNotFound
 	}
-	return 0, refused("transaction", status, answer)
+	return 0, newRefusedError("transaction", status, answer)
 }
 
-// OpenLease opens a lease that ends when it has not been renewed for the time to live, to
-// the millisecond.
+// OpenLease opens a lease that ends unless it is renewed within the time to live, which is
+// truncated to milliseconds.
 func (c *KVClient) OpenLease(timeToLive time.Duration) (uint64, error) {
 	request := struct {
 		Milliseconds int64 `json:"lifeMs"`
@@ -87,7 +87,7 @@
 	}
 	err := c.endpoint().expectOK("open lease", http.MethodPost, "/holds", request, &opened)
 	if err == nil && opened.Lease == 0 {
-		err = fmt.Errorf("%w: open lease: answer names none", ErrOutcomeUnknown)
+		err = fmt.Errorf("%w: open lease: answer has no lease", ErrOutcomeUnknown)
 	}
 	return opened.Lease, err
 }
@@ -103,30 +103,30 @@
 	case status == http.StatusNotFound:
 		return ErrLeaseNotFound
 	}
-	return refused("renew lease", status, answer)
+	return newRefusedError("renew lease", status, answer)
 }
 
-// RevokeLease ends a lease and with it the keys attached to it. One that has ended already
-// is no error.
+// RevokeLease ends a lease, which deletes the keys attached to the lease. Revoking a lease that
+// has already ended is not an error.
 func (c *KVClient) RevokeLease(lease uint64) error {
 	status, answer, err := c.endpoint().send(http.MethodDelete, leasePath(lease), nil, nil)
 	if err == nil && status >= http.StatusMultipleChoices && status != http.StatusNotFound {
-		err = refused("revoke lease", status, answer)
+		err = newRefusedError("revoke lease", status, answer)
 	}
 	return err
 }
 
 func leasePath(lease uint64) string { return "/holds/" + strconv.FormatUint(lease, 10) }
 
-// Watch waits for changes after a revision, for the given time at most; the answer may have
-// none. ErrCompacted means that the keys must be read again.
+// Watch waits for changes after a revision for at most the given time. It may return no
+// events. ErrCompacted means that the keys must be read again.
 func (c *KVClient) Watch(prefix string, after uint64, wait time.Duration) (Changes, error) {
 	path := "/follow?prefix=" + url.QueryEscape(prefix) + "&from=" + strconv.FormatUint(after, 10) +
 		"&blockMs=" + strconv.FormatInt(wait.Milliseconds(), 10)
-	patient := c.endpoint()
-	patient.timeout += wait
+	watchEndpoint := c.endpoint()
+	watchEndpoint.timeout += wait
 	var changes Changes
-	status, answer, err := patient.send(http.MethodGet, path, nil, &changes)
+	status, answer, err := watchEndpoint.send(http.MethodGet, path, nil, &changes)
 	switch {
 	case err != nil:
 		return changes, err
@@ -135,5 +135,5 @@
 	case status == http.StatusGone:
 		return changes, ErrCompacted
 	}
-	return changes, refused("watch", status, answer)
+	return changes, newRefusedError("watch", status, answer)
 }
--- a/internal/protocol/peer_wire.go
+++ b/internal/protocol/peer_wire.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// The types in this file are what controllers exchange with encoding/gob, which carries
-// Go's field names and drops a field that the other side does not know without an
-// error. While a cluster is upgraded two versions talk to each other, so no field here
-// is renamed or given another meaning. The rest of the program uses PeerRequest and
-// PeerAnswer; package transport converts at the link.
+// Controllers exchange the types in this file with encoding/gob, which transmits Go field
+// names and silently drops a field that the receiver does not have. During an upgrade of a
+// cluster two versions communicate with each other, so the fields here must keep their names
+// and meanings. The rest of the program uses PeerRequest and PeerAnswer; package transport
+// converts between the two forms.
 
-// PeerRequestWire is a PeerRequest on the link.
+// PeerRequestWire is the wire form of PeerRequest.
 type PeerRequestWire struct {
 	Heartbeat *PeerHeartbeatWire
 	Cancelled []string
 }
 
-// PeerAnswerWire is a PeerAnswer on the link.
+// PeerAnswerWire is the wire form of PeerAnswer.
 type PeerAnswerWire struct {
 	Reply *PeerHeartbeatReply
 }
 
-// PeerHeartbeatWire is a PeerHeartbeat on the link.
+// PeerHeartbeatWire is the wire form of PeerHeartbeat.
 type PeerHeartbeatWire struct {
 	Node        string
 	Incarnation uint64
@@ -34,31 +34,32 @@
 	Heard       []time.Duration
 }
 
-// PeerHeartbeatReply is the leader's answer: the sender's grants hold for another shard
-// lease, counted from when the heartbeat was sent.
+// PeerHeartbeatReply is the answer of the leader to a PeerHeartbeat. It extends the shard leases
+// of the confirmed shards, counted from the time at which the heartbeat was sent.
 type PeerHeartbeatReply struct {
-	Leader       bool // false: the receiver does not lead and confirms nothing
+	Leader       bool // false: the receiver is not the leader and confirms no shard
 	Term         uint64
-	SentAt       time.Duration // of the heartbeat
-	Shards       []int         // shards confirmed
-	HealthyPeers int           // other controllers that are well and do not hold the batch shard
+	SentAt       time.Duration // SentAt of the heartbeat
+	Shards       []int         // the confirmed shards
+	HealthyPeers int           // number of other healthy controllers that do not hold the batch shard
 }
 
-// MachineStatus is a shard holder's view of one machine. There are thousands in a
-// heartbeat, so they are used as they are on the link instead of being copied.
+// MachineStatus is the status of one machine as observed by the holder of its shard. It has no
+// separate wire form because a heartbeat contains thousands of these, and converting them
+// would copy them all.
 type MachineStatus struct {
 	Name         string
 	Seen         bool          // the agent has sent a heartbeat under the current grant
-	Silent       time.Duration // since the last heartbeat, or since the grant
-	Tasks        int           // attempts that may be on it
-	Faulty       bool          // tasks fail or run slowly there
-	Leaves       bool          // the cloud has announced its termination
-	Unresponsive bool          // heartbeats arrive, but neither answers nor commands do
-	Addr         string        // address, where the record does not have it yet
-	Empty        uint64        // stamp of the drain under which nothing is or can come to be on it; 0: not empty
+	Silent       time.Duration // time since the last heartbeat, or since the grant
+	Tasks        int           // number of attempts that may be on the machine
+	Faulty       bool          // tasks fail or run slowly on the machine
+	Leaves       bool          // the cloud has announced the termination of the machine
+	Unresponsive bool          // its heartbeats arrive, but answers and commands do not reach the agent
+	Addr         string        // address, if the machine record has none yet
+	Empty        uint64        // drain stamp if no attempt is on the machine or can start there; otherwise 0
 }
 
-// AgentHeartbeatWire is an AgentHeartbeat on the link.
+// AgentHeartbeatWire is the wire form of AgentHeartbeat.
 type AgentHeartbeatWire struct {
 	Machine string
 	Address string
@@ -72,7 +73,7 @@
 	Tasks   []TaskStatusWire
 }
 
-// TaskStatusWire is a TaskStatus on the link.
+// TaskStatusWire is the wire form of TaskStatus.
 type TaskStatusWire struct {
 	Task    string
 	Attempt uint64
@@ -81,7 +82,7 @@
 	Saved   bool
 }
 
-// Wire returns the message as it goes over the link.
+// Wire returns the wire form of the request.
 func (r PeerRequest) Wire() PeerRequestWire {
 	wire := PeerRequestWire{Cancelled: r.Cancelled}
 	if r.Heartbeat != nil {
@@ -90,7 +91,7 @@
 	return wire
 }
 
-// Request returns the message that came over the link.
+// Request converts the wire form to a PeerRequest.
 func (w PeerRequestWire) Request() PeerRequest {
 	request := PeerRequest{Cancelled: w.Cancelled}
 	if w.Heartbeat != nil {
@@ -99,10 +100,10 @@
 	return request
 }
 
-// Wire returns the answer as it goes over the link.
+// Wire returns the wire form of the answer.
 func (a PeerAnswer) Wire() PeerAnswerWire { return PeerAnswerWire(a) }
 
-// Answer returns the answer that came over the link.
+// Answer converts the wire form to a PeerAnswer.
 func (w PeerAnswerWire) Answer() PeerAnswer { return PeerAnswer(w) }
 
 func (h *PeerHeartbeat) wire() *PeerHeartbeatWire {
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -6,19 +6,19 @@
 	"fmt"
 )
 
-// Limits on what users may send.
+// Limits on submissions.
 const (
-	MaxBody  = 64 << 10 // bytes of a submission
-	MaxTasks = 100_000  // of a job
-	maxName  = 200      // bytes of a name
+	MaxBody      = 64 << 10 // size of a submission in bytes
+	MaxTasks     = 100_000  // tasks per job
+	maxNameBytes = 200      // length of a name in bytes
 
-	// maxAmount bounds every amount of a submission.
+	// maxAmount is the maximum of every amount in a submission.
 	maxAmount = 1e9
 )
 
-// ParseSubmission reads and checks the body of a submission. Its errors are of type
-// *MalformedError. Whether the job can run (its team, its machine types, its size) is not
-// judged here.
+// ParseSubmission decodes and validates the body of a submission. Its errors are of type
+// *MalformedError. It does not check whether the job can run in the cluster (its team, its
+// machine types, its size).
 func ParseSubmission(body []byte) (*JobSpec, error) {
 	if len(body) > MaxBody {
 		return nil, &MalformedError{Problem: fmt.Sprintf("body over %d bytes", MaxBody)}
@@ -28,23 +28,23 @@
 	}
 	var fields submission
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return nil, undecodable("", err)
+		return nil, newDecodeError("", err)
 	}
 	spec, err := fields.spec()
 	if err != nil {
 		return nil, err
 	}
-	if err := spec.check(); err != nil {
+	if err := spec.validate(); err != nil {
 		return nil, err
 	}
 	return spec, nil
 }
 
-// check judges what the fields say together and as names.
-func (s *JobSpec) check() error {
+// validate checks the enumerated values, the job id and the combination of fields.
+func (s *JobSpec) validate() error {
 	switch {
 	case !ValidJobID(s.ID):
-		return &MalformedError{Field: "id", Problem: problemJobID}
+		return &MalformedError{Field: "id", Problem: invalidJobIDProblem}
 	case s.Kind != KindArray && s.Kind != KindService && s.Kind != KindGang:
 		return &MalformedError{Field: "shape", Problem: "unknown"}
 	case s.Rank() == len(priorities):
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// submission is a JobSpec on the wire. Its pointers tell a missing field from a zero one.
+// submission is the wire form of JobSpec. The fields are pointers to distinguish a missing field
+// from a zero value.
 type submission struct {
 	ID                *string   `json:"id"`
 	Class             *string   `json:"lane"`
@@ -80,8 +81,8 @@
 	Dependencies      *[]string `json:"waitsOn"`
 }
 
-// spec checks each field by itself. The order is that in which faults are reported: users
-// are told of the first.
+// spec checks each field separately and returns the JobSpec. Only the first error is reported
+// to the user, so the order of the checks is visible to users.
 func (s *submission) spec() (*JobSpec, error) {
 	spec := &JobSpec{}
 	fields := &fieldReader{}
@@ -90,8 +91,8 @@
 	s.readFlags(spec, fields)
 	fields.tasks("pieces", s.Tasks, &spec.Tasks)
 	s.readNullable(spec, fields)
-	if fields.fault != nil {
-		return nil, fields.fault
+	if fields.firstError != nil {
+		return nil, fields.firstError
 	}
 	return spec, nil
 }
@@ -121,7 +122,7 @@
 	fields.flag("loaner", s.Spot, &spec.Spot)
 }
 
-// readNullable reads the fields that may be null or left out.
+// readNullable reads the optional fields, which may be null or missing.
 func (s *submission) readNullable(spec *JobSpec, fields *fieldReader) {
 	if s.DeadlineSeconds != nil {
 		fields.amount("dueS", s.DeadlineSeconds, &spec.DeadlineSeconds)
--- a/internal/protocol/submission_fields.go
+++ b/internal/protocol/submission_fields.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// problemJobID is what is wrong with a job id of another form.
-const problemJobID = "not of the form run-000412"
+// invalidJobIDProblem is the error text for a job id that ValidJobID rejects.
+const invalidJobIDProblem = "not of the form run-000412"
 
-// fieldReader copies the fields of a submission that must be there and keeps the first
-// fault.
-type fieldReader struct{ fault *MalformedError }
+// fieldReader validates and copies the fields of a submission, and records the first error. A
+// field that is nil is an error.
+type fieldReader struct{ firstError *MalformedError }
 
 func (r *fieldReader) fail(field, problem string) {
-	if r.fault == nil {
-		r.fault = &MalformedError{Field: field, Problem: problem}
+	if r.firstError == nil {
+		r.firstError = &MalformedError{Field: field, Problem: problem}
 	}
 }
 
-// name reads a text that may not be empty.
+// name reads a string that must not be empty.
 func (r *fieldReader) name(field string, given, into *string) {
 	if given != nil && *given == "" {
 		r.fail(field, "empty")
@@ -24,19 +24,19 @@
 	r.text(field, given, into)
 }
 
-// text reads a text of bounded length.
+// text reads a string of at most maxNameBytes bytes.
 func (r *fieldReader) text(field string, given, into *string) {
 	switch {
 	case given == nil:
 		r.fail(field, "missing")
-	case len(*given) > maxName:
+	case len(*given) > maxNameBytes:
 		r.fail(field, "too long")
 	default:
 		*into = *given
 	}
 }
 
-// names reads a list that may not be empty.
+// names reads a non-empty list of names.
 func (r *fieldReader) names(field string, given []string) []string {
 	if len(given) == 0 {
 		r.fail(field, "empty")
@@ -48,7 +48,7 @@
 	return given
 }
 
-// amount reads a number that is not negative and within reason.
+// amount reads a number between 0 and maxAmount.
 func (r *fieldReader) amount(field string, given, into *float64) {
 	switch {
 	case given == nil:
@@ -60,7 +60,7 @@
 	}
 }
 
-// flag reads a flag, which must be there even where it is false.
+// flag reads a boolean, which must be present even if it is false.
 func (r *fieldReader) flag(field string, given, into *bool) {
 	if given == nil {
 		r.fail(field, "missing")
@@ -69,7 +69,7 @@
 	*into = *given
 }
 
-// tasks reads a number of tasks.
+// tasks reads the number of tasks.
 func (r *fieldReader) tasks(field string, given *int64, into *int) {
 	switch {
 	case given == nil:
@@ -81,13 +81,13 @@
 	}
 }
 
-// jobIDs reads a list of jobs, of which each counts once.
+// jobIDs reads a list of job ids and removes duplicates.
 func (r *fieldReader) jobIDs(field string, given []string) []string {
 	var ids []string
 	seen := make(map[string]bool, len(given))
 	for _, id := range given {
 		if !ValidJobID(id) {
-			r.fail(field, problemJobID)
+			r.fail(field, invalidJobIDProblem)
 			return nil
 		}
 		if !seen[id] {
