--- a/internal/compatibility/link_test.go
+++ b/internal/compatibility/link_test.go
@@ -21,7 +21,7 @@
 				Machine: "m-000002", Address: "10.1.0.2:9000", MachineType: "small", Zone: "north", Spot: true, Epoch: 2, Sequence: 3, FencingToken: 4, TerminationSeconds: &notice,
 				Tasks: []protocol.TaskStatus{{Task: "run-1/0", Attempt: 5, State: protocol.TaskRunning}},
 			}},
-			QuotaSplitVersion: 4, GrantsWithinQuota: []uint64{1, 2}, ShardHeardAgo: []time.Duration{-1, time.Second},
+			QuotaSplitVersion: 4, GrantsWithinQuota: []uint64{1, 2}, ShardHeartbeatAges: []time.Duration{-1, time.Second},
 		}},
 		{Cancelled: []string{"run-1", "run-2"}},
 		{},
--- a/internal/config/store_limits.go
+++ b/internal/config/store_limits.go
@@ -22,16 +22,16 @@
 
 // StoreLimits are the limits that requests to the key-value store keep to.
 type StoreLimits struct {
-	RequestRate float64 // requests a second of all controllers together
-	WriteRate   float64 // puts and removals a second of all controllers together
-	ValueBytes  int     // of one value
-	Operations  int     // puts and removals in a transaction
-	Conditions  int     // conditions in a transaction
+	RequestRate   float64 // requests a second of all controllers together
+	WriteRate     float64 // puts and removals a second of all controllers together
+	ValueBytes    int     // of one value
+	Operations    int     // puts and removals in a transaction
+	Preconditions int     // conditions in a transaction
 }
 
-// ConditionsPerOperation is how many conditions a transaction may have for each operation
+// PreconditionsPerOperation is how many conditions a transaction may have for each operation
 // that it may have.
-const ConditionsPerOperation = 4
+const PreconditionsPerOperation = 4
 
 // MinOperations is how many operations a transaction must allow: a job's end takes two, an
 // election two, a machine group that is split three.
@@ -51,11 +51,11 @@
 		s.TransactionOperations = lower(s.TransactionOperations, next.TransactionOperations)
 	}
 	return StoreLimits{
-		RequestRate: s.RequestsPerSecond,
-		WriteRate:   s.WritesPerSecond,
-		ValueBytes:  int(s.ValueKiB * 1024),
-		Operations:  s.TransactionOperations,
-		Conditions:  ConditionsPerOperation * s.TransactionOperations,
+		RequestRate:   s.RequestsPerSecond,
+		WriteRate:     s.WritesPerSecond,
+		ValueBytes:    int(s.ValueKiB * 1024),
+		Operations:    s.TransactionOperations,
+		Preconditions: PreconditionsPerOperation * s.TransactionOperations,
 	}
 }
 
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -118,7 +118,7 @@
 	}
 	transaction := f.committed[0]
 	conditions := map[string]uint64{}
-	for _, condition := range transaction.Conditions {
+	for _, condition := range transaction.Preconditions {
 		conditions[condition.Key] = condition.Version
 	}
 	if len(conditions) != 2 || conditions[storage.KeyLeader] != 0 || conditions[storage.KeyTerm] != f.replica.View.TermVersion {
--- a/internal/coordination/election/elector.go
+++ b/internal/coordination/election/elector.go
@@ -126,7 +126,7 @@
 		Lease:       lease,
 	}
 	e.Committer.Commit(protocol.Transaction{
-		Conditions: []protocol.Condition{
+		Preconditions: []protocol.Precondition{
 			{Key: storage.KeyLeader, Version: view.LeaderVersion},
 			{Key: storage.KeyTerm, Version: view.TermVersion},
 		},
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -50,9 +50,9 @@
 	return l.generation.Now()-l.renewedAt < l.elector.MaxStaleness
 }
 
-// Condition returns the precondition that this controller is still the leader.
-func (l *Leadership) Condition() protocol.Condition {
-	return protocol.Condition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
+// Precondition returns the precondition that this controller is still the leader.
+func (l *Leadership) Precondition() protocol.Precondition {
+	return protocol.Precondition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
 }
 
 // NextFencingToken returns a fencing token higher than all earlier ones.
--- a/internal/coordination/jobs/cancel.go
+++ b/internal/coordination/jobs/cancel.go
@@ -46,8 +46,8 @@
 	final := storage.FinalRecord{Stage: protocol.StageCancelled, EndedAtMS: s.Generation.Wall().UnixMilli()}
 	s.Committer.Budget.ForceConsume(s.Generation.Now(), 2)
 	s.Committer.Commit(protocol.Transaction{
-		Conditions: []protocol.Condition{{Key: storage.JobKey(id), Version: version}},
-		Operations: storage.EndJobOperations(id, final),
+		Preconditions: []protocol.Precondition{{Key: storage.JobKey(id), Version: version}},
+		Operations:    storage.EndJobOperations(id, final),
 	}, func(revision uint64, err error) {
 		switch {
 		case err == nil:
--- a/internal/coordination/jobs/cancelled_dependents.go
+++ b/internal/coordination/jobs/cancelled_dependents.go
@@ -69,7 +69,7 @@
 	final := storage.FinalRecord{Stage: protocol.StageCancelled, EndedAtMS: w.Generation.Wall().UnixMilli()}
 	var transaction protocol.Transaction
 	for _, job := range batch {
-		transaction.Conditions = append(transaction.Conditions, protocol.Condition{Key: storage.JobKey(job.ID), Version: job.Version})
+		transaction.Preconditions = append(transaction.Preconditions, protocol.Precondition{Key: storage.JobKey(job.ID), Version: job.Version})
 		transaction.Operations = append(transaction.Operations, storage.EndJobOperations(job.ID, final)...)
 		if w.writes[job] == nil {
 			w.writes[job] = &loop.Write{}
--- a/internal/coordination/jobs/fixture_test.go
+++ b/internal/coordination/jobs/fixture_test.go
@@ -104,7 +104,7 @@
 	if f.onCommit != nil {
 		f.onCommit()
 	}
-	for _, c := range transaction.Conditions {
+	for _, c := range transaction.Preconditions {
 		if _, found := f.values[c.Key]; found != (c.Version != 0) {
 			done(0, protocol.ErrConflict)
 			return
@@ -218,8 +218,8 @@
 	f.t.Helper()
 	limits := f.committer.Limits()
 	for _, transaction := range f.heldTransactions {
-		if largest := kv.LargestValue(transaction); largest > limits.ValueBytes || len(transaction.Operations) > limits.Operations || len(transaction.Conditions) > limits.Conditions {
-			f.t.Errorf("transaction over the limits %+v: largest value %d bytes, %d operations, %d conditions", limits, largest, len(transaction.Operations), len(transaction.Conditions))
+		if largest := kv.LargestValue(transaction); largest > limits.ValueBytes || len(transaction.Operations) > limits.Operations || len(transaction.Preconditions) > limits.Preconditions {
+			f.t.Errorf("transaction over the limits %+v: largest value %d bytes, %d operations, %d conditions", limits, largest, len(transaction.Operations), len(transaction.Preconditions))
 		}
 		f.revision++
 		f.applyOperations(transaction)
--- a/internal/coordination/jobs/submit.go
+++ b/internal/coordination/jobs/submit.go
@@ -99,8 +99,8 @@
 	}
 	s.Committer.Budget.ForceConsume(s.Generation.Now(), 1)
 	s.Committer.Commit(protocol.Transaction{
-		Conditions: []protocol.Condition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
-		Operations: []protocol.Operation{put},
+		Preconditions: []protocol.Precondition{{Key: storage.JobKey(spec.ID)}, {Key: storage.FinalKey(spec.ID)}},
+		Operations:    []protocol.Operation{put},
 	}, func(revision uint64, err error) {
 		switch {
 		case err == nil:
--- a/internal/coordination/kv/committer.go
+++ b/internal/coordination/kv/committer.go
@@ -93,7 +93,7 @@
 	}
 	if operations := len(transaction.Operations); operations > config.MinOperations {
 		limits.Operations = min(limits.Operations, max(config.MinOperations, operations*3/4))
-		limits.Conditions = config.ConditionsPerOperation * limits.Operations
+		limits.Preconditions = config.PreconditionsPerOperation * limits.Operations
 	}
 	return limits
 }
--- a/internal/coordination/kv/committer_test.go
+++ b/internal/coordination/kv/committer_test.go
@@ -19,7 +19,7 @@
 	value := make([]byte, 4000)
 	large := protocol.Transaction{Operations: []protocol.Operation{{Put: "r/x", Value: value}, {Put: "r/y"}, {Put: "r/z"}, {Put: "r/u"}, {Put: "r/v"}}}
 	after := reducedLimits(before, large)
-	if after.ValueBytes >= 4000 || after.ValueBytes < minValueBytes || after.Operations >= 5 || after.Conditions != 4*after.Operations {
+	if after.ValueBytes >= 4000 || after.ValueBytes < minValueBytes || after.Operations >= 5 || after.Preconditions != 4*after.Operations {
 		t.Errorf("limits %+v after the rejection of a large transaction, %+v before", after, before)
 	}
 	small := protocol.Transaction{Operations: []protocol.Operation{{Put: "r/x", Value: value[:100]}}}
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -186,7 +186,8 @@
 // unresponsivePeers never answers a request.
 type unresponsivePeers struct{}
 
-func (unresponsivePeers) SendRequest(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {}
+func (unresponsivePeers) SendRequest(string, protocol.PeerRequest, func(protocol.PeerAnswer, error)) {
+}
 
 func (l *testLeader) reporter(holdings *testHoldings) *Reporter {
 	limits := config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 100, ValueKiB: 8, TransactionOperations: 8}.Limits()
@@ -241,7 +242,7 @@
 	if len(l.committed) != 1 {
 		t.Fatalf("%d transactions, want 1", len(l.committed))
 	}
-	conditions := l.committed[0].Conditions
+	conditions := l.committed[0].Preconditions
 	if len(conditions) != 2 || conditions[1].Key != storage.GrantKey(0) {
 		t.Errorf("conditions %v, want the liveness record and the grant of shard 0", conditions)
 	}
--- a/internal/coordination/membership/peer.go
+++ b/internal/coordination/membership/peer.go
@@ -75,8 +75,8 @@
 	p.Leaving = heartbeat.Leaving
 	p.QuotaSplitVersion = heartbeat.QuotaSplitVersion
 	p.GrantsWithinQuota = heartbeat.GrantsWithinQuota
-	p.shardHeardAt = make([]time.Duration, len(heartbeat.ShardHeardAgo))
-	for shard, ago := range heartbeat.ShardHeardAgo {
+	p.shardHeardAt = make([]time.Duration, len(heartbeat.ShardHeartbeatAges))
+	for shard, ago := range heartbeat.ShardHeartbeatAges {
 		if ago >= 0 {
 			p.shardHeardAt[shard] = now - ago
 		}
--- a/internal/coordination/membership/reporter.go
+++ b/internal/coordination/membership/reporter.go
@@ -138,7 +138,7 @@
 		if heardAt > 0 {
 			ago = now - heardAt
 		}
-		heartbeat.ShardHeardAgo = append(heartbeat.ShardHeardAgo, ago)
+		heartbeat.ShardHeartbeatAges = append(heartbeat.ShardHeartbeatAges, ago)
 	}
 	for _, machine := range slices.Sorted(maps.Keys(r.unrecorded)) {
 		heartbeat.UnrecordedAgents = append(heartbeat.UnrecordedAgents, r.unrecorded[machine])
@@ -206,13 +206,13 @@
 	key := storage.LivenessKey(r.Replica.Controller)
 	record := storage.LivenessRecord{Incarnation: r.Replica.Incarnation}
 	t = protocol.Transaction{
-		Conditions: []protocol.Condition{{Key: key, Version: view.Liveness[r.Replica.Controller].Version}},
-		Operations: []protocol.Operation{{Put: key, Value: storage.Encode(record)}},
+		Preconditions: []protocol.Precondition{{Key: key, Version: view.Liveness[r.Replica.Controller].Version}},
+		Operations:    []protocol.Operation{{Put: key, Value: storage.Encode(record)}},
 	}
 	for shard := range view.JobShards {
-		if r.Leases.Holds(shard) && len(t.Conditions) < r.Committer.Limits().Conditions {
+		if r.Leases.Holds(shard) && len(t.Preconditions) < r.Committer.Limits().Preconditions {
 			shards = append(shards, shard)
-			t.Conditions = append(t.Conditions, view.GrantCondition(shard))
+			t.Preconditions = append(t.Preconditions, view.GrantPrecondition(shard))
 		}
 	}
 	return t, shards
--- a/internal/coordination/provisioning/adoption.go
+++ b/internal/coordination/provisioning/adoption.go
@@ -153,8 +153,8 @@
 	group.write.Begin()
 	key := storage.MachineGroupKey(group.id)
 	a.Committer.Commit(protocol.Transaction{
-		Conditions: []protocol.Condition{a.Leadership.Condition(), {Key: key}},
-		Operations: []protocol.Operation{{Put: key, Value: storage.Encode(group.record)}},
+		Preconditions: []protocol.Precondition{a.Leadership.Precondition(), {Key: key}},
+		Operations:    []protocol.Operation{{Put: key, Value: storage.Encode(group.record)}},
 	}, func(_ uint64, err error) {
 		delay := kv.RetryDelay
 		if err == nil {
--- a/internal/coordination/provisioning/config.go
+++ b/internal/coordination/provisioning/config.go
@@ -32,8 +32,8 @@
 type Leadership interface {
 	// Term returns the leader's term.
 	Term() uint64
-	// Condition returns the precondition that this leadership is still in force.
-	Condition() protocol.Condition
+	// Precondition returns the precondition that this leadership is still in force.
+	Precondition() protocol.Precondition
 	// NextFencingToken returns a fencing token higher than all earlier ones.
 	NextFencingToken() uint64
 	// Current reports whether this controller still leads under this term.
--- a/internal/coordination/provisioning/fixture_test.go
+++ b/internal/coordination/provisioning/fixture_test.go
@@ -76,8 +76,8 @@
 func (l *testLeader) MachineStatus(m *storage.Machine) (protocol.MachineStatus, bool) {
 	return l.statuses(m)
 }
-func (l *testLeader) Condition() protocol.Condition {
-	return protocol.Condition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
+func (l *testLeader) Precondition() protocol.Precondition {
+	return protocol.Precondition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
 }
 func (l *testLeader) NextFencingToken() uint64 {
 	l.tokens++
@@ -172,8 +172,8 @@
 func (l *testLeader) checkLimits(t protocol.Transaction) {
 	l.t.Helper()
 	limits := l.committer.Limits()
-	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Conditions) > limits.Conditions {
-		l.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
+	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Preconditions) > limits.Preconditions {
+		l.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Preconditions))
 	}
 }
 
@@ -182,7 +182,7 @@
 	limits := l.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
 	limits.Operations = min(limits.Operations, operations)
-	limits.Conditions = min(limits.Conditions, conditions)
+	limits.Preconditions = min(limits.Preconditions, conditions)
 	l.committer.SetLimits(limits)
 }
 
--- a/internal/coordination/provisioning/group_values.go
+++ b/internal/coordination/provisioning/group_values.go
@@ -60,7 +60,7 @@
 
 // groupWrite holds the conditions and operations that write one group within a transaction.
 type groupWrite struct {
-	conditions []protocol.Condition
+	conditions []protocol.Precondition
 	operations []protocol.Operation
 }
 
@@ -79,10 +79,10 @@
 	}
 	for _, part := range parts[1:] {
 		key := storage.MachineGroupKey(groupID(w.Leadership.NextFencingToken()))
-		write.conditions = append(write.conditions, protocol.Condition{Key: key})
+		write.conditions = append(write.conditions, protocol.Precondition{Key: key})
 		write.operations = append(write.operations, protocol.Operation{Put: key, Value: storage.Encode(part)})
 	}
-	write.conditions = append(write.conditions, protocol.Condition{Key: storage.MachineGroupKey(id), Version: w.view().MachineGroups[id].Version})
+	write.conditions = append(write.conditions, protocol.Precondition{Key: storage.MachineGroupKey(id), Version: w.view().MachineGroups[id].Version})
 	write.operations = append(write.operations, w.writeOperation(id, parts[0]))
 	return write, true
 }
@@ -113,7 +113,7 @@
 }
 
 func newGroupBatch(w *groupWriter) *groupBatch {
-	return &groupBatch{writer: w, transaction: protocol.Transaction{Conditions: []protocol.Condition{w.Leadership.Condition()}}, grants: map[int]bool{}}
+	return &groupBatch{writer: w, transaction: protocol.Transaction{Preconditions: []protocol.Precondition{w.Leadership.Precondition()}}, grants: map[int]bool{}}
 }
 
 // hasRoomFor reports whether a write still fits into the transaction. The first write always
@@ -125,21 +125,21 @@
 	}
 	limits := b.writer.Committer.Limits()
 	return len(b.transaction.Operations)+len(write.operations) <= min(limits.Operations, maxGroupOperations) &&
-		len(b.transaction.Conditions)+len(write.conditions)+grantCondition <= limits.Conditions
+		len(b.transaction.Preconditions)+len(write.conditions)+grantCondition <= limits.Preconditions
 }
 
 // add appends the write of a group to the transaction. If a change relies on the holder's
 // confirmation that a machine is empty, the transaction also depends on the holder's grant.
 func (b *groupBatch) add(id string, write groupWrite) {
 	b.groups = append(b.groups, id)
-	b.transaction.Conditions = append(b.transaction.Conditions, write.conditions...)
+	b.transaction.Preconditions = append(b.transaction.Preconditions, write.conditions...)
 	b.transaction.Operations = append(b.transaction.Operations, write.operations...)
 	group, changes := b.writer.view().MachineGroups[id], b.writer.changes[id]
 	b.writer.logChanges(group, changes)
 	dependsOnHolder := slices.ContainsFunc(changes, func(c machineChange) bool { return c.holderConfirmedEmpty })
 	if dependsOnHolder && !b.grants[group.Shard] {
 		b.grants[group.Shard] = true
-		b.transaction.Conditions = append(b.transaction.Conditions, b.writer.view().GrantCondition(group.Shard))
+		b.transaction.Preconditions = append(b.transaction.Preconditions, b.writer.view().GrantPrecondition(group.Shard))
 	}
 }
 
--- a/internal/coordination/provisioning/machine_types.go
+++ b/internal/coordination/provisioning/machine_types.go
@@ -55,8 +55,8 @@
 func (t *machineTypes) record(now time.Duration) {
 	t.Committer.Budget.ForceConsume(now, 1)
 	t.Committer.Commit(protocol.Transaction{
-		Conditions: []protocol.Condition{t.Leadership.Condition(), {Key: storage.KeyMachineTypes, Version: t.view().MachineTypesVersion}},
-		Operations: []protocol.Operation{{Put: storage.KeyMachineTypes, Value: storage.Encode(t.catalogue)}},
+		Preconditions: []protocol.Precondition{t.Leadership.Precondition(), {Key: storage.KeyMachineTypes, Version: t.view().MachineTypesVersion}},
+		Operations:    []protocol.Operation{{Put: storage.KeyMachineTypes, Value: storage.Encode(t.catalogue)}},
 	}, func(uint64, error) {
 		t.Generation.Later(kv.RetryDelay, t.write.Finish)
 	})
--- a/internal/coordination/provisioning/moves.go
+++ b/internal/coordination/provisioning/moves.go
@@ -78,11 +78,11 @@
 	v.writer.logChanges(group, changes)
 	v.Log.Info("machines moved", "count", len(target.Machines), "from", group.Shard, "to", move.toShard, "term", v.Leadership.Term())
 	key := storage.MachineGroupKey(groupID(target.FencingToken))
-	conditions := []protocol.Condition{v.Leadership.Condition(), {Key: key}, v.view().GrantCondition(group.Shard)}
+	conditions := []protocol.Precondition{v.Leadership.Precondition(), {Key: key}, v.view().GrantPrecondition(group.Shard)}
 	operations := []protocol.Operation{{Put: key, Value: storage.Encode(target)}}
 	v.writer.commit([]string{move.group}, protocol.Transaction{
-		Conditions: append(conditions, sourceWrite.conditions...),
-		Operations: append(operations, sourceWrite.operations...),
+		Preconditions: append(conditions, sourceWrite.conditions...),
+		Operations:    append(operations, sourceWrite.operations...),
 	})
 }
 
@@ -94,7 +94,7 @@
 		return
 	}
 	v.writer.commit([]string{id}, protocol.Transaction{
-		Conditions: append(write.conditions, v.Leadership.Condition()),
-		Operations: write.operations,
+		Preconditions: append(write.conditions, v.Leadership.Precondition()),
+		Operations:    write.operations,
 	})
 }
--- a/internal/coordination/provisioning/target.go
+++ b/internal/coordination/provisioning/target.go
@@ -33,8 +33,8 @@
 	}
 	w.call.Begin()
 	w.Committer.Commit(protocol.Transaction{
-		Conditions: []protocol.Condition{w.Leadership.Condition(), {Key: storage.KeyScalingTarget, Version: w.view().ScalingTargetVersion}},
-		Operations: []protocol.Operation{{Put: storage.KeyScalingTarget, Value: storage.Encode(record)}},
+		Preconditions: []protocol.Precondition{w.Leadership.Precondition(), {Key: storage.KeyScalingTarget, Version: w.view().ScalingTargetVersion}},
+		Operations:    []protocol.Operation{{Put: storage.KeyScalingTarget, Value: storage.Encode(record)}},
 	}, func(uint64, error) {
 		w.call.FinishAndDelayUntil(w.now() + targetInterval)
 	})
--- a/internal/coordination/quota/quota_test.go
+++ b/internal/coordination/quota/quota_test.go
@@ -119,8 +119,8 @@
 func (l *testLeader) Term() uint64                                     { return 4 }
 func (l *testLeader) MayAnswer() bool                                  { return true }
 func (l *testLeader) StoreHeardSince() time.Duration                   { return 0 }
-func (l *testLeader) Condition() protocol.Condition {
-	return protocol.Condition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
+func (l *testLeader) Precondition() protocol.Precondition {
+	return protocol.Precondition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
 }
 func (l *testLeader) List(_, _ string, done func(protocol.KeyValuePage, error)) {
 	done(protocol.KeyValuePage{}, nil)
@@ -191,7 +191,7 @@
 	if len(l.committed) != 1 {
 		t.Fatal("no part was raised after both holders acknowledged the split")
 	}
-	if count := len(l.committed[0].Conditions); count != 4 {
+	if count := len(l.committed[0].Preconditions); count != 4 {
 		t.Errorf("the write has %d conditions, want 4: the leader, the split and both grants", count)
 	}
 }
--- a/internal/coordination/quota/splitter.go
+++ b/internal/coordination/quota/splitter.go
@@ -17,8 +17,8 @@
 
 // Leadership is what a Splitter needs from its leader.
 type Leadership interface {
-	// Condition returns the precondition that this controller is still the leader.
-	Condition() protocol.Condition
+	// Precondition returns the precondition that this controller is still the leader.
+	Precondition() protocol.Precondition
 }
 
 // SplitterConfig holds the dependencies of a Splitter.
@@ -56,8 +56,8 @@
 	s.call.Begin()
 	s.Committer.Budget.ForceConsume(now, 1)
 	s.Committer.Commit(protocol.Transaction{
-		Conditions: s.conditions(),
-		Operations: []protocol.Operation{{Put: storage.KeyQuotaSplit, Value: storage.Encode(record)}},
+		Preconditions: s.preconditions(),
+		Operations:    []protocol.Operation{{Put: storage.KeyQuotaSplit, Value: storage.Encode(record)}},
 	}, func(uint64, error) {
 		s.call.FinishAndDelayUntil(s.Generation.Now() + minUpdateInterval)
 	})
@@ -97,13 +97,13 @@
 	return true
 }
 
-// conditions returns the preconditions of a write: the leadership, the current split and the
+// preconditions returns the preconditions of a write: the leadership, the current split and the
 // grants of all job shards are unchanged.
-func (s *Splitter) conditions() []protocol.Condition {
+func (s *Splitter) preconditions() []protocol.Precondition {
 	view := s.Replica.View
-	conditions := []protocol.Condition{s.Leadership.Condition(), {Key: storage.KeyQuotaSplit, Version: view.QuotaSplitVersion}}
+	conditions := []protocol.Precondition{s.Leadership.Precondition(), {Key: storage.KeyQuotaSplit, Version: view.QuotaSplitVersion}}
 	for shard := range view.JobShards {
-		conditions = append(conditions, view.GrantCondition(shard))
+		conditions = append(conditions, view.GrantPrecondition(shard))
 	}
 	return conditions
 }
--- a/internal/coordination/reconcile/completion.go
+++ b/internal/coordination/reconcile/completion.go
@@ -88,9 +88,9 @@
 	final := storage.FinalRecord{Stage: protocol.StageDone, CompletedTasks: job.Tasks, EndedAtMS: r.Generation.Wall().UnixMilli()}
 	operations := storage.EndJobOperations(job.ID, final)
 	transaction := protocol.Transaction{
-		Conditions: []protocol.Condition{
+		Preconditions: []protocol.Precondition{
 			{Key: storage.JobKey(job.ID), Version: job.Version},
-			r.View.GrantCondition(job.Shard),
+			r.View.GrantPrecondition(job.Shard),
 		},
 		Operations: operations,
 	}
--- a/internal/coordination/reconcile/fixture_test.go
+++ b/internal/coordination/reconcile/fixture_test.go
@@ -133,7 +133,7 @@
 	limits := f.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
 	limits.Operations = min(limits.Operations, operations)
-	limits.Conditions = min(limits.Conditions, conditions)
+	limits.Preconditions = min(limits.Preconditions, conditions)
 	f.committer.SetLimits(limits)
 }
 
@@ -197,8 +197,8 @@
 func (f *fixture) checkLimits(t protocol.Transaction) {
 	f.t.Helper()
 	limits := f.committer.Limits()
-	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Conditions) > limits.Conditions {
-		f.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Conditions))
+	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Preconditions) > limits.Preconditions {
+		f.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Preconditions))
 	}
 }
 
--- a/internal/coordination/reconcile/page_batch.go
+++ b/internal/coordination/reconcile/page_batch.go
@@ -30,7 +30,7 @@
 
 // add adds the write of one page, conditional on the page's version, to the transaction.
 func (b *pageBatch) add(version uint64, operation protocol.Operation) {
-	b.transaction.Conditions = append(b.transaction.Conditions, protocol.Condition{Key: operation.Put, Version: version})
+	b.transaction.Preconditions = append(b.transaction.Preconditions, protocol.Precondition{Key: operation.Put, Version: version})
 	b.transaction.Operations = append(b.transaction.Operations, operation)
 }
 
@@ -39,7 +39,7 @@
 // would starve beside other writers that use one or two as soon as they are available.
 func (w *recordWriter) dueWrites(now time.Duration) *pageBatch {
 	batch := &pageBatch{}
-	batch.transaction.Conditions = []protocol.Condition{w.View.GrantCondition(w.shard)}
+	batch.transaction.Preconditions = []protocol.Precondition{w.View.GrantPrecondition(w.shard)}
 	maxOperations := min(w.Committer.Limits().Operations, w.maxOperations, max(1, int(w.Committer.Budget.Level())))
 	for _, page := range w.completionPages {
 		if page.pendingSince == 0 && w.View.HasStaleCompletions(page.id) {
--- a/internal/coordination/sharding/assigner.go
+++ b/internal/coordination/sharding/assigner.go
@@ -23,8 +23,8 @@
 	Term() uint64
 	// Since returns when the leadership began.
 	Since() time.Duration
-	// Condition returns the precondition that this controller is still the leader.
-	Condition() protocol.Condition
+	// Precondition returns the precondition that this controller is still the leader.
+	Precondition() protocol.Precondition
 	// NextFencingToken issues a fencing token above all earlier ones.
 	NextFencingToken() uint64
 }
@@ -187,8 +187,8 @@
 	call.Begin()
 	a.Committer.Budget.ForceConsume(a.Generation.Now(), 1)
 	a.Committer.Commit(protocol.Transaction{
-		Conditions: []protocol.Condition{a.Leadership.Condition(), a.Replica.View.GrantCondition(shard)},
-		Operations: []protocol.Operation{{Put: storage.GrantKey(shard), Value: storage.Encode(record)}},
+		Preconditions: []protocol.Precondition{a.Leadership.Precondition(), a.Replica.View.GrantPrecondition(shard)},
+		Operations:    []protocol.Operation{{Put: storage.GrantKey(shard), Value: storage.Encode(record)}},
 	}, func(_ uint64, err error) {
 		call.FinishAndDelayUntil(a.Generation.Now() + kv.RetryDelay)
 		if err != nil {
@@ -212,8 +212,8 @@
 	}
 	record := storage.JobShardsRecord{JobShards: max(1, min(jobShards, len(view.Grants)))}
 	a.Committer.Commit(protocol.Transaction{
-		Conditions: []protocol.Condition{a.Leadership.Condition(), {Key: storage.KeyJobShards, Version: view.JobShardsVersion}},
-		Operations: []protocol.Operation{{Put: storage.KeyJobShards, Value: storage.Encode(record)}},
+		Preconditions: []protocol.Precondition{a.Leadership.Precondition(), {Key: storage.KeyJobShards, Version: view.JobShardsVersion}},
+		Operations:    []protocol.Operation{{Put: storage.KeyJobShards, Value: storage.Encode(record)}},
 	}, func(uint64, error) {
 		a.jobShardsCall.FinishAndDelayUntil(a.Generation.Now() + kv.RetryDelay)
 	})
--- a/internal/coordination/sharding/sharding_test.go
+++ b/internal/coordination/sharding/sharding_test.go
@@ -45,8 +45,8 @@
 func (l *testLeader) Since() time.Duration                             { return l.since }
 func (l *testLeader) MayAnswer() bool                                  { return true }
 func (l *testLeader) StoreHeardSince() time.Duration                   { return 0 }
-func (l *testLeader) Condition() protocol.Condition {
-	return protocol.Condition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
+func (l *testLeader) Precondition() protocol.Precondition {
+	return protocol.Precondition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
 }
 func (l *testLeader) NextFencingToken() uint64 {
 	l.tokens++
@@ -181,7 +181,7 @@
 		t.Fatalf("%d transactions", len(l.committed))
 	}
 	want := map[string]uint64{storage.KeyLeader: l.replica.View.LeaderVersion, storage.GrantKey(0): l.replica.View.Grants[0].Version}
-	for _, condition := range l.committed[0].Conditions {
+	for _, condition := range l.committed[0].Preconditions {
 		if want[condition.Key] != condition.Version {
 			t.Errorf("condition %+v", condition)
 		}
@@ -313,8 +313,8 @@
 	for step := time.Second; step <= 20*time.Second && replacedAfter == 0; step += time.Second {
 		l.now += time.Second
 		l.heartbeat("a", 3)
-		l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, Machines: statuses, ShardHeardAgo: []time.Duration{-1}})
-		l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "c", Incarnation: 6, ShardHeardAgo: []time.Duration{0}})
+		l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, Machines: statuses, ShardHeartbeatAges: []time.Duration{-1}})
+		l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "c", Incarnation: 6, ShardHeartbeatAges: []time.Duration{0}})
 		if holder := l.assign()[storage.GrantKey(0)]; holder != "" {
 			replacedAfter = step
 			if holder != "c" {
@@ -328,9 +328,9 @@
 	if !l.assigner.recentlyUnreachable("b") {
 		t.Error("the former holder may get a job shard immediately")
 	}
-	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, ShardHeardAgo: []time.Duration{0}})
+	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, ShardHeartbeatAges: []time.Duration{0}})
 	l.now += time.Second
-	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, ShardHeardAgo: []time.Duration{0}})
+	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, ShardHeartbeatAges: []time.Duration{0}})
 	if l.assigner.recentlyUnreachable("b") {
 		t.Error("the former holder may get no job shard although agents reach it")
 	}
--- a/internal/protocol/kv.go
+++ b/internal/protocol/kv.go
@@ -17,9 +17,9 @@
 	Revision uint64     `json:"epoch"` // at which the page was read
 }
 
-// Condition is a precondition of a transaction: the key has the version, or does not exist if
+// Precondition is a precondition of a transaction: the key has the version, or does not exist if
 // the version is 0.
-type Condition struct {
+type Precondition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
 }
@@ -35,8 +35,8 @@
 
 // Transaction applies all operations if all preconditions hold, and none otherwise.
 type Transaction struct {
-	Conditions []Condition `json:"when"`
-	Operations []Operation `json:"apply,omitempty"`
+	Preconditions []Precondition `json:"when"`
+	Operations    []Operation    `json:"apply,omitempty"`
 }
 
 // Event is a change to a key: a put or a deletion.
--- a/internal/protocol/kv_client.go
+++ b/internal/protocol/kv_client.go
@@ -56,8 +56,8 @@
 // Commit executes a transaction and returns its revision. ErrConflict means that a
 // precondition did not hold, ErrLeaseNotFound that the lease of an operation has ended.
 func (c *KVClient) Commit(transaction Transaction) (uint64, error) {
-	if transaction.Conditions == nil {
-		transaction.Conditions = []Condition{}
+	if transaction.Preconditions == nil {
+		transaction.Preconditions = []Precondition{}
 	}
 	var committed struct {
 		Revision uint64 `json:"epoch"`
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -33,8 +33,8 @@
 	// GrantsWithinQuota are the fencing tokens of the grants under which the sender
 	// holds a job shard whose usage is within the shard's quota.
 	GrantsWithinQuota []uint64
-	// ShardHeardAgo holds, for each shard, the time since the sender last received a
+	// ShardHeartbeatAges holds, for each shard, the time since the sender last received a
 	// heartbeat from an agent of the shard, whichever controller holds the shard. The time
 	// is negative if the sender has received none.
-	ShardHeardAgo []time.Duration
+	ShardHeartbeatAges []time.Duration
 }
--- a/internal/protocol/peer_wire.go
+++ b/internal/protocol/peer_wire.go
@@ -117,7 +117,7 @@
 		Machines:    h.Machines,
 		Shares:      h.QuotaSplitVersion,
 		Keeps:       h.GrantsWithinQuota,
-		Heard:       h.ShardHeardAgo,
+		Heard:       h.ShardHeartbeatAges,
 	}
 	for i := range h.UnrecordedAgents {
 		wire.Orphans = append(wire.Orphans, h.UnrecordedAgents[i].wire())
@@ -127,16 +127,16 @@
 
 func (w *PeerHeartbeatWire) heartbeat() *PeerHeartbeat {
 	heartbeat := &PeerHeartbeat{
-		Controller:        w.Node,
-		Incarnation:       w.Incarnation,
-		SentAt:            w.SentAt,
-		Term:              w.Term,
-		StoreStaleness:    w.FreshFor,
-		Leaving:           w.Leaving,
-		Machines:          w.Machines,
-		QuotaSplitVersion: w.Shares,
-		GrantsWithinQuota: w.Keeps,
-		ShardHeardAgo:     w.Heard,
+		Controller:         w.Node,
+		Incarnation:        w.Incarnation,
+		SentAt:             w.SentAt,
+		Term:               w.Term,
+		StoreStaleness:     w.FreshFor,
+		Leaving:            w.Leaving,
+		Machines:           w.Machines,
+		QuotaSplitVersion:  w.Shares,
+		GrantsWithinQuota:  w.Keeps,
+		ShardHeartbeatAges: w.Heard,
 	}
 	for i := range w.Orphans {
 		heartbeat.UnrecordedAgents = append(heartbeat.UnrecordedAgents, w.Orphans[i].heartbeat())
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -179,7 +179,7 @@
 // checkConditions returns protocol.ErrConflict unless every item has the version that a
 // transaction expects, and protocol.ErrLeaseNotFound unless all leases are there.
 func (s *fakeStore) checkConditions(transaction protocol.Transaction) error {
-	for _, condition := range transaction.Conditions {
+	for _, condition := range transaction.Preconditions {
 		var version uint64 // 0: there is no such item
 		if item := s.items[condition.Key]; item != nil {
 			version = item.Version
--- a/internal/scenario/store_limits.go
+++ b/internal/scenario/store_limits.go
@@ -45,5 +45,5 @@
 	oversized := slices.ContainsFunc(transaction.Operations, func(operation protocol.Operation) bool {
 		return len(operation.Value) > l.limits.ValueBytes
 	})
-	return oversized || len(transaction.Operations) > l.limits.Operations || len(transaction.Conditions) > l.limits.Conditions
+	return oversized || len(transaction.Operations) > l.limits.Operations || len(transaction.Preconditions) > l.limits.Preconditions
 }
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -65,7 +65,7 @@
 		unrecorded = append(unrecorded, heartbeat.UnrecordedAgents[i].Machine)
 	}
 	within := slices.Sorted(slices.Values(heartbeat.GrantsWithinQuota)) // a set
-	t.sent(controller, "heartbeat", receiver, heartbeat.Controller, heartbeat.Incarnation, heartbeat.SentAt, heartbeat.Term, heartbeat.StoreStaleness, heartbeat.Leaving, heartbeat.Machines, unrecorded, heartbeat.QuotaSplitVersion, within, heartbeat.ShardHeardAgo)
+	t.sent(controller, "heartbeat", receiver, heartbeat.Controller, heartbeat.Incarnation, heartbeat.SentAt, heartbeat.Term, heartbeat.StoreStaleness, heartbeat.Leaving, heartbeat.Machines, unrecorded, heartbeat.QuotaSplitVersion, within, heartbeat.ShardHeartbeatAges)
 }
 
 // replied takes in an answer to another controller.
--- a/internal/storage/shards.go
+++ b/internal/storage/shards.go
@@ -48,10 +48,10 @@
 // it is read together with the grant that follows it.
 func (a *ShardAssignment) HeldSince(shard int) uint64 { return a.heldSince[shard] }
 
-// GrantCondition returns the precondition that a shard's grant has not changed since it
+// GrantPrecondition returns the precondition that a shard's grant has not changed since it
 // was last read.
-func (a *ShardAssignment) GrantCondition(shard int) protocol.Condition {
-	return protocol.Condition{Key: GrantKey(shard), Version: a.Grants[shard].Version}
+func (a *ShardAssignment) GrantPrecondition(shard int) protocol.Precondition {
+	return protocol.Precondition{Key: GrantKey(shard), Version: a.Grants[shard].Version}
 }
 
 // shardOf returns the job shard that owns a job. It returns -1 while the number of job
--- a/internal/storage/shards_test.go
+++ b/internal/storage/shards_test.go
@@ -12,8 +12,8 @@
 	v := newTestView(t, 2)
 	v.put(GrantKey(1), GrantRecord{Controller: "a"})
 	for shard, version := range []uint64{0, v.version} {
-		want := protocol.Condition{Key: GrantKey(shard), Version: version}
-		if got := v.GrantCondition(shard); got != want {
+		want := protocol.Precondition{Key: GrantKey(shard), Version: version}
+		if got := v.GrantPrecondition(shard); got != want {
 			t.Errorf("shard %d: %+v, want %+v", shard, got, want)
 		}
 	}
