--- a/cmd/rockrun/main.go
+++ b/cmd/rockrun/main.go
@@ -1,5 +1,5 @@
-// Command rockrun is a cluster scheduler: one controller of a service that
-// takes jobs from users, rents machines and runs the jobs' tasks on them.
+// Command rockrun runs one controller of a cluster scheduler. The controllers accept jobs from
+// users, create machines at a cloud and run the jobs' tasks on the machines.
 package main
 
 import (
@@ -18,15 +18,15 @@
 
 const version = "0.2.0"
 
-// Bounds that keep a controller within its part of a machine.
+// Settings of the Go runtime that keep a controller within its share of a machine.
 const (
-	// memoryShare of what the settings allow is left to Go's heap.
+	// memoryShare is the share of the memory limit in the settings that Go's runtime may use.
 	memoryShare = 0.7
-	// gcPercent is by how much the heap grows between two collections.
+	// gcPercent is the heap growth, in percent, between two garbage collections.
 	gcPercent = 200
 )
 
-// cli is the command line.
+// cli holds the flags and commands of the command line.
 type cli struct {
 	Config  string           `help:"Platform settings (TOML)." placeholder:"FILE" required:""`
 	Options string           `help:"Operators' options (HCL)." placeholder:"FILE"`
@@ -36,10 +36,10 @@
 	Check checkCmd `cmd:"" help:"Check both files without serving, show the limits in force and warn of small ones."`
 }
 
-// serveCmd is the command that serves.
+// serveCmd implements "rockrun serve".
 type serveCmd struct{}
 
-// checkCmd is the command that checks the files.
+// checkCmd implements "rockrun check".
 type checkCmd struct{}
 
 func main() {
@@ -48,8 +48,8 @@
 	ctx.FatalIfErrorf(ctx.Run(&args))
 }
 
-// load reads both files.
-func (c *cli) load() (*config.Settings, config.Options, error) {
+// loadFiles reads the settings and the options.
+func (c *cli) loadFiles() (*config.Settings, config.Options, error) {
 	settings, err := config.LoadSettings(c.Config)
 	if err != nil {
 		return nil, config.Options{}, err
@@ -58,14 +58,14 @@
 	return settings, options, err
 }
 
-// Run checks the files.
+// Run checks both files and prints warnings and the limits in force.
 func (*checkCmd) Run(args *cli) error {
-	settings, options, err := args.load()
+	settings, options, err := args.loadFiles()
 	if err != nil {
 		return err
 	}
 	for _, w := range settings.Warnings(options) {
-		fmt.Printf("warning: %s: %s\n", w.Field, w.Why)
+		fmt.Printf("warning: %s: %s\n", w.Field, w.Reason)
 	}
 	fmt.Printf("ok: node %s of %d, %d teams, block lease %s\n",
 		settings.Controller, len(settings.Peers)+1, len(settings.Cluster.Teams), options.ShardLease(settings.Cluster.Agents))
@@ -75,14 +75,14 @@
 	return nil
 }
 
-// Run serves until the process is told to end.
+// Run serves until the process receives SIGTERM or SIGINT.
 func (*serveCmd) Run(args *cli) error {
-	settings, options, err := args.load()
+	settings, options, err := args.loadFiles()
 	if err != nil {
 		return err
 	}
 	log := newLogger()
-	boundRuntime(settings.Cluster.ProcessLimits.MemoryMB)
+	limitRuntime(settings.Cluster.ProcessLimits.MemoryMB)
 	public, err := net.Listen("tcp4", settings.PublicAddr)
 	if err != nil {
 		return fmt.Errorf("listen for users and agents: %w", err)
@@ -92,16 +92,16 @@
 		return fmt.Errorf("listen for controllers: %w", err)
 	}
 	for _, w := range settings.Warnings(options) {
-		log.Warn("limit likely to be too small", "field", w.Field, "why", w.Why)
+		log.Warn("limit likely to be too small", "field", w.Field, "why", w.Reason)
 	}
 	p := newProcess(settings, options, log)
 	p.start(peers)
 	return p.serveUntilStopped(public, peers)
 }
 
-// boundRuntime keeps Go's runtime to one processor and, if the settings say so, to the memory
-// allowed.
-func boundRuntime(memoryMB float64) {
+// limitRuntime limits Go's runtime to one processor and, if the settings have a memory limit,
+// to memoryShare of it.
+func limitRuntime(memoryMB float64) {
 	runtime.GOMAXPROCS(1)
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB * memoryShare * (1 << 20)))
@@ -109,7 +109,8 @@
 	debug.SetGCPercent(gcPercent)
 }
 
-// newLogger makes the logger, whose level the environment's LOG_LEVEL gives.
+// newLogger returns a logger whose level is set by the environment variable LOG_LEVEL; the
+// default is info.
 func newLogger() *slog.Logger {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
--- a/cmd/rockrun/process.go
+++ b/cmd/rockrun/process.go
@@ -17,11 +17,11 @@
 	"rockrun/internal/transport"
 )
 
-// defaultSockets is split where the settings give no limit.
-const defaultSockets = 4096
+// defaultSocketLimit is the socket limit that applies if the settings give none.
+const defaultSocketLimit = 4096
 
-// Bounds on calls to the outside, from when they are sent to when their answer counts as
-// lost, and on connections that stay open without a call.
+// Timeouts of calls to the key-value store, the cloud and the agents, from sending the request
+// until the answer counts as lost, and the time that an idle connection stays open.
 const (
 	storeTimeout = 2 * time.Second
 	cloudTimeout = 5 * time.Second
@@ -29,20 +29,20 @@
 	idleTimeout  = 20 * time.Second
 )
 
-// connectionsPerAgent is how many connections to one agent may be open at a time.
+// connectionsPerAgent is the maximum number of open connections to one agent.
 const connectionsPerAgent = 2
 
-// Bounds on the users' requests in progress.
+// Bounds of the adaptive limit on user requests in progress.
 const (
-	minRequests = 4
-	maxRequests = 200
+	minInFlightRequests = 4
+	maxInFlightRequests = 200
 )
 
-// shutdownStep bounds each of the two steps of a graceful end: handing over, and answering
-// the requests under way.
-const shutdownStep = 3 * time.Second
+// shutdownStepTimeout bounds each of the two steps of a graceful shutdown: the handover, and
+// answering the requests in progress.
+const shutdownStepTimeout = 3 * time.Second
 
-// process is one controller with all that connects it to the outside.
+// process is one controller with its event loop, its servers and its clients.
 type process struct {
 	log        *slog.Logger
 	loop       *transport.Loop
@@ -54,7 +54,7 @@
 func newProcess(settings *config.Settings, options config.Options, log *slog.Logger) *process {
 	loop := transport.NewLoop()
 	sockets := splitSockets(settings)
-	limiter := transport.NewLimiter(minRequests, maxRequests)
+	limiter := transport.NewLimiter(minInFlightRequests, maxInFlightRequests)
 	metrics := transport.NewMetrics(limiter)
 	metrics.Limits(settings.Cluster.ProcessLimits.Cores, settings.Cluster.ProcessLimits.MemoryMB)
 	backend := newBackend(settings, loop, sockets, metrics)
@@ -86,7 +86,7 @@
 func splitSockets(settings *config.Settings) transport.Sockets {
 	limit := settings.Cluster.ProcessLimits.Sockets
 	if limit == 0 {
-		limit = defaultSockets
+		limit = defaultSocketLimit
 	}
 	return transport.SplitSockets(limit, len(settings.Peers))
 }
@@ -99,14 +99,15 @@
 	return addrs
 }
 
-// newBackend makes the clients of the key-value store, the cloud and the agents.
+// newBackend returns the clients of the key-value store, the cloud and the agents.
 func newBackend(settings *config.Settings, loop *transport.Loop, sockets transport.Sockets, metrics *transport.Metrics) *transport.Backend {
 	services := transport.NewClient(transport.ClientConfig{
 		PerHost: sockets.KVStore, Total: sockets.KVStore + sockets.Cloud, Idle: idleTimeout,
 	})
-	// Tasks follow one another on a machine every quarter of a minute or so, and a
-	// connection made anew costs three times the command itself. Above three
-	// quarters of their part of the sockets connections are closed at once.
+	// Connections to agents stay open: a machine gets a new task about every 15 s, and
+	// opening a connection costs three times as much as the command itself. While more
+	// than three quarters of the agents' sockets are open, connections are closed after
+	// each answer.
 	agents := transport.NewClient(transport.ClientConfig{
 		PerHost: connectionsPerAgent, Total: sockets.Agents, Idle: idleTimeout,
 	})
@@ -122,41 +123,43 @@
 	})
 }
 
-// start begins to follow the records and to answer the other controllers. The loop ends with
-// serveUntilStopped, the peer server when its listener is closed there.
+// start starts the event loop, the controller and the peer server. serveUntilStopped ends the
+// loop, and ends the peer server by closing its listener.
 func (p *process) start(peers net.Listener) {
 	go p.loop.Run()
 	p.loop.Post(p.controller.Start)
 	go p.peers.Serve(peers)
 }
 
-// serveUntilStopped answers users and agents until the process is told to end.
+// serveUntilStopped serves users and agents until the process receives SIGTERM or SIGINT, and
+// then shuts down gracefully. It returns early if the server fails.
 func (p *process) serveUntilStopped(public, peers net.Listener) error {
-	stopped, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer release()
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
 	served := make(chan error, 1)
 	go func() { served <- p.server.Serve(public) }()
 	select {
 	case err := <-served:
-		return fmt.Errorf("serve: %w", err)
-	case <-stopped.Done():
+		return fmt.Errorf("serve users and agents: %w", err)
+	case <-ctx.Done():
 	}
-	p.log.Info("ending")
+	p.log.Info("shutdown started")
 	p.handOver()
-	err := p.server.Shutdown(shutdownStep)
+	err := p.server.Shutdown(shutdownStepTimeout)
 	if closeErr := peers.Close(); closeErr != nil && !errors.Is(closeErr, net.ErrClosed) {
-		p.log.Warn("peer listener not closed", "err", closeErr)
+		p.log.Warn("peer listener close failed", "err", closeErr)
 	}
 	p.loop.Close()
 	return err
 }
 
-// handOver has the controller give up its shards and the leadership, and waits for it.
+// handOver makes the controller release its shards and the leadership, and waits until that is
+// done, but no longer than shutdownStepTimeout.
 func (p *process) handOver() {
 	done := make(chan struct{})
 	p.loop.Post(func() { p.controller.Stop(func() { close(done) }) })
 	select {
 	case <-done:
-	case <-time.After(shutdownStep):
+	case <-time.After(shutdownStepTimeout):
 	}
 }
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,5 +1,5 @@
-// Package config reads the two files that a controller is given: the platform's settings
-// (TOML) and, if there is one, the operators' options (HCL). It maps their names to those
-// of the code, checks them, and derives from them the limits and times that other
-// packages keep to. What it returns is not changed afterwards.
+// Package config reads a controller's two files: the platform's settings (TOML) and the
+// operators' options (HCL), which may be absent. It maps the names in the files to the names
+// in the code, validates the values, and derives the limits and durations that other packages
+// use. The values that it returns are not modified afterwards.
 package config
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -10,25 +10,25 @@
 	"github.com/hashicorp/hcl/v2/hclparse"
 )
 
-// Options are the operators' own settings.
+// Options holds the operators' options.
 type Options struct {
-	CycleSeconds          float64 // between two cycles of the autoscaler
-	ScaleOutWindowSeconds float64 // how long work is blocked before the autoscaler scales out
-	ScaleInWindowSeconds  float64 // how long the cheapest kind of machine is idle enough before it drains; less for dearer ones
-	ScaleInBelow          float64 // booked share of a machine's CPUs below which it may drain
-	FleetMin              int     // machines that are always kept
-	FleetMax              int     // machines at most
-	FleetExpected         int     // machines that operators expect at once, for warnings only; 0: not said
-	ScaleOutPatience      float64 // boot times of a new machine that arrays wait for the machines there are
-	SpareReplicas         int     // replicas of each kind of running service for which room is kept
-	ScaleOutCallsPerCycle int     // cloud calls that create machines in a cycle at most; 0: see ScaleOutCalls
-	BootPatience          float64 // multiples of a type's boot time after which a boot counts as failed
-	ShardLeaseSeconds     float64 // a holder's lease on its shards; 0: see ShardLease
-	JobShards             int     // among which the jobs are split; 0: derived from the number of controllers
-	SilenceSeconds        float64 // silence after which a machine is replaced while it is listed as running; 0: see SilenceTimeout
+	CycleSeconds          float64 // interval between autoscaler cycles
+	ScaleOutWindowSeconds float64 // how long tasks must be blocked before the autoscaler scales out
+	ScaleInWindowSeconds  float64 // how long a machine with the cheapest CPUs must be idle before it drains; less for machines with dearer CPUs
+	ScaleInBelow          float64 // booked share of a machine's CPUs below which the machine is idle
+	FleetMin              int     // minimum number of machines; scale-in does not go below it
+	FleetMax              int     // maximum number of machines
+	FleetExpected         int     // number of machines that operators expect at a time; used only by Warnings; 0: not given
+	ScaleOutPatience      float64 // multiple of a new machine's boot time that arrays wait for existing machines
+	SpareReplicas         int     // replicas of each shape of running service for which spare capacity is reserved
+	ScaleOutCallsPerCycle int     // maximum number of create requests to the cloud per cycle; 0: see ScaleOutCalls
+	BootPatience          float64 // multiple of a machine type's boot time after which a boot counts as failed
+	ShardLeaseSeconds     float64 // how long a holder may act without contact to the leader; 0: see ShardLease
+	JobShards             int     // number of job shards; 0: derived from the number of controllers
+	SilenceSeconds        float64 // time without a heartbeat after which a machine is replaced although the cloud lists it as running; 0: see SilenceTimeout
 }
 
-// DefaultOptions are used where the operators' file says nothing.
+// DefaultOptions returns the options that apply where the operators' file sets none.
 func DefaultOptions() Options {
 	return Options{
 		CycleSeconds:          1,
@@ -42,19 +42,18 @@
 	}
 }
 
-// optionRange is an option of the file: its name and the values that it may have, and
-// where they go.
-type optionRange struct {
+// optionSpec describes an option of the file: its name, its allowed values and how to set it.
+type optionSpec struct {
 	name      string
-	low, high float64 // both allowed
-	whole     bool    // no fractions
+	low, high float64 // inclusive bounds
+	integer   bool    // fractions are rejected
 	set       func(options *Options, value float64)
 }
 
-// optionTable is every option. deploy/options.hcl says the same to operators; a test
-// checks that it leaves none out and gives the defaults.
-func optionTable() []optionRange {
-	return []optionRange{
+// optionTable returns all options. deploy/options.hcl documents them for operators; a test
+// checks that the file contains every option and sets the defaults.
+func optionTable() []optionSpec {
+	return []optionSpec{
 		{"cycle_s", 0.2, 60, false, func(o *Options, value float64) { o.CycleSeconds = value }},
 		{"rent_window_s", 0, 600, false, func(o *Options, value float64) { o.ScaleOutWindowSeconds = value }},
 		{"give_window_s", 0, 3600, false, func(o *Options, value float64) { o.ScaleInWindowSeconds = value }},
@@ -72,8 +71,8 @@
 	}
 }
 
-// LoadOptions reads the operators' file; an empty path gives the defaults. Its error is
-// the file's or that of ParseOptions.
+// LoadOptions reads the operators' file. For an empty path it returns the defaults. The error
+// is from reading the file or from ParseOptions.
 func LoadOptions(path string) (Options, error) {
 	if path == "" {
 		return DefaultOptions(), nil
@@ -85,7 +84,7 @@
 	return ParseOptions(path, data)
 }
 
-// ParseOptions reads options from HCL. The error wraps hcl.Diagnostics, which name file
+// ParseOptions parses options from HCL. The error wraps hcl.Diagnostics, which name file
 // and line, or ErrFleetBounds.
 func ParseOptions(path string, data []byte) (Options, error) {
 	options := DefaultOptions()
@@ -99,7 +98,7 @@
 	}
 	table := optionTable()
 	for _, attribute := range attributes {
-		diagnostics = diagnostics.Extend(options.read(table, attribute))
+		diagnostics = diagnostics.Extend(options.applyAttribute(table, attribute))
 	}
 	if diagnostics.HasErrors() {
 		return options, fmt.Errorf("options: %w", diagnostics)
@@ -110,24 +109,24 @@
 	return options, nil
 }
 
-// read takes in one option of the file.
-func (o *Options) read(table []optionRange, attribute *hcl.Attribute) hcl.Diagnostics {
+// applyAttribute validates one option of the file and sets it.
+func (o *Options) applyAttribute(table []optionSpec, attribute *hcl.Attribute) hcl.Diagnostics {
 	option := findOption(table, attribute.Name)
 	if option == nil {
-		return optionFault(attribute, "no such option")
+		return attributeError(attribute, "unknown option")
 	}
 	var value float64
 	if diagnostics := gohcl.DecodeExpression(attribute.Expr, nil, &value); diagnostics.HasErrors() {
 		return diagnostics
 	}
 	if !option.allows(value) {
-		return optionFault(attribute, fmt.Sprintf("%v is out of range, %v to %v", value, option.low, option.high))
+		return attributeError(attribute, fmt.Sprintf("%v is out of range; allowed: %v to %v", value, option.low, option.high))
 	}
 	option.set(o, value)
 	return nil
 }
 
-func findOption(table []optionRange, name string) *optionRange {
+func findOption(table []optionSpec, name string) *optionSpec {
 	for i := range table {
 		if table[i].name == name {
 			return &table[i]
@@ -136,21 +135,21 @@
 	return nil
 }
 
-// allows reports whether an option may have a value.
-func (r *optionRange) allows(value float64) bool {
-	if value < r.low || value > r.high {
+// allows reports whether a value is allowed for the option.
+func (spec *optionSpec) allows(value float64) bool {
+	if value < spec.low || value > spec.high {
 		return false
 	}
-	return !r.whole || value == float64(int(value))
+	return !spec.integer || value == float64(int(value))
 }
 
-// optionFault points to an option in the file.
-func optionFault(attribute *hcl.Attribute, problem string) hcl.Diagnostics {
+// attributeError returns a diagnostic for an option, with its position in the file.
+func attributeError(attribute *hcl.Attribute, problem string) hcl.Diagnostics {
 	return hcl.Diagnostics{{Severity: hcl.DiagError, Summary: attribute.Name, Detail: problem, Subject: &attribute.Range}}
 }
 
-// ScaleOutCalls is how many cloud calls that create machines a cycle may make: two, or as
-// many as six tenths of what the cloud allows in a second.
+// ScaleOutCalls returns the maximum number of create requests to the cloud per cycle. The
+// default is 60% of the requests that the cloud allows per second, but at least 2.
 func (o Options) ScaleOutCalls(cloud Cloud) int {
 	if o.ScaleOutCallsPerCycle > 0 {
 		return o.ScaleOutCallsPerCycle
@@ -158,8 +157,9 @@
 	return max(2, int(cloud.RequestsPerSecond*0.6))
 }
 
-// ShardLease is a holder's lease on its shards: a tenth of the agents' lease, never more
-// than half of what cancelling leaves beyond it.
+// ShardLease returns how long a holder may act without contact to the leader. The default is
+// a tenth of the agents' lease, but at least 2 s. The shard lease never exceeds half of the
+// time between the end of the agents' lease and the cancel timeout.
 func (o Options) ShardLease(agents Agents) time.Duration {
 	longest := (agents.CancelTimeout() - agents.Lease()) / 2
 	if o.ShardLeaseSeconds > 0 {
@@ -168,10 +168,10 @@
 	return min(max(agents.Lease()/10, 2*time.Second), longest)
 }
 
-// SilenceTimeout is how long a running machine may say nothing before it is replaced:
-// until its agent's lease has ended its tasks, or a dead machine would begin to
-// show in the cloud's list. Giving up a machine sooner ends services that a
-// short partition would have spared.
+// SilenceTimeout returns how long a running machine may send no heartbeat before it is
+// replaced. The default is the agents' lease, but at most 30 s: by then the agent's lease has
+// ended its tasks, or a dead machine would begin to show in the cloud's list. Replacing a
+// machine sooner ends services that would have survived a short partition.
 func (o Options) SilenceTimeout(agents Agents) time.Duration {
 	if o.SilenceSeconds > 0 {
 		return Seconds(o.SilenceSeconds)
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// TestOptions: options replace the defaults; a faulty one is named with its line.
-func TestOptions(t *testing.T) {
+// TestParseOptions checks that options replace the defaults and that the error for an invalid
+// option names the option or its position.
+func TestParseOptions(t *testing.T) {
 	options, err := ParseOptions("o.hcl", []byte("cycle_s = 2\nfleet_max = 12\n"))
 	want := DefaultOptions()
 	want.CycleSeconds, want.FleetMax = 2, 12
@@ -22,7 +23,7 @@
 	if _, err := ParseOptions("o.hcl", []byte("fleet_min = 10\nfleet_max = 5\n")); !errors.Is(err, ErrFleetBounds) {
 		t.Errorf("error %v", err)
 	}
-	for _, c := range []struct{ text, names string }{
+	for _, c := range []struct{ text, want string }{
 		{"cycle_s = 0\n", "o.hcl:1"},
 		{"\nno_such = 1\n", "o.hcl:2"},
 		{"fleet_max = 1.5\n", "fleet_max"},
@@ -31,14 +32,14 @@
 		{"fleet_min = 10\nfleet_max = 5\n", "fleet_min"},
 	} {
 		t.Run(c.text, func(t *testing.T) {
-			if _, err := ParseOptions("o.hcl", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.names) {
-				t.Errorf("error %v does not name %s", err, c.names)
+			if _, err := ParseOptions("o.hcl", []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("error %v does not name %s", err, c.want)
 			}
 		})
 	}
 }
 
-// TestExampleOptions: the example file says what the defaults are.
+// TestExampleOptions checks that the example file contains every option and sets the defaults.
 func TestExampleOptions(t *testing.T) {
 	data, err := os.ReadFile("../../deploy/options.hcl")
 	if err != nil {
@@ -49,23 +50,24 @@
 		t.Fatal(err)
 	}
 	if options != DefaultOptions() {
-		t.Errorf("the example says %+v, the defaults are %+v", options, DefaultOptions())
+		t.Errorf("the example sets %+v, the defaults are %+v", options, DefaultOptions())
 	}
 	for _, option := range optionTable() {
 		if !strings.Contains(string(data), option.name) {
-			t.Errorf("the example leaves out %s", option.name)
+			t.Errorf("the example omits %s", option.name)
 		}
 	}
 }
 
-// TestLoadOptions: no path gives the defaults, a path without a file an error.
+// TestLoadOptions checks that an empty path returns the defaults and that a missing file is an
+// error.
 func TestLoadOptions(t *testing.T) {
 	if options, err := LoadOptions(""); err != nil || options != DefaultOptions() {
 		t.Errorf("%+v, %v", options, err)
 	}
 	path := filepath.Join(t.TempDir(), "options.hcl")
 	if _, err := LoadOptions(path); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 	if err := os.WriteFile(path, []byte("homes = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -75,7 +77,8 @@
 	}
 }
 
-// parseOption reads a file that gives one option, and room for any fleet.
+// parseOption parses a file with one option. fleet_max is set to its maximum, so that every
+// fleet_min is valid.
 func parseOption(name string, value float64) (Options, error) {
 	text := fmt.Sprintf("%s = %v\n", name, value)
 	if name != "fleet_max" {
@@ -84,13 +87,13 @@
 	return ParseOptions("o.hcl", []byte(text))
 }
 
-// TestOptionRanges: each option is read at both ends of its range, and not beyond; a
-// fraction only where it need not be whole.
+// TestOptionRanges checks that each option is accepted at both bounds of its range and rejected
+// beyond them, and that a fraction is rejected for integer options only.
 func TestOptionRanges(t *testing.T) {
 	for _, option := range optionTable() {
 		for _, value := range []float64{option.low, option.high} {
 			if _, err := parseOption(option.name, value); err != nil {
-				t.Errorf("%s = %v is refused: %v", option.name, value, err)
+				t.Errorf("%s = %v is rejected: %v", option.name, value, err)
 			}
 		}
 		for _, value := range []float64{option.low - 1, option.high + 1} {
@@ -98,29 +101,30 @@
 				t.Errorf("%s = %v: error %v", option.name, value, err)
 			}
 		}
-		if _, err := parseOption(option.name, option.low+0.5); (err != nil) != option.whole {
+		if _, err := parseOption(option.name, option.low+0.5); (err != nil) != option.integer {
 			t.Errorf("%s with a fraction: error %v", option.name, err)
 		}
 	}
 }
 
-// TestEveryOption: each option sets something, and none sets what another does.
-func TestEveryOption(t *testing.T) {
+// TestOptionsSetDistinctFields checks that each option sets a field and that no two options set
+// the same field.
+func TestOptionsSetDistinctFields(t *testing.T) {
 	setters := map[Options]string{}
 	for _, option := range optionTable() {
 		low, lowErr := parseOption(option.name, option.low)
 		high, highErr := parseOption(option.name, option.high)
 		if lowErr != nil || highErr != nil || low == high {
-			t.Errorf("%s: %+v and %+v, %v, %v", option.name, low, high, lowErr, highErr)
+			t.Errorf("%s: %+v at the low bound and %+v at the high bound, errors %v and %v", option.name, low, high, lowErr, highErr)
 		}
-		if other, taken := setters[high]; taken {
-			t.Errorf("%s sets what %s sets", option.name, other)
+		if other, duplicate := setters[high]; duplicate {
+			t.Errorf("%s sets the same field as %s", option.name, other)
 		}
 		setters[high] = option.name
 	}
 }
 
-// TestDerivedOptions: what an option of 0 leaves to the settings.
+// TestDerivedOptions checks the values that are derived from the settings where an option is 0.
 func TestDerivedOptions(t *testing.T) {
 	agents := Agents{LeaseSeconds: 40, CancelSeconds: 60}
 	for name, c := range map[string]struct {
@@ -131,7 +135,7 @@
 		silence    time.Duration
 	}{
 		"derived":        {Options{}, 10, 6, 4 * time.Second, 30 * time.Second},
-		"a slow cloud":   {Options{}, 1, 2, 4 * time.Second, 30 * time.Second},
+		"slow cloud":     {Options{}, 1, 2, 4 * time.Second, 30 * time.Second},
 		"given":          {Options{ScaleOutCallsPerCycle: 1, ShardLeaseSeconds: 7, SilenceSeconds: 90}, 10, 1, 7 * time.Second, 90 * time.Second},
 		"lease too long": {Options{ShardLeaseSeconds: 500}, 10, 6, 10 * time.Second, 30 * time.Second},
 	} {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -11,13 +11,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// validSettings are the least that a controller starts with, and a field of a later version.
+// validSettings is the minimum that a controller starts with, plus a field of a later version.
 const validSettings = `
 node_name = "a"
 area = "north"
 public_addr = "10.0.0.1:8080"
 peer_bind = "10.0.0.1:8081"
-unheard_of = 7
+unknown_field = 7
 [[siblings]]
 node_name = "b"
 address = "10.0.0.2:8081"
@@ -42,8 +42,8 @@
 rps = 4.0
 `
 
-// TestSettings: each setting that is missing or impossible is named by its field.
-func TestSettings(t *testing.T) {
+// TestParseSettings checks that the error for a missing or invalid setting names its field.
+func TestParseSettings(t *testing.T) {
 	if _, err := ParseSettings([]byte(validSettings)); err != nil {
 		t.Fatal(err)
 	}
@@ -67,23 +67,23 @@
 	} {
 		t.Run(c.to+" for "+c.from, func(t *testing.T) {
 			if !strings.Contains(validSettings, c.from) {
-				t.Fatalf("the settings have no %s", c.from)
+				t.Fatalf("validSettings does not contain %s", c.from)
 			}
 			_, err := ParseSettings([]byte(strings.Replace(validSettings, c.from, c.to, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.field) {
 				t.Errorf("error %v does not name %s", err, c.field)
 			}
-			var fault *FieldError
-			var undecoded *toml.DecodeError
-			if errors.As(err, &fault) == errors.As(err, &undecoded) || fault != nil && fault.Field != c.field {
-				t.Errorf("error %v is of field %+v", err, fault)
+			var fieldErr *FieldError
+			var decodeErr *toml.DecodeError
+			if errors.As(err, &fieldErr) == errors.As(err, &decodeErr) || fieldErr != nil && fieldErr.Field != c.field {
+				t.Errorf("error %v has the field error %+v", err, fieldErr)
 			}
 		})
 	}
 }
 
-// TestFaultTexts: operators see every fault in a line of its own.
-func TestFaultTexts(t *testing.T) {
+// TestFieldErrorMessages checks that the error lists every invalid field on a line of its own.
+func TestFieldErrorMessages(t *testing.T) {
 	replaced := strings.NewReplacer(`public_addr = "10.0.0.1:8080"`, ``, `node_name = "b"`, `node_name = "a"`, `cpus = 64.0`, `cpus = -1.0`,
 		`cancel_s = 60.0`, `cancel_s = 20.0`, `txn_ops = 32`, `txn_ops = 2`, `rps = 4.0`, ``, `cloud = "10.2.0.2:8443"`, `cloud = "cloud"`)
 	_, err := ParseSettings([]byte(replaced.Replace(validSettings)))
@@ -103,11 +103,12 @@
 	}
 }
 
-// TestLoadSettings: an error names the file, and that there is none.
+// TestLoadSettings checks that errors name the file and that the error for a missing file wraps
+// fs.ErrNotExist.
 func TestLoadSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	if _, err := LoadSettings(path); !errors.Is(err, fs.ErrNotExist) || !strings.Contains(err.Error(), path) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 	write := func(text string) {
 		t.Helper()
@@ -116,9 +117,9 @@
 		}
 	}
 	write("")
-	var fault *FieldError
-	if _, err := LoadSettings(path); !errors.As(err, &fault) || !strings.Contains(err.Error(), path) {
-		t.Errorf("an empty file: %v", err)
+	var fieldErr *FieldError
+	if _, err := LoadSettings(path); !errors.As(err, &fieldErr) || !strings.Contains(err.Error(), path) {
+		t.Errorf("empty file: %v", err)
 	}
 	write(validSettings)
 	settings, err := LoadSettings(path)
--- a/internal/config/store_limits.go
+++ b/internal/config/store_limits.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// KVStore is what the key-value store allows all controllers together.
+// KVStore holds the limits of the key-value store, which apply to all controllers together.
 type KVStore struct {
 	RequestsPerSecond     float64          `toml:"rps"`
 	WritesPerSecond       float64          `toml:"write_rps"`
@@ -11,8 +11,8 @@
 	Announced             *AnnouncedLimits `toml:"next"`
 }
 
-// AnnouncedLimits are what the key-value store will allow from some later moment that
-// nobody announces. What they don't name stays as it is.
+// AnnouncedLimits holds limits that the key-value store will apply from a later time, which is
+// not announced. A nil limit stays unchanged.
 type AnnouncedLimits struct {
 	RequestsPerSecond     *float64 `toml:"rps"`
 	WritesPerSecond       *float64 `toml:"write_rps"`
@@ -20,35 +20,35 @@
 	TransactionOperations *int     `toml:"txn_ops"`
 }
 
-// StoreLimits are the limits that requests to the key-value store keep to.
+// StoreLimits holds the limits that requests to the key-value store must respect.
 type StoreLimits struct {
-	RequestRate float64 // requests a second of all controllers together
-	WriteRate   float64 // puts and removals a second of all controllers together
-	ValueBytes  int     // of one value
-	Operations  int     // puts and removals in a transaction
-	Conditions  int     // conditions in a transaction
+	RequestRate float64 // requests per second of all controllers together
+	WriteRate   float64 // puts and deletes per second of all controllers together
+	ValueBytes  int     // maximum size of a value
+	Operations  int     // maximum number of puts and deletes in a transaction
+	Conditions  int     // maximum number of preconditions in a transaction
 }
 
-// ConditionsPerOperation is how many conditions a transaction may have for each operation
-// that it may have.
+// ConditionsPerOperation is the ratio of the maximum number of preconditions in a transaction
+// to the maximum number of operations.
 const ConditionsPerOperation = 4
 
-// MinOperations is how many operations a transaction must allow: a job's end takes two, an
-// election two, a machine group that is split three.
+// MinOperations is the minimum for the limit on operations in a transaction: writing the end
+// of a job takes two, an election two, and splitting a machine group three.
 const MinOperations = 3
 
-// highestLimit keeps sums of limits within their types.
-const highestLimit = 1e9
+// maxLimit bounds each limit so that sums of limits do not overflow their types.
+const maxLimit = 1e9
 
-// Limits are the limits in force: the lower ones of today's and those to come. The
-// change comes without notice and a larger value is refused from then on, so every
-// value written has to fit before.
+// Limits returns the limits in force: the lower of each current limit and its announced value.
+// The change comes without notice, and the store rejects larger values from then on, so every
+// value written before the change must already fit.
 func (s KVStore) Limits() StoreLimits {
 	if next := s.Announced; next != nil {
-		s.RequestsPerSecond = lower(s.RequestsPerSecond, next.RequestsPerSecond)
-		s.WritesPerSecond = lower(s.WritesPerSecond, next.WritesPerSecond)
-		s.ValueKiB = lower(s.ValueKiB, next.ValueKiB)
-		s.TransactionOperations = lower(s.TransactionOperations, next.TransactionOperations)
+		s.RequestsPerSecond = effectiveLimit(s.RequestsPerSecond, next.RequestsPerSecond)
+		s.WritesPerSecond = effectiveLimit(s.WritesPerSecond, next.WritesPerSecond)
+		s.ValueKiB = effectiveLimit(s.ValueKiB, next.ValueKiB)
+		s.TransactionOperations = effectiveLimit(s.TransactionOperations, next.TransactionOperations)
 	}
 	return StoreLimits{
 		RequestRate: s.RequestsPerSecond,
@@ -59,34 +59,34 @@
 	}
 }
 
-// lower is the lower one of a limit and the one announced for it, if there is one.
-func lower[T int | float64](today T, announced *T) T {
+// effectiveLimit returns the lower of a current limit and its announced value, if there is one.
+func effectiveLimit[T int | float64](current T, announced *T) T {
 	if announced == nil {
-		return today
+		return current
 	}
-	return min(today, *announced)
+	return min(current, *announced)
 }
 
-// check names the limits that are missing or impossible.
-func (s KVStore) check(found *fieldErrors) {
-	today := AnnouncedLimits{&s.RequestsPerSecond, &s.WritesPerSecond, &s.ValueKiB, &s.TransactionOperations}
-	today.check(found, "cluster.state.")
+// check reports the current and announced limits that are missing or invalid.
+func (s KVStore) check(errs *fieldErrors) {
+	current := AnnouncedLimits{&s.RequestsPerSecond, &s.WritesPerSecond, &s.ValueKiB, &s.TransactionOperations}
+	current.check(errs, "cluster.state.")
 	if s.Announced != nil {
-		s.Announced.check(found, "cluster.state.next.")
+		s.Announced.check(errs, "cluster.state.next.")
 	}
 }
 
-// check checks the limits that are given; nil ones are not.
-func (l *AnnouncedLimits) check(found *fieldErrors, prefix string) {
+// check reports the invalid limits and skips nil limits.
+func (l *AnnouncedLimits) check(errs *fieldErrors, prefix string) {
 	for _, limit := range []struct {
 		field string
 		value *float64
 	}{{"rps", l.RequestsPerSecond}, {"write_rps", l.WritesPerSecond}, {"value_kb", l.ValueKiB}} {
-		if limit.value != nil && !(*limit.value > 0 && *limit.value <= highestLimit) {
-			found.add(prefix+limit.field, problemNotPositive)
+		if limit.value != nil && !(*limit.value > 0 && *limit.value <= maxLimit) {
+			errs.add(prefix+limit.field, problemNotPositive)
 		}
 	}
-	if operations := l.TransactionOperations; operations != nil && (*operations < MinOperations || *operations > highestLimit) {
-		found.add(prefix+"txn_ops", fmt.Sprintf("missing or below %d", MinOperations))
+	if operations := l.TransactionOperations; operations != nil && (*operations < MinOperations || *operations > maxLimit) {
+		errs.add(prefix+"txn_ops", fmt.Sprintf("missing or below %d", MinOperations))
 	}
 }
--- a/internal/config/store_limits_test.go
+++ b/internal/config/store_limits_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// TestStoreLimits: the lower ones of today's limits and those to come are in force from the start;
-// what is not announced stays.
+// TestStoreLimits checks that the lower of each current limit and its announced value is in
+// force from the start, and that limits without an announced value stay unchanged.
 func TestStoreLimits(t *testing.T) {
-	today := KVStore{RequestsPerSecond: 200, WritesPerSecond: 80, ValueKiB: 8, TransactionOperations: 32}
-	value, operations, more := 2.0, 10, 500.0
+	current := KVStore{RequestsPerSecond: 200, WritesPerSecond: 80, ValueKiB: 8, TransactionOperations: 32}
+	lowerValue, lowerOperations, higherRate := 2.0, 10, 500.0
 	for _, c := range []struct {
 		name string
 		next *AnnouncedLimits
@@ -14,14 +14,14 @@
 	}{
 		{"none", nil, StoreLimits{200, 80, 8192, 32, 128}},
 		{"empty", &AnnouncedLimits{}, StoreLimits{200, 80, 8192, 32, 128}},
-		{"lower", &AnnouncedLimits{ValueKiB: &value, TransactionOperations: &operations}, StoreLimits{200, 80, 2048, 10, 40}},
-		{"higher", &AnnouncedLimits{RequestsPerSecond: &more, WritesPerSecond: &more}, StoreLimits{200, 80, 8192, 32, 128}},
+		{"lower", &AnnouncedLimits{ValueKiB: &lowerValue, TransactionOperations: &lowerOperations}, StoreLimits{200, 80, 2048, 10, 40}},
+		{"higher", &AnnouncedLimits{RequestsPerSecond: &higherRate, WritesPerSecond: &higherRate}, StoreLimits{200, 80, 8192, 32, 128}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			store := today
+			store := current
 			store.Announced = c.next
 			if got := store.Limits(); got != c.want {
-				t.Errorf("%+v, not %+v", got, c.want)
+				t.Errorf("limits %+v, want %+v", got, c.want)
 			}
 		})
 	}
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -2,60 +2,59 @@
 
 import "fmt"
 
-// Warning is a limit that rockrun starts with all the same, but that is likely to be
-// too small.
+// Warning reports a limit that is likely to be too small. rockrun starts nevertheless.
 type Warning struct {
-	Field string // as in the file of settings
-	Why   string
+	Field  string // path in the settings file
+	Reason string
 }
 
-// What a controller was measured to take (simulated, see docs/operations.md).
+// Resource use of a controller as measured in simulation; see docs/operations.md.
 const (
 	baseMemoryMB       = 15.0
 	connectionMemoryMB = 0.045
 	machineMemoryMB    = 0.01
 
-	minCores                 = 0.05 // the smallest that a fleet was run with is 0.06
+	minCores                 = 0.05 // 0.06 is the smallest value that a fleet was run with
 	minSockets               = 256
-	minValueKiB              = 2 // the smallest that a fleet was run with
-	minTransactionOperations = 4 // the same
-	// openSocketShare is how much of its sockets a controller keeps open between requests.
+	minValueKiB              = 2 // the smallest value that a fleet was run with
+	minTransactionOperations = 4 // the smallest value that a fleet was run with
+	// openSocketShare is the share of its sockets that a controller keeps open between requests.
 	openSocketShare = 0.75
-	// minSocketsPerMachine is the fewest sockets for a machine that a fleet was run with.
+	// minSocketsPerMachine is the smallest number of sockets per machine that a fleet was run with.
 	minSocketsPerMachine = 0.65
-	// maxMachinesPerWrite is for how many machines one write a second was enough; at
-	// 270 tasks waited for theirs.
+	// maxMachinesPerWrite is the number of machines for which one write per second was
+	// enough. With 270 machines, tasks waited for the writes of their records.
 	maxMachinesPerWrite = 200
 )
 
-// Warnings names the limits that are likely to be too small; 0 is no limit.
+// Warnings returns the limits that are likely to be too small; 0 means no limit.
 func (s *Settings) Warnings(options Options) []Warning {
 	machines := options.FleetExpected
 	return append(s.Cluster.ProcessLimits.warnings(machines), s.Cluster.KVStore.Limits().warnings(machines)...)
 }
 
-// warnings are of what the controller's process may take, with a fleet of so many machines.
+// warnings returns the process limits that are likely to be too small for a number of machines.
 func (l ProcessLimits) warnings(machines int) (list []Warning) {
 	if l.Cores > 0 && l.Cores < minCores {
 		list = append(list, Warning{"cluster.limits.cores", fmt.Sprintf("%g: no fleet was measured with less than %g", l.Cores, minCores)})
 	}
-	wantedSockets := minSocketsPerMachine * float64(machines)
+	recommendedSockets := minSocketsPerMachine * float64(machines)
 	switch {
 	case l.Sockets == 0:
 	case l.Sockets < minSockets:
-		list = append(list, Warning{"cluster.limits.fd_limit", fmt.Sprintf("%d: reports and commands will wait below %d", l.Sockets, minSockets)})
-	case float64(l.Sockets) < wantedSockets:
-		list = append(list, Warning{"cluster.limits.fd_limit", fmt.Sprintf("%d: no fleet of %d machines was measured with less than %.0f", l.Sockets, machines, wantedSockets)})
+		list = append(list, Warning{"cluster.limits.fd_limit", fmt.Sprintf("%d: heartbeats and commands are delayed below %d", l.Sockets, minSockets)})
+	case float64(l.Sockets) < recommendedSockets:
+		list = append(list, Warning{"cluster.limits.fd_limit", fmt.Sprintf("%d: no fleet of %d machines was measured with less than %.0f", l.Sockets, machines, recommendedSockets)})
 	}
-	wantedMB := baseMemoryMB + connectionMemoryMB*openSocketShare*float64(l.Sockets) + machineMemoryMB*float64(machines)
-	if l.MemoryMB > 0 && l.MemoryMB < wantedMB {
-		list = append(list, Warning{"cluster.limits.mem_mb", fmt.Sprintf("%g: as many connections as fd_limit allows and %d machines take up to %.0f MB", l.MemoryMB, machines, wantedMB)})
+	recommendedMB := baseMemoryMB + connectionMemoryMB*openSocketShare*float64(l.Sockets) + machineMemoryMB*float64(machines)
+	if l.MemoryMB > 0 && l.MemoryMB < recommendedMB {
+		list = append(list, Warning{"cluster.limits.mem_mb", fmt.Sprintf("%g: the connections that fd_limit allows and %d machines need up to %.0f MB", l.MemoryMB, machines, recommendedMB)})
 	}
 	return list
 }
 
-// warnings are of what the key-value store allows, now or later, with a fleet of so many
-// machines.
+// warnings returns the limits of the key-value store, current or announced, that are likely to
+// be too small for a number of machines.
 func (l StoreLimits) warnings(machines int) (list []Warning) {
 	if l.ValueBytes > 0 && l.ValueBytes < minValueKiB*1024 {
 		list = append(list, Warning{"cluster.state.value_kb", fmt.Sprintf("%d bytes: no fleet was measured with less than %d KiB", l.ValueBytes, minValueKiB)})
@@ -64,7 +63,7 @@
 		list = append(list, Warning{"cluster.state.txn_ops", fmt.Sprintf("%d: no fleet was measured with less than %d", l.Operations, minTransactionOperations)})
 	}
 	if l.WriteRate > 0 && float64(machines) > maxMachinesPerWrite*l.WriteRate {
-		list = append(list, Warning{"cluster.state.write_rps", fmt.Sprintf("%g: tasks of %d machines will wait for their records below %.0f", l.WriteRate, machines, float64(machines)/maxMachinesPerWrite)})
+		list = append(list, Warning{"cluster.state.write_rps", fmt.Sprintf("%g: for %d machines, record writes delay tasks below %.0f", l.WriteRate, machines, float64(machines)/maxMachinesPerWrite)})
 	}
 	return list
 }
--- a/internal/config/warnings_test.go
+++ b/internal/config/warnings_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestWarnings: each limit that is too small is named, and none that is not.
+// TestWarnings checks that Warnings reports every limit that is too small and no other.
 func TestWarnings(t *testing.T) {
 	const cores, sockets, memory = "cluster.limits.cores", "cluster.limits.fd_limit", "cluster.limits.mem_mb"
 	const value, operations, writes = "cluster.state.value_kb", "cluster.state.txn_ops", "cluster.state.write_rps"
@@ -14,15 +14,15 @@
 		fleet  int
 		fields []string
 	}{
-		"none given":        {fields: nil},
+		"no limits":         {fields: nil},
 		"enough":            {limits: ProcessLimits{Cores: 0.06, MemoryMB: 81, Sockets: 1500}, store: store, fleet: 1400},
 		"few cores":         {limits: ProcessLimits{Cores: 0.02, MemoryMB: 81, Sockets: 1500}, fields: []string{cores}},
 		"few sockets":       {limits: ProcessLimits{Cores: 1, MemoryMB: 81, Sockets: 100}, fields: []string{sockets}},
 		"sockets by fleet":  {limits: ProcessLimits{Sockets: 1500}, fleet: 4000, fields: []string{sockets}},
 		"memory by sockets": {limits: ProcessLimits{Cores: 1, MemoryMB: 60, Sockets: 1500}, fields: []string{memory}},
 		"memory by fleet":   {limits: ProcessLimits{MemoryMB: 200, Sockets: 5000}, fleet: 4000, fields: []string{memory}},
-		"all of a machine":  {limits: ProcessLimits{Cores: 0.01, MemoryMB: 10, Sockets: 10}, fields: []string{cores, sockets, memory}},
-		"small later":       {store: KVStore{RequestsPerSecond: 200, WritesPerSecond: 20, ValueKiB: 4, TransactionOperations: 8, Announced: &AnnouncedLimits{ValueKiB: &lowerValue, TransactionOperations: &lowerOperations}}, fields: []string{value, operations}},
+		"all of a process":  {limits: ProcessLimits{Cores: 0.01, MemoryMB: 10, Sockets: 10}, fields: []string{cores, sockets, memory}},
+		"small announced":   {store: KVStore{RequestsPerSecond: 200, WritesPerSecond: 20, ValueKiB: 4, TransactionOperations: 8, Announced: &AnnouncedLimits{ValueKiB: &lowerValue, TransactionOperations: &lowerOperations}}, fields: []string{value, operations}},
 		"writes by fleet":   {store: store, fleet: 4000, fields: []string{writes}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -31,7 +31,7 @@
 				t.Fatalf("%v", got)
 			}
 			for i, field := range c.fields {
-				if got[i].Field != field || got[i].Why == "" {
+				if got[i].Field != field || got[i].Reason == "" {
 					t.Errorf("%v", got)
 				}
 			}
