--- a/internal/config/store_limits.go
+++ b/internal/config/store_limits.go
@@ -22,16 +22,16 @@
 
 // StoreLimits holds the limits that requests to the key-value store must respect.
 type StoreLimits struct {
-	RequestRate float64 // requests per second of all controllers together
-	WriteRate   float64 // puts and deletes per second of all controllers together
-	ValueBytes  int     // maximum size of a value
-	Operations  int     // maximum number of puts and deletes in a transaction
-	Conditions  int     // maximum number of preconditions in a transaction
+	RequestRate   float64 // requests per second of all controllers together
+	WriteRate     float64 // puts and deletes per second of all controllers together
+	ValueBytes    int     // maximum size of a value
+	Operations    int     // maximum number of puts and deletes in a transaction
+	Preconditions int     // maximum number of preconditions in a transaction
 }
 
-// ConditionsPerOperation is the ratio of the maximum number of preconditions in a transaction
+// PreconditionsPerOperation is the ratio of the maximum number of preconditions in a transaction
 // to the maximum number of operations.
-const ConditionsPerOperation = 4
+const PreconditionsPerOperation = 4
 
 // MinOperations is the minimum for the limit on operations in a transaction: writing the end
 // of a job takes two, an election two, and splitting a machine group three.
@@ -51,11 +51,11 @@
 		s.TransactionOperations = effectiveLimit(s.TransactionOperations, next.TransactionOperations)
 	}
 	return StoreLimits{
-		RequestRate: s.RequestsPerSecond,
-		WriteRate:   s.WritesPerSecond,
-		ValueBytes:  int(s.ValueKiB * 1024),
-		Operations:  s.TransactionOperations,
-		Conditions:  ConditionsPerOperation * s.TransactionOperations,
+		RequestRate:   s.RequestsPerSecond,
+		WriteRate:     s.WritesPerSecond,
+		ValueBytes:    int(s.ValueKiB * 1024),
+		Operations:    s.TransactionOperations,
+		Preconditions: PreconditionsPerOperation * s.TransactionOperations,
 	}
 }
 
