--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -19,10 +19,10 @@
 	FleetMin              int     // minimum number of machines; scale-in does not go below it
 	FleetMax              int     // maximum number of machines
 	FleetExpected         int     // number of machines that operators expect at a time; used only by Warnings; 0: not given
-	ScaleOutPatience      float64 // multiple of a new machine's boot time that arrays wait for existing machines
+	ScaleOutWaitFactor    float64 // multiple of a new machine's boot time that arrays wait for existing machines
 	SpareReplicas         int     // replicas of each shape of running service for which spare capacity is reserved
 	ScaleOutCallsPerCycle int     // maximum number of create requests to the cloud per cycle; 0: see ScaleOutCalls
-	BootPatience          float64 // multiple of a machine type's boot time after which a boot counts as failed
+	BootTimeoutFactor     float64 // multiple of a machine type's boot time after which a boot counts as failed
 	ShardLeaseSeconds     float64 // how long a holder may act without contact to the leader; 0: see ShardLease
 	JobShards             int     // number of job shards; 0: derived from the number of controllers
 	SilenceSeconds        float64 // time without a heartbeat after which a machine is replaced although the cloud lists it as running; 0: see SilenceTimeout
@@ -36,9 +36,9 @@
 		ScaleInWindowSeconds:  25,
 		ScaleInBelow:          0.3,
 		FleetMax:              10000,
-		ScaleOutPatience:      2,
+		ScaleOutWaitFactor:    2,
 		SpareReplicas:         4,
-		BootPatience:          2.5,
+		BootTimeoutFactor:     2.5,
 	}
 }
 
@@ -62,8 +62,8 @@
 		{"fleet_max", 1, 100000, true, func(o *Options, value float64) { o.FleetMax = int(value) }},
 		{"fleet_expected", 0, 100000, true, func(o *Options, value float64) { o.FleetExpected = int(value) }},
 		{"calls_per_cycle", 0, 20, true, func(o *Options, value float64) { o.ScaleOutCallsPerCycle = int(value) }},
-		{"boot_patience", 1.5, 20, false, func(o *Options, value float64) { o.BootPatience = value }},
-		{"rent_patience", 0, 20, false, func(o *Options, value float64) { o.ScaleOutPatience = value }},
+		{"boot_patience", 1.5, 20, false, func(o *Options, value float64) { o.BootTimeoutFactor = value }},
+		{"rent_patience", 0, 20, false, func(o *Options, value float64) { o.ScaleOutWaitFactor = value }},
 		{"service_spare", 0, 1000, true, func(o *Options, value float64) { o.SpareReplicas = int(value) }},
 		{"block_lease_s", 0, 600, false, func(o *Options, value float64) { o.ShardLeaseSeconds = value }},
 		{"homes", 0, 1000, true, func(o *Options, value float64) { o.JobShards = int(value) }},
--- a/internal/coordination/provisioning/cycle.go
+++ b/internal/coordination/provisioning/cycle.go
@@ -87,7 +87,7 @@
 		SoleTypes:          fleet.SoleMachineTypes(),
 		MachinesAllowed:    p.Options.FleetMax - len(supplies),
 		CallsAllowed:       max(0, p.Options.ScaleOutCalls(p.Cluster.Cloud)-len(p.scaleOuts.calls)),
-		ScaleOutWaitFactor: p.Options.ScaleOutPatience,
+		ScaleOutWaitFactor: p.Options.ScaleOutWaitFactor,
 		StartSlackSeconds:  fleet.StartSlackSeconds,
 	}
 }
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -95,7 +95,7 @@
 		HeartbeatTolerance: p.Members.HeartbeatTolerance(),
 		PartitionedZones:   p.partitionedZones,
 		Objectives:         p.Cluster.Objectives,
-		BootTimeoutFactor:  p.Options.BootPatience,
+		BootTimeoutFactor:  p.Options.BootTimeoutFactor,
 		SpareReplicas:      p.Options.SpareReplicas,
 	}
 }
