--- a/internal/transport/async.go
+++ b/internal/transport/async.go
@@ -6,21 +6,21 @@
 	"rockrun/internal/protocol"
 )
 
-// callPool bounds the calls of one kind that are under way at a time.
+// callPool limits the number of concurrent calls of one kind.
 type callPool struct {
 	loop  *Loop
 	slots chan struct{}
 }
 
-func newCallPool(loop *Loop, most int) callPool {
-	return callPool{loop: loop, slots: make(chan struct{}, most)}
+func newCallPool(loop *Loop, size int) callPool {
+	return callPool{loop: loop, slots: make(chan struct{}, size)}
 }
 
-// start makes a blocking call on a goroutine of its own and hands the result to done on the
-// loop. When too many calls are under way it is refused at once, as if the service had said
-// so; done is called on the loop then too. The goroutine ends with the call, which has a
-// timeout, and the result is dropped once the loop is closed.
-func start[T any](pool callPool, call func() (T, error), done func(T, error)) {
+// startCall runs a blocking call on a new goroutine and passes its result to done on the loop.
+// If the pool has no free slot, the call is not made and done receives an error that matches
+// protocol.ErrNotExecuted, as if the service had rejected the call. The goroutine ends with
+// the call, which has a timeout. After the loop is closed, the result is discarded.
+func startCall[T any](pool callPool, call func() (T, error), done func(T, error)) {
 	select {
 	case pool.slots <- struct{}{}:
 		go func() {
@@ -29,14 +29,14 @@
 			pool.loop.Post(func() { done(result, err) })
 		}()
 	default:
-		var none T
-		err := fmt.Errorf("%w: too many calls under way", protocol.ErrNotExecuted)
-		go pool.loop.Post(func() { done(none, err) })
+		var zero T
+		err := fmt.Errorf("%w: too many calls in progress", protocol.ErrNotExecuted)
+		go pool.loop.Post(func() { done(zero, err) })
 	}
 }
 
-// startWithout is start for a call without a result.
-func startWithout(pool callPool, call func() error, done func(error)) {
-	start(pool, func() (struct{}, error) { return struct{}{}, call() },
+// startCallWithoutResult is startCall for a call that returns only an error.
+func startCallWithoutResult(pool callPool, call func() error, done func(error)) {
+	startCall(pool, func() (struct{}, error) { return struct{}{}, call() },
 		func(_ struct{}, err error) { done(err) })
 }
--- a/internal/transport/async_test.go
+++ b/internal/transport/async_test.go
@@ -7,27 +7,27 @@
 	"rockrun/internal/protocol"
 )
 
-// TestCallPool: calls beyond the bound are refused at once, and one that has ended makes
-// room. Results come back on the loop.
+// TestCallPool checks that calls beyond the size of a pool fail at once, that a finished call
+// frees its slot, and that results and errors are delivered on the loop.
 func TestCallPool(t *testing.T) {
 	loop := runLoop(t)
 	pool := newCallPool(loop, 1)
 	proceed := make(chan struct{})
 	results := make(chan int, 1)
-	start(pool, func() (int, error) { <-proceed; return 7, nil }, func(result int, _ error) { results <- result })
+	startCall(pool, func() (int, error) { <-proceed; return 7, nil }, func(result int, _ error) { results <- result })
 	refused := make(chan error, 1)
-	startWithout(pool, func() error { t.Error("a call too many was made"); return nil }, func(err error) { refused <- err })
+	startCallWithoutResult(pool, func() error { t.Error("a call beyond the pool size was made"); return nil }, func(err error) { refused <- err })
 	if err := <-refused; !errors.Is(err, protocol.ErrNotExecuted) {
-		t.Errorf("a call too many: %v", err)
+		t.Errorf("call beyond the pool size: error %v, want %v", err, protocol.ErrNotExecuted)
 	}
 	close(proceed)
 	if result := <-results; result != 7 {
-		t.Errorf("result %d", result)
+		t.Errorf("result %d, want 7", result)
 	}
 	failure := errors.New("failed")
 	ended := make(chan error, 1)
-	startWithout(pool, func() error { return failure }, func(err error) { ended <- err })
+	startCallWithoutResult(pool, func() error { return failure }, func(err error) { ended <- err })
 	if err := <-ended; !errors.Is(err, failure) {
-		t.Errorf("%v, not %v", err, failure)
+		t.Errorf("error %v, want %v", err, failure)
 	}
 }
--- a/internal/transport/backend.go
+++ b/internal/transport/backend.go
@@ -6,64 +6,66 @@
 	"rockrun/internal/protocol"
 )
 
-// maxCommandsInFlight bounds the commands under way to agents, beside half of their sockets.
+// maxCommandsInFlight limits the concurrent commands to agents. Half of the agent sockets is
+// the limit where that is lower.
 const maxCommandsInFlight = 128
 
-// BackendConfig is what a Backend is made of.
+// BackendConfig holds the dependencies of a Backend.
 type BackendConfig struct {
 	Loop        *Loop
-	Sockets     Sockets // bounds the calls under way
+	Sockets     Sockets // limits the concurrent calls
 	Metrics     *Metrics
 	KVClient    *protocol.KVClient
 	CloudClient *protocol.CloudClient
 	AgentClient *protocol.AgentClient
 }
 
-// Backend turns the blocking clients into calls that return at once and come back on the
-// loop, in the forms that the components of a controller ask for.
+// Backend wraps the blocking clients in asynchronous calls that return at once and deliver
+// their results on the loop. They implement the interfaces that the components of a
+// controller define.
 type Backend struct {
-	KVStore *KVStoreCalls
-	Cloud   *CloudCalls
-	Agents  *AgentCalls
+	KVStore *AsyncKVStore
+	Cloud   *AsyncCloud
+	Agents  *AsyncAgents
 }
 
-// NewBackend makes the calls.
-func NewBackend(c BackendConfig) *Backend {
-	commands := min(c.Sockets.Agents/2, maxCommandsInFlight)
+// NewBackend returns a Backend with one call pool per service.
+func NewBackend(config BackendConfig) *Backend {
+	commands := min(config.Sockets.Agents/2, maxCommandsInFlight)
 	return &Backend{
-		KVStore: &KVStoreCalls{client: c.KVClient, pool: newCallPool(c.Loop, c.Sockets.KVStore), metrics: c.Metrics},
-		Cloud:   &CloudCalls{client: c.CloudClient, pool: newCallPool(c.Loop, c.Sockets.Cloud)},
-		Agents:  &AgentCalls{client: c.AgentClient, pool: newCallPool(c.Loop, commands), metrics: c.Metrics},
+		KVStore: &AsyncKVStore{client: config.KVClient, pool: newCallPool(config.Loop, config.Sockets.KVStore), metrics: config.Metrics},
+		Cloud:   &AsyncCloud{client: config.CloudClient, pool: newCallPool(config.Loop, config.Sockets.Cloud)},
+		Agents:  &AsyncAgents{client: config.AgentClient, pool: newCallPool(config.Loop, commands), metrics: config.Metrics},
 	}
 }
 
-// KVStoreCalls is the key-value store as kv.Store.
-type KVStoreCalls struct {
+// AsyncKVStore implements kv.Store with asynchronous calls to the key-value store.
+type AsyncKVStore struct {
 	client  *protocol.KVClient
 	pool    callPool
 	metrics *Metrics
 }
 
 // Get implements kv.Store.
-func (s *KVStoreCalls) Get(key string, done func(protocol.KeyValue, bool, error)) {
+func (s *AsyncKVStore) Get(key string, done func(protocol.KeyValue, bool, error)) {
 	type lookup struct {
 		item  protocol.KeyValue
 		found bool
 	}
-	start(s.pool, func() (lookup, error) {
+	startCall(s.pool, func() (lookup, error) {
 		item, found, err := s.client.Get(key)
 		return lookup{item, found}, err
 	}, func(l lookup, err error) { done(l.item, l.found, err) })
 }
 
 // List implements kv.Store.
-func (s *KVStoreCalls) List(prefix, after string, done func(protocol.KeyValuePage, error)) {
-	start(s.pool, func() (protocol.KeyValuePage, error) { return s.client.List(prefix, after) }, done)
+func (s *AsyncKVStore) List(prefix, after string, done func(protocol.KeyValuePage, error)) {
+	startCall(s.pool, func() (protocol.KeyValuePage, error) { return s.client.List(prefix, after) }, done)
 }
 
 // Commit implements kv.Store.
-func (s *KVStoreCalls) Commit(transaction protocol.Transaction, done func(uint64, error)) {
-	start(s.pool, func() (uint64, error) {
+func (s *AsyncKVStore) Commit(transaction protocol.Transaction, done func(uint64, error)) {
+	startCall(s.pool, func() (uint64, error) {
 		revision, err := s.client.Commit(transaction)
 		s.metrics.transactions.WithLabelValues(resultLabel(err)).Inc()
 		return revision, err
@@ -71,69 +73,69 @@
 }
 
 // OpenLease implements kv.Store.
-func (s *KVStoreCalls) OpenLease(timeToLive time.Duration, done func(uint64, error)) {
-	start(s.pool, func() (uint64, error) { return s.client.OpenLease(timeToLive) }, done)
+func (s *AsyncKVStore) OpenLease(timeToLive time.Duration, done func(uint64, error)) {
+	startCall(s.pool, func() (uint64, error) { return s.client.OpenLease(timeToLive) }, done)
 }
 
 // RenewLease implements kv.Store.
-func (s *KVStoreCalls) RenewLease(lease uint64, done func(error)) {
-	startWithout(s.pool, func() error { return s.client.RenewLease(lease) }, done)
+func (s *AsyncKVStore) RenewLease(lease uint64, done func(error)) {
+	startCallWithoutResult(s.pool, func() error { return s.client.RenewLease(lease) }, done)
 }
 
 // RevokeLease implements kv.Store.
-func (s *KVStoreCalls) RevokeLease(lease uint64, done func(error)) {
-	startWithout(s.pool, func() error { return s.client.RevokeLease(lease) }, done)
+func (s *AsyncKVStore) RevokeLease(lease uint64, done func(error)) {
+	startCallWithoutResult(s.pool, func() error { return s.client.RevokeLease(lease) }, done)
 }
 
 // Watch implements kv.Store.
-func (s *KVStoreCalls) Watch(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
-	start(s.pool, func() (protocol.Changes, error) {
+func (s *AsyncKVStore) Watch(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
+	startCall(s.pool, func() (protocol.Changes, error) {
 		changes, err := s.client.Watch(prefix, after, wait)
 		s.metrics.changes.Add(float64(len(changes.Events)))
 		return changes, err
 	}, done)
 }
 
-// CloudCalls is the cloud as provisioning.Cloud.
-type CloudCalls struct {
+// AsyncCloud implements provisioning.Cloud with asynchronous calls to the cloud.
+type AsyncCloud struct {
 	client *protocol.CloudClient
 	pool   callPool
 }
 
 // MachineTypes implements provisioning.Cloud.
-func (c *CloudCalls) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
-	start(c.pool, c.client.MachineTypes, done)
+func (c *AsyncCloud) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
+	startCall(c.pool, c.client.MachineTypes, done)
 }
 
 // CreateMachines implements provisioning.Cloud.
-func (c *CloudCalls) CreateMachines(request protocol.CreateMachinesRequest, done func([]string, error)) {
-	start(c.pool, func() ([]string, error) { return c.client.CreateMachines(request) }, done)
+func (c *AsyncCloud) CreateMachines(request protocol.CreateMachinesRequest, done func([]string, error)) {
+	startCall(c.pool, func() ([]string, error) { return c.client.CreateMachines(request) }, done)
 }
 
 // DeleteMachines implements provisioning.Cloud.
-func (c *CloudCalls) DeleteMachines(names []string, done func(error)) {
-	startWithout(c.pool, func() error { return c.client.DeleteMachines(names) }, done)
+func (c *AsyncCloud) DeleteMachines(names []string, done func(error)) {
+	startCallWithoutResult(c.pool, func() error { return c.client.DeleteMachines(names) }, done)
 }
 
 // ListMachines implements provisioning.Cloud.
-func (c *CloudCalls) ListMachines(done func([]protocol.CloudMachine, error)) {
-	start(c.pool, c.client.ListMachines, done)
+func (c *AsyncCloud) ListMachines(done func([]protocol.CloudMachine, error)) {
+	startCall(c.pool, c.client.ListMachines, done)
 }
 
-// AgentCalls are the agents as reconcile.Agents.
-type AgentCalls struct {
+// AsyncAgents implements reconcile.Agents with asynchronous calls to the agents.
+type AsyncAgents struct {
 	client  *protocol.AgentClient
 	pool    callPool
 	metrics *Metrics
 }
 
 // Execute implements reconcile.Agents.
-func (a *AgentCalls) Execute(addr string, request protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
+func (a *AsyncAgents) Execute(addr string, request protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
 	type outcome struct {
 		heartbeat *protocol.AgentHeartbeat
 		executed  bool
 	}
-	start(a.pool, func() (outcome, error) {
+	startCall(a.pool, func() (outcome, error) {
 		heartbeat, executed, err := a.client.Execute(addr, request)
 		a.metrics.commands.WithLabelValues(resultLabel(err)).Inc()
 		return outcome{heartbeat, executed}, err
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -18,7 +18,8 @@
 	"rockrun/internal/protocol"
 )
 
-// serveMachines runs a server whose controller holds machines, and returns its address.
+// serveMachines runs a server whose controller holds a shard with machines, and returns its
+// address.
 func serveMachines(tb testing.TB, machines int) string {
 	tb.Helper()
 	loop := runLoop(tb)
@@ -29,7 +30,7 @@
 			Agents:  config.Agents{HeartbeatSeconds: 6, LeaseSeconds: 30, CancelSeconds: 60},
 			KVStore: config.KVStore{RequestsPerSecond: 200, WritesPerSecond: 80, ValueKiB: 8, TransactionOperations: 32},
 		}},
-		Options: config.DefaultOptions(), Clock: loop, Log: quiet, Store: cluster, Agents: cluster, Peers: cluster,
+		Options: config.DefaultOptions(), Clock: loop, Log: discardLog, Store: cluster, Agents: cluster, Peers: cluster,
 		Rand: rand.New(rand.NewPCG(1, 1)),
 	})
 	limiter := NewLimiter(4, 100)
@@ -43,7 +44,7 @@
 
 func machineName(i int) string { return fmt.Sprintf("m-%06d", i) }
 
-// heartbeatBody is an agent's heartbeat with a number of running tasks.
+// heartbeatBody returns an encoded agent heartbeat with a number of running tasks.
 func heartbeatBody(machine string, sequence, tasks int) []byte {
 	heartbeat := protocol.AgentHeartbeat{
 		Machine: machine, Address: "10.1.0.1:9000", MachineType: "small", Zone: "z",
@@ -54,7 +55,7 @@
 	}
 	data, err := json.Marshal(heartbeat)
 	if err != nil {
-		panic(err) // it is our own
+		panic(err) // cannot happen: a heartbeat always encodes
 	}
 	return data
 }
@@ -62,7 +63,7 @@
 // agentConn is an agent's connection to a controller.
 type agentConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 func dialAgent(tb testing.TB, addr string) *agentConn {
@@ -71,11 +72,11 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { _ = conn.Close() }) // closed already where the heartbeat was refused
-	return &agentConn{Conn: conn, in: bufio.NewReader(conn)}
+	tb.Cleanup(func() { _ = conn.Close() }) // already closed if the heartbeat was rejected
+	return &agentConn{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// exchange sends a heartbeat and reads the answer, of which it returns the status.
+// exchange sends a heartbeat, reads the whole answer and returns its status.
 func (c *agentConn) exchange(tb testing.TB, body []byte) (status string) {
 	tb.Helper()
 	head := fmt.Appendf(nil, "POST /hello HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(body))
@@ -84,7 +85,7 @@
 	}
 	length := 0
 	for first := true; ; first = false {
-		line, err := c.in.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -92,25 +93,25 @@
 			status = strings.Fields(line)[1]
 		}
 		if value, ok := strings.CutPrefix(line, "Content-Length: "); ok {
-			length, _ = strconv.Atoi(strings.TrimSpace(value)) // the server's own
+			length, _ = strconv.Atoi(strings.TrimSpace(value)) // written by the server under test
 		}
 		if line == "\r\n" {
 			break
 		}
 	}
-	if _, err := io.CopyN(io.Discard, c.in, int64(length)); err != nil {
+	if _, err := io.CopyN(io.Discard, c.reader, int64(length)); err != nil {
 		tb.Fatal(err)
 	}
 	return status
 }
 
-// heartbeatSender opens a connection on which a machine's heartbeats are answered 200, and
-// returns what sends the n-th on it.
+// heartbeatSender opens a connection on which a machine's heartbeats are answered with status
+// 200, and returns a function that sends the n-th heartbeat on that connection.
 func heartbeatSender(tb testing.TB, addr string) func(n int) {
 	tb.Helper()
-	conn := dialAccepted(tb, addr)
-	// The sequence numbers are patched into one body, so that what is measured is
-	// the server's work.
+	conn := dialUntilAccepted(tb, addr)
+	// Each sequence number is patched into the same body, so that the benchmark measures
+	// the server and not the encoding of heartbeats.
 	body := heartbeatBody(machineName(3), 1_000_000, 4)
 	at := bytes.Index(body, []byte("1000000"))
 	return func(n int) {
@@ -121,9 +122,9 @@
 	}
 }
 
-// dialAccepted opens connections until a heartbeat on one is answered 200: the controller
-// takes a moment to hold the machines.
-func dialAccepted(tb testing.TB, addr string) *agentConn {
+// dialUntilAccepted opens connections until a heartbeat on one of them is answered with status
+// 200, because the controller needs some time to acquire its shard.
+func dialUntilAccepted(tb testing.TB, addr string) *agentConn {
 	tb.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for sequence := 1; ; sequence++ {
@@ -135,13 +136,13 @@
 			tb.Error(err)
 		}
 		if time.Now().After(deadline) {
-			tb.Fatal("no heartbeat is answered 200")
+			tb.Fatal("no heartbeat was answered with status 200 within 10 s")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// BenchmarkHeartbeat is one agent's heartbeat over a connection that stays open, from the
+// BenchmarkHeartbeat measures one agent heartbeat over a connection that stays open, from the
 // socket through the controller and back.
 func BenchmarkHeartbeat(b *testing.B) {
 	send := heartbeatSender(b, serveMachines(b, 1000))
@@ -153,18 +154,20 @@
 	}
 }
 
-// BenchmarkCommand is a command to an agent and its answer, over a connection that stays open
-// and over one made for it.
+// BenchmarkCommand measures a command to an agent and its answer, over a connection that stays
+// open, and over new connections because the limit is too low to keep one open.
 func BenchmarkCommand(b *testing.B) {
 	body := heartbeatBody("m-1", 1, 4)
 	answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	ln := listen(b, freePort)
-	go answerAll(ln, answer)
+	ln := listen(b, ephemeralAddr)
+	go answerConnections(ln, answer)
 	grace := 0.0
 	request := protocol.CommandRequest{FencingToken: grantToken, Epoch: 1, Commands: []protocol.Command{
 		{Verb: protocol.VerbStop, Task: "run-1/0", Attempt: 1, GraceSeconds: &grace},
 	}}
-	for name, limit := range map[string]int{"open": 16, "new": 1} { // above three quarters of the limit connections are closed
+	// With a limit of 1 an open connection is above three quarters of the limit, so the next
+	// command on it closes it.
+	for name, limit := range map[string]int{"open": 16, "new": 1} {
 		b.Run(name, func(b *testing.B) {
 			agent := protocol.AgentClient{
 				HTTP: NewClient(ClientConfig{PerHost: 2, Total: limit, Idle: time.Minute}), Timeout: time.Second,
@@ -179,8 +182,9 @@
 	}
 }
 
-// answerAll answers whatever comes over any connection until the listener is closed.
-func answerAll(ln net.Listener, answer []byte) {
+// answerConnections sends the same answer to every request on every connection until the
+// listener is closed.
+func answerConnections(ln net.Listener, answer []byte) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -190,7 +194,7 @@
 	}
 }
 
-// answerConn answers each request, which comes in one piece.
+// answerConn answers each request on a connection. A request is expected to arrive in one read.
 func answerConn(conn net.Conn, answer []byte) {
 	buffer := make([]byte, 4096)
 	for {
@@ -201,5 +205,5 @@
 			break
 		}
 	}
-	_ = conn.Close() // the client's side is gone
+	_ = conn.Close() // the client has closed its side
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -9,29 +9,29 @@
 	"github.com/valyala/fasthttp"
 )
 
-// dialTimeout bounds opening a connection, and waiting for one that another call uses.
+// dialTimeout limits the time to open a connection, and the wait for a pooled connection that
+// another call is using.
 const dialTimeout = time.Second
 
-// ClientConfig is what a Client is made of.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	PerHost int           // connections to any address, at most
-	Total   int           // connections to all addresses together, at most
-	Idle    time.Duration // how long a connection stays open without a call
+	PerHost int           // maximum connections to one address
+	Total   int           // maximum connections to all addresses together
+	Idle    time.Duration // how long an unused connection stays open
 }
 
-// Client makes HTTP requests over pooled connections. Except for a read on a pooled
-// connection that the other side had closed it never repeats a request by itself: only the
-// caller knows whether that is harmless. It implements protocol.Caller and may be used from
-// any goroutine.
+// Client makes HTTP requests over pooled connections. It retries only a GET request whose
+// pooled connection the server had closed, because only the caller knows whether repeating
+// any other request is safe. It implements protocol.Caller and is safe for concurrent use.
 type Client struct {
-	http  fasthttp.Client
-	total int
+	http           fasthttp.Client
+	maxConnections int
 	connectionGauge
 }
 
-// NewClient makes a client.
+// NewClient returns a Client.
 func NewClient(config ClientConfig) *Client {
-	client := &Client{total: config.Total}
+	client := &Client{maxConnections: config.Total}
 	client.http = fasthttp.Client{
 		NoDefaultUserAgentHeader:      true,
 		DisablePathNormalizing:        true,
@@ -49,8 +49,8 @@
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
 func (c *Client) dial(addr string) (net.Conn, error) {
-	if c.Open() >= c.total {
-		return nil, errSockets
+	if c.OpenCount() >= c.maxConnections {
+		return nil, errTooManyConnections
 	}
 	conn, err := net.DialTimeout("tcp4", addr, dialTimeout)
 	if err != nil {
@@ -60,7 +60,7 @@
 }
 
 // Call makes one request and returns the status and the body of the answer. An error means
-// that no answer came.
+// that no answer was received.
 func (c *Client) Call(method, addr, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -71,12 +71,12 @@
 		request.Header.SetContentType("application/json")
 		request.SetBodyRaw(body)
 	}
-	if !mayKeepOpen(c.Open(), c.total) {
+	if !keepAliveAllowed(c.OpenCount(), c.maxConnections) {
 		request.SetConnectionClose()
 	}
 	err := c.http.DoTimeout(request, response, timeout)
 	if errors.Is(err, fasthttp.ErrConnectionClosed) && method == fasthttp.MethodGet {
-		// A pooled connection that the other side had closed; a read may be repeated.
+		// The server had closed the pooled connection; a GET request is safe to retry.
 		response.Reset()
 		err = c.http.DoTimeout(request, response, timeout)
 	}
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -10,8 +10,8 @@
 	"rockrun/internal/protocol"
 )
 
-// TestMalformedAnswers: what the key-value store, the cloud and agents answer in another form
-// than agreed counts as no answer, whatever the status says.
+// TestMalformedAnswers checks that a malformed answer of the key-value store, the cloud or an
+// agent is an error for every kind of call, although its status is 200.
 func TestMalformedAnswers(t *testing.T) {
 	const wrongRevision = `{"epoch":"x"}`
 	for _, answer := range []string{"", "nonsense", "{", `[1]`, wrongRevision, `{"epoch":-1,"permit":-1,"hosts":1,"builds":1,"items":1,"stamp":"x","shift":"y"}`} {
@@ -19,17 +19,18 @@
 			addr := serveAnswer(t, answer)
 			for name, call := range blockingCalls(addr) {
 				if answer == wrongRevision && (name == "machine types" || name == "list machines") {
-					continue // an empty list, as it may be
+					continue // decodes as a valid empty list
 				}
 				if err := call(); err == nil {
-					t.Errorf("%s takes it for an answer", name)
+					t.Errorf("%s accepted a malformed answer", name)
 				}
 			}
 		})
 	}
 }
 
-// serveAnswer answers every request in the same way until the test ends, and returns where.
+// serveAnswer runs a server that sends the same answer to every request until the test ends, and
+// returns its address.
 func serveAnswer(t *testing.T, answer string) (addr string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, answer) }))
@@ -37,7 +38,7 @@
 	return server.Listener.Addr().String()
 }
 
-// blockingCalls are one call of each kind to an address, by name.
+// blockingCalls returns one call of each kind to an address, by name.
 func blockingCalls(addr string) map[string]func() error {
 	client := NewClient(ClientConfig{PerHost: 4, Total: 32, Idle: time.Second})
 	store := &protocol.KVClient{HTTP: client, Addr: addr, Timeout: time.Second}
@@ -56,9 +57,9 @@
 	}
 }
 
-// TestManyServers: a client that speaks to many more machines than it has sockets reaches
-// all and stays within its limit.
-func TestManyServers(t *testing.T) {
+// TestClientConnectionLimit checks that a client that calls three times as many servers as its
+// connection limit reaches all of them, stays within the limit, and keeps connections open.
+func TestClientConnectionLimit(t *testing.T) {
 	const limit = 16
 	client := NewClient(ClientConfig{PerHost: 2, Total: limit, Idle: 20 * time.Second})
 	for i := range 3 * limit {
@@ -67,11 +68,11 @@
 		if err != nil || status != http.StatusOK {
 			t.Fatalf("server %d: %d, %v", i, status, err)
 		}
-		if open := client.Open(); open > limit {
-			t.Fatalf("%d connections open", open)
+		if open := client.OpenCount(); open > limit {
+			t.Fatalf("%d connections open, limit %d", open, limit)
 		}
 	}
-	if open := client.Open(); open < limit/2 {
-		t.Errorf("only %d connections were kept", open)
+	if open := client.OpenCount(); open < limit/2 {
+		t.Errorf("only %d connections were kept open", open)
 	}
 }
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,8 +1,8 @@
-// Package transport connects a controller to the outside: the listener for users, agents and
-// operators with its admission of requests, the link between controllers, the pooled HTTP
-// client with the asynchronous calls made over it, the metrics, and the event loop on which
-// all decisions of a controller are made.
+// Package transport connects a controller to other processes. It contains the HTTP server for
+// users, agents and operators with its admission control, the link between controllers, the
+// pooled HTTP client with the asynchronous calls made over it, the metrics, and the event loop
+// on which a controller makes all its decisions.
 //
-// Everything that blocks runs on goroutines of this package; what a controller is told, it
-// is told on its Loop.
+// Blocking operations run on goroutines of this package. Requests and the results of calls
+// are delivered to the controller on its Loop.
 package transport
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -11,28 +11,28 @@
 	"rockrun/internal/coordination/api"
 )
 
-// answerTime is how long a request may wait for the controller: users wait 5 s at most,
-// agents 4 s.
-const answerTime = 3500 * time.Millisecond
+// answerTimeout is how long a request may wait for the controller's answer. It is shorter than
+// the time that clients wait: users 5 s, agents 4 s.
+const answerTimeout = 3500 * time.Millisecond
 
-// post runs a request on the loop, or tells its sender to come back when the loop's queue is
-// full.
-func (s *Server) post(reply func(api.Answer), request func()) {
+// dispatch runs a request on the loop. If the loop's queue is full, it replies that the
+// controller is busy and when to retry.
+func (s *Server) dispatch(reply func(api.Answer), request func()) {
 	if !s.Loop.TryPost(request) {
-		reply(busy())
+		reply(busyAnswer())
 	}
 }
 
-// ask runs a question on the loop that is answered at once, and waits for the answer.
-func (s *Server) ask(question func() api.Answer) api.Answer {
-	return await(func(reply func(api.Answer)) {
-		s.post(reply, func() { reply(question()) })
+// query computes an answer on the loop and waits for it.
+func (s *Server) query(compute func() api.Answer) api.Answer {
+	return awaitAnswer(func(reply func(api.Answer)) {
+		s.dispatch(reply, func() { reply(compute()) })
 	})
 }
 
-// await runs a request and waits for its answer. A second answer, or one that comes too
-// late, is dropped.
-func await(run func(reply func(api.Answer))) api.Answer {
+// awaitAnswer runs a request and waits for its answer, or answers busy after answerTimeout.
+// Later answers are discarded.
+func awaitAnswer(run func(reply func(api.Answer))) api.Answer {
 	answers := make(chan api.Answer, 1)
 	run(func(answer api.Answer) {
 		select {
@@ -40,21 +40,21 @@
 		default:
 		}
 	})
-	timer := time.NewTimer(answerTime)
+	timer := time.NewTimer(answerTimeout)
 	defer timer.Stop()
 	select {
 	case answer := <-answers:
 		return answer
 	case <-timer.C:
-		return busy()
+		return busyAnswer()
 	}
 }
 
-// busy tells a sender that the controller has too much to do.
-func busy() api.Answer { return api.FromError(&api.RetryLaterError{Reason: api.ErrBusy}) }
+// busyAnswer tells the client that the controller is overloaded and when to retry.
+func busyAnswer() api.Answer { return api.FromError(&api.RetryLaterError{Reason: api.ErrBusy}) }
 
-// send writes an answer. Retry-After is in whole seconds, rounded up.
-func send(ctx *fiber.Ctx, answer api.Answer) error {
+// writeAnswer writes an answer to the client. Retry-After is rounded up to whole seconds.
+func writeAnswer(ctx *fiber.Ctx, answer api.Answer) error {
 	if answer.RetryAfter > 0 {
 		ctx.Set(fiber.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(answer.RetryAfter.Seconds()))))
 	}
--- a/internal/transport/granting_cluster_test.go
+++ b/internal/transport/granting_cluster_test.go
@@ -8,41 +8,41 @@
 	"rockrun/internal/storage"
 )
 
-// grantingCluster is a key-value store and a leader that let a controller hold the only job
-// shard with a number of machines. Nothing ever changes after that, and it has no cloud and
-// no agents that take commands.
+// grantingCluster is a fake key-value store and leader that grant a controller the only job
+// shard, which has a number of machines. No record changes after the grant. Calls to the cloud
+// and commands to agents are never answered.
 type grantingCluster struct {
 	loop   *Loop
 	items  []protocol.KeyValue
-	events []protocol.Event // not yet watched
+	events []protocol.Event // changes not yet returned by Watch
 }
 
-// grantedKey marks that the grant was made.
+// grantedKey is the key of an item that marks the grant as made.
 const grantedKey = "granted"
 
 // grantToken is the fencing token of the grant.
 const grantToken = 1 << 44
 
-// newGrantingCluster makes the records of a cluster.
+// newGrantingCluster returns a grantingCluster with the records of a cluster.
 func newGrantingCluster(loop *Loop, machines int) *grantingCluster {
 	const groupSize = 50
 	g := &grantingCluster{loop: loop}
-	g.put(storage.KeyLeader, storage.LeaderRecord{Controller: "b", Incarnation: 1, Term: 1})
-	g.put(storage.KeyTerm, storage.TermRecord{Term: 1})
-	g.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
-	g.put(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 32, Zones: []string{"z"}}}})
+	g.addRecord(storage.KeyLeader, storage.LeaderRecord{Controller: "b", Incarnation: 1, Term: 1})
+	g.addRecord(storage.KeyTerm, storage.TermRecord{Term: 1})
+	g.addRecord(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
+	g.addRecord(storage.KeyMachineTypes, protocol.MachineTypeCatalogue{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 32, Zones: []string{"z"}}}})
 	for first := 0; first < machines; first += groupSize {
 		group := storage.MachineGroupRecord{Type: "small", Zone: "z"}
 		for i := first; i < min(first+groupSize, machines); i++ {
 			group.Machines = append(group.Machines, storage.MachineEntry{Name: machineName(i), Address: "10.1.0.1:9000"})
 		}
-		g.put(storage.MachineGroupKey(strconv.Itoa(first)), group)
+		g.addRecord(storage.MachineGroupKey(strconv.Itoa(first)), group)
 	}
 	return g
 }
 
-// put adds a record that is there from the beginning.
-func (g *grantingCluster) put(key string, record any) {
+// addRecord adds an initial record.
+func (g *grantingCluster) addRecord(key string, record any) {
 	g.items = append(g.items, protocol.KeyValue{Key: key, Value: storage.Encode(record), Version: uint64(len(g.items) + 1)})
 }
 
@@ -100,8 +100,8 @@
 func (g *grantingCluster) Execute(string, protocol.CommandRequest, func(*protocol.AgentHeartbeat, bool, error)) {
 }
 
-// Ask implements membership.Peers: the first heartbeat tells the incarnation that
-// the grant must name.
+// Ask implements membership.Peers. On the first heartbeat it makes the grant, which must contain
+// the incarnation in that heartbeat.
 func (g *grantingCluster) Ask(_ string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	if request.Heartbeat == nil {
 		return
--- a/internal/transport/handlers.go
+++ b/internal/transport/handlers.go
@@ -12,69 +12,71 @@
 	"rockrun/internal/protocol"
 )
 
-// handler answers a request by calling reply, at once or later. The context belongs to the
-// request: what is used later must be copied.
+// handler answers a request by calling reply, before or after it returns. The context is
+// reused after the request is answered, so data that the controller may use later must be
+// copied.
 type handler func(ctx *fiber.Ctx, reply func(api.Answer))
 
-// limited puts the Limiter before a user's request.
-func (s *Server) limited(class requestClass, handle handler) fiber.Handler {
+// withLimiter returns a handler that applies the Limiter to user requests of a class and
+// measures their duration.
+func (s *Server) withLimiter(class requestClass, handle handler) fiber.Handler {
 	return func(ctx *fiber.Ctx) error {
 		release, admitted := s.Limiter.acquire(class)
 		if !admitted {
-			s.Metrics.shed.WithLabelValues(class.String()).Inc()
-			return send(ctx, api.FromError(&api.OverloadError{Class: class.String()}))
+			s.Metrics.requestsShed.WithLabelValues(class.String()).Inc()
+			return writeAnswer(ctx, api.FromError(&api.OverloadError{Class: class.String()}))
 		}
-		began := time.Now()
-		answer := await(func(reply func(api.Answer)) { handle(ctx, reply) })
+		startedAt := time.Now()
+		answer := awaitAnswer(func(reply func(api.Answer)) { handle(ctx, reply) })
 		release()
-		s.Metrics.requests.WithLabelValues(class.String(), strconv.Itoa(answer.Status)).Observe(time.Since(began).Seconds())
-		return send(ctx, answer)
+		s.Metrics.requests.WithLabelValues(class.String(), strconv.Itoa(answer.Status)).Observe(time.Since(startedAt).Seconds())
+		return writeAnswer(ctx, answer)
 	}
 }
 
 func (s *Server) submit(ctx *fiber.Ctx, reply func(api.Answer)) {
 	body := append([]byte(nil), ctx.Body()...)
-	s.post(reply, func() { s.Controller.Submit(body, reply) })
+	s.dispatch(reply, func() { s.Controller.Submit(body, reply) })
 }
 
 func (s *Server) status(ctx *fiber.Ctx, reply func(api.Answer)) {
 	id := jobID(ctx)
-	s.post(reply, func() { s.Controller.Status(id, reply) })
+	s.dispatch(reply, func() { s.Controller.Status(id, reply) })
 }
 
 func (s *Server) cancel(ctx *fiber.Ctx, reply func(api.Answer)) {
 	id := jobID(ctx)
-	s.post(reply, func() { s.Controller.Cancel(id, reply) })
+	s.dispatch(reply, func() { s.Controller.Cancel(id, reply) })
 }
 
-// jobID is the job that a request's path names.
+// jobID returns a copy of the job ID in the request path.
 func jobID(ctx *fiber.Ctx) string { return strings.Clone(ctx.Params("id")) }
 
-// agentHeartbeat answers an agent's heartbeat. It is not limited: an agent that gets no
-// answer loses its tasks.
+// agentHeartbeat answers an agent's heartbeat. Heartbeats bypass the Limiter, because an agent
+// that gets no answer loses its tasks.
 func (s *Server) agentHeartbeat(ctx *fiber.Ctx) error {
 	heartbeat, err := protocol.ParseAgentHeartbeat(ctx.Body())
 	if err != nil {
 		s.Metrics.malformedHeartbeats.Inc()
-		return send(ctx, api.FromError(err))
+		return writeAnswer(ctx, api.FromError(err))
 	}
-	began := time.Now()
-	answer := await(func(reply func(api.Answer)) {
-		s.post(reply, func() { s.Controller.OnAgentHeartbeat(heartbeat, reply) })
+	startedAt := time.Now()
+	answer := awaitAnswer(func(reply func(api.Answer)) {
+		s.dispatch(reply, func() { s.Controller.OnAgentHeartbeat(heartbeat, reply) })
 	})
-	elapsed := time.Since(began).Seconds()
+	elapsed := time.Since(startedAt).Seconds()
 	if answer.Status == http.StatusOK {
 		s.Metrics.heartbeats.Observe(elapsed)
 	} else {
 		s.Metrics.requests.WithLabelValues(heartbeatLabel, strconv.Itoa(answer.Status)).Observe(elapsed)
-		ctx.Context().SetConnectionClose() // it goes to another controller now
+		ctx.Context().SetConnectionClose() // the agent sends its next heartbeat to another controller
 	}
-	return send(ctx, answer)
+	return writeAnswer(ctx, answer)
 }
 
-// healthz tells the load balancer whether users' requests may come here.
+// healthz tells the load balancer whether to send user requests to this controller.
 func (s *Server) healthz(ctx *fiber.Ctx) error {
-	return send(ctx, s.ask(func() api.Answer {
+	return writeAnswer(ctx, s.query(func() api.Answer {
 		if !s.Controller.Healthy() {
 			return api.FromError(api.ErrUnhealthy)
 		}
@@ -82,17 +84,17 @@
 	}))
 }
 
-// autoscalerStatus tells operators how the autoscaler stands, as this controller sees it.
+// autoscalerStatus answers operators with the autoscaler status in this controller's view.
 func (s *Server) autoscalerStatus(ctx *fiber.Ctx) error {
-	return send(ctx, s.ask(func() api.Answer {
+	return writeAnswer(ctx, s.query(func() api.Answer {
 		status, _ := s.Controller.Autoscaler()
 		return api.OK(status)
 	}))
 }
 
-// autoscalerHistory tells operators what the autoscaler last decided.
+// autoscalerHistory answers operators with the autoscaler's latest decisions.
 func (s *Server) autoscalerHistory(ctx *fiber.Ctx) error {
-	return send(ctx, s.ask(func() api.Answer {
+	return writeAnswer(ctx, s.query(func() api.Answer {
 		_, decisions := s.Controller.Autoscaler()
 		return api.OK(decisions)
 	}))
--- a/internal/transport/limiter.go
+++ b/internal/transport/limiter.go
@@ -6,8 +6,7 @@
 	"github.com/failsafe-go/failsafe-go/adaptivelimiter"
 )
 
-// requestClass is a kind of user request, in the order in which kinds are shed. Its text is
-// a label of the metrics.
+// requestClass is a class of user requests. Lower classes are shed first.
 type requestClass int
 
 const (
@@ -16,34 +15,35 @@
 	classCancel
 )
 
-// String returns the class's label.
+// String returns the label of the class in metrics.
 func (c requestClass) String() string { return [...]string{"status", "submit", "withdraw"}[c] }
 
-// Windows over which the Limiter compares the times that requests take.
+// Windows over which the Limiter compares request durations.
 const (
-	shortWindow   = time.Second
-	longWindow    = 30 * time.Second
-	windowSamples = 20 // requests that a short window needs
+	shortWindow      = time.Second
+	longWindow       = 30 * time.Second
+	minWindowSamples = 20 // minimum requests in a short window
 )
 
-// Limiter bounds the users' requests in progress. The bound follows measured times: it
-// narrows when they rise above what they were and recovers when they fall. Status requests
-// are shed first; cancellations pass even above the bound, and health checks and heartbeats
-// never come here. It may be used from any goroutine.
+// Limiter limits the number of user requests in progress. The limit adapts to measured request
+// durations: it falls when they rise above their earlier level and recovers when they fall.
+// Status requests are shed first, and cancellations are admitted even above the limit. Health
+// checks and heartbeats bypass the Limiter. It is safe for concurrent use.
 type Limiter struct {
 	adaptive adaptivelimiter.AdaptiveLimiter[any]
 }
 
-// NewLimiter makes a limiter that stays between the two bounds and begins in the middle.
-func NewLimiter(least, most uint) *Limiter {
+// NewLimiter returns a Limiter whose limit stays between the two bounds and starts at half of
+// the upper one.
+func NewLimiter(minLimit, maxLimit uint) *Limiter {
 	return &Limiter{adaptive: adaptivelimiter.NewBuilder[any]().
-		WithLimits(least, most, most/2).
-		WithRecentWindow(shortWindow, longWindow, windowSamples).
+		WithLimits(minLimit, maxLimit, maxLimit/2).
+		WithRecentWindow(shortWindow, longWindow, minWindowSamples).
 		Build()}
 }
 
-// acquire admits a request or refuses it at once. A request that was admitted calls release
-// when it is over, whose time is then measured.
+// acquire admits or rejects a request without waiting. The caller of an admitted request calls
+// release when the request is finished, which records its duration.
 func (l *Limiter) acquire(class requestClass) (release func(), admitted bool) {
 	if class == classStatus && l.adaptive.Inflight() >= l.statusLimit() {
 		return nil, false
@@ -55,9 +55,9 @@
 	return permit.Record, true
 }
 
-// statusLimit is the number in progress from which status requests are shed: the last tenth
-// is left to the others.
+// statusLimit returns the number of requests in progress from which status requests are shed.
+// The last tenth of the limit is reserved for the other classes.
 func (l *Limiter) statusLimit() int { return max(l.adaptive.Limit()*9/10, 1) }
 
-// Limit returns the present bound.
+// Limit returns the current limit.
 func (l *Limiter) Limit() int { return l.adaptive.Limit() }
--- a/internal/transport/limiter_test.go
+++ b/internal/transport/limiter_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// TestLimiter shows that the limit narrows when measured times rise above what
-// they were, that requests beyond it are refused at once with cancellations shed
-// last, and that it recovers.
+// TestLimiter checks that the limit falls when request durations rise above their earlier level,
+// that status and submit requests above the limit are rejected at once while cancellations are
+// admitted, and that the limit recovers.
 func TestLimiter(t *testing.T) {
 	limiter := NewLimiter(2, 40)
 	loadLimiter(limiter, 4, 2*time.Millisecond, 4*time.Second)
-	usual := limiter.Limit()
+	baseline := limiter.Limit()
 	loadLimiter(limiter, 40, 10*time.Millisecond, 8*time.Second)
-	narrow := limiter.Limit()
-	t.Logf("limit: usual %d, narrow %d", usual, narrow)
-	if narrow >= usual {
-		t.Errorf("times rose and the limit went from %d to %d", usual, narrow)
+	reduced := limiter.Limit()
+	t.Logf("limit: baseline %d, reduced %d", baseline, reduced)
+	if reduced >= baseline {
+		t.Errorf("request durations rose, but the limit went from %d to %d", baseline, reduced)
 	}
-	var open []func()
+	var releases []func()
 	for {
 		release, ok := limiter.acquire(classSubmit)
 		if !ok {
 			break
 		}
-		open = append(open, release)
+		releases = append(releases, release)
 	}
 	if _, ok := limiter.acquire(classStatus); ok {
 		t.Error("a status request was admitted above the limit")
@@ -35,23 +35,23 @@
 	} else {
 		release()
 	}
-	for _, release := range open {
+	for _, release := range releases {
 		release()
 	}
 	loadLimiter(limiter, 4, 2*time.Millisecond, 8*time.Second)
-	if limiter.Limit() <= narrow {
-		t.Errorf("times fell and the limit went from %d to %d", narrow, limiter.Limit())
+	if limiter.Limit() <= reduced {
+		t.Errorf("request durations fell, but the limit went from %d to %d", reduced, limiter.Limit())
 	}
 }
 
-// loadLimiter lets a number of users ask all the time of a server that works on one request
-// after another, so that times rise with what is in progress.
-func loadLimiter(limiter *Limiter, users int, each, lasts time.Duration) {
+// loadLimiter simulates a number of users that continuously send requests to a server that
+// handles one request at a time, so that durations rise with the number of requests in progress.
+func loadLimiter(limiter *Limiter, users int, serviceTime, duration time.Duration) {
 	var server sync.Mutex
-	var all sync.WaitGroup
-	end := time.Now().Add(lasts)
+	var clients sync.WaitGroup
+	end := time.Now().Add(duration)
 	for range users {
-		all.Go(func() {
+		clients.Go(func() {
 			for time.Now().Before(end) {
 				release, ok := limiter.acquire(classSubmit)
 				if !ok {
@@ -59,11 +59,11 @@
 					continue
 				}
 				server.Lock()
-				time.Sleep(each)
+				time.Sleep(serviceTime)
 				server.Unlock()
 				release()
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 }
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// loopQueue is how many functions may wait for a Loop.
-const loopQueue = 4096
+// loopQueueSize is the capacity of a Loop's queue in functions.
+const loopQueueSize = 4096
 
-// Loop is a controller's event loop: it runs functions one after another on the goroutine
-// that calls Run, so that the controller's state needs no locks. It is the controller's
-// clock as well. Its methods may be called from any goroutine.
+// Loop is a controller's event loop. It runs functions one after another on the goroutine
+// that calls Run, so that the controller's state needs no locks. It is also the controller's
+// clock. Its methods may be called from any goroutine.
 type Loop struct {
 	queue   chan func()
 	done    chan struct{}
@@ -18,12 +18,12 @@
 	closed  atomic.Bool
 }
 
-// NewLoop makes a loop; Run runs it.
+// NewLoop returns a Loop. Call Run to start it.
 func NewLoop() *Loop {
-	return &Loop{queue: make(chan func(), loopQueue), done: make(chan struct{}), started: time.Now()}
+	return &Loop{queue: make(chan func(), loopQueueSize), done: make(chan struct{}), started: time.Now()}
 }
 
-// Run runs what is posted until Close.
+// Run runs posted functions until Close is called.
 func (l *Loop) Run() {
 	for {
 		select {
@@ -35,15 +35,15 @@
 	}
 }
 
-// Close ends Run. What is posted later, or waits, is dropped.
+// Close ends Run. Functions that are queued or posted later are discarded.
 func (l *Loop) Close() {
 	if l.closed.CompareAndSwap(false, true) {
 		close(l.done)
 	}
 }
 
-// Post hands f to the loop. It blocks while the queue is full, and must not be called on the
-// loop itself.
+// Post queues f. It blocks while the queue is full, so it must not be called on the loop
+// itself.
 func (l *Loop) Post(f func()) {
 	select {
 	case l.queue <- f:
@@ -51,7 +51,7 @@
 	}
 }
 
-// TryPost hands f to the loop unless the queue is full, and reports whether it did.
+// TryPost queues f unless the queue is full, and reports whether f was queued.
 func (l *Loop) TryPost(f func()) bool {
 	select {
 	case l.queue <- f:
@@ -61,13 +61,13 @@
 	}
 }
 
-// Now is the steady time since the loop was made.
+// Now returns the monotonic time since the loop was created.
 func (l *Loop) Now() time.Duration { return time.Since(l.started) }
 
-// Wall is the time of day.
+// Wall returns the wall-clock time.
 func (l *Loop) Wall() time.Time { return time.Now() }
 
-// After runs f on the loop after d.
+// After posts f to the loop after d.
 func (l *Loop) After(d time.Duration, f func()) {
 	time.AfterFunc(d, func() { l.Post(f) })
 }
--- a/internal/transport/metrics_test.go
+++ b/internal/transport/metrics_test.go
@@ -7,23 +7,23 @@
 	"rockrun/internal/protocol"
 )
 
-// metricValue is what a metric with a label of a value, or without labels, stands at; -1
-// where there is none.
+// metricValue returns the value of a counter or gauge with the given label value, or without
+// labels if label is empty. It returns -1 if there is no such metric.
 func metricValue(t *testing.T, m *Metrics, name, label string) float64 {
 	t.Helper()
 	families, err := m.registry.Gather()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range families {
-		if f.GetName() != name {
+	for _, family := range families {
+		if family.GetName() != name {
 			continue
 		}
-		for _, metric := range f.GetMetric() {
+		for _, metric := range family.GetMetric() {
 			if label != "" && (len(metric.GetLabel()) != 1 || metric.GetLabel()[0].GetValue() != label) {
 				continue
 			}
-			if f.GetType().String() == "GAUGE" {
+			if family.GetType().String() == "GAUGE" {
 				return metric.GetGauge().GetValue()
 			}
 			return metric.GetCounter().GetValue()
@@ -32,8 +32,9 @@
 	return -1
 }
 
-// TestCountsByKind: every call to the outside is counted once, by how it ended.
-func TestCountsByKind(t *testing.T) {
+// TestCallCountsByResult checks that every outbound call is counted once, by its result, and that
+// the controller's counts and limits are exported under their metric names.
+func TestCallCountsByResult(t *testing.T) {
 	metrics := NewMetrics(NewLimiter(4, 100))
 	metrics.Limits(0.06, 81)
 	metrics.Controller(func() coordination.Stats {
@@ -42,13 +43,13 @@
 	backend := unreachableBackend(runLoop(t), metrics)
 	ended := make(chan error, 2)
 	backend.KVStore.Commit(protocol.Transaction{}, func(_ uint64, err error) { ended <- err })
-	backend.Agents.Execute(nowhere, protocol.CommandRequest{}, func(_ *protocol.AgentHeartbeat, _ bool, err error) { ended <- err })
+	backend.Agents.Execute(unreachableAddr, protocol.CommandRequest{}, func(_ *protocol.AgentHeartbeat, _ bool, err error) { ended <- err })
 	for range 2 {
 		if err := <-ended; err == nil {
-			t.Fatal("nobody listens there")
+			t.Fatal("a call to an unreachable address succeeded")
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, label string
 		want        float64
 	}{
@@ -64,8 +65,8 @@
 		{"rockrun_limit_cores", "", 0.06},
 		{"rockrun_limit_memory_bytes", "", 81 << 20},
 	} {
-		if got := metricValue(t, metrics, c.name, c.label); got != c.want {
-			t.Errorf("%s %s: %v, not %v", c.name, c.label, got, c.want)
+		if got := metricValue(t, metrics, test.name, test.label); got != test.want {
+			t.Errorf("%s %s: %v, want %v", test.name, test.label, got, test.want)
 		}
 	}
 }
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -11,69 +11,71 @@
 	"rockrun/internal/protocol"
 )
 
-// peerTimeout bounds opening a connection to a controller and an exchange on it: a peer that
-// does not answer costs its callers no more.
+// peerTimeout limits the time to open a connection to a peer and the time of an exchange on it,
+// so that a peer that does not answer delays its callers no longer.
 const peerTimeout = time.Second
 
-// PeerCalls sends requests to other controllers. It implements membership.Peers.
-type PeerCalls struct {
+// PeerClient sends requests to other controllers. It implements membership.Peers.
+type PeerClient struct {
 	loop  *Loop
-	links map[string]*peerLink // by controller
+	links map[string]*peerLink // by controller name
 }
 
-// NewPeerCalls makes links to the given addresses, by controller.
-func NewPeerCalls(loop *Loop, addrs map[string]string) *PeerCalls {
-	p := &PeerCalls{loop: loop, links: map[string]*peerLink{}}
+// NewPeerCalls returns a PeerClient for controllers at the given addresses, by name.
+func NewPeerCalls(loop *Loop, addrs map[string]string) *PeerClient {
+	p := &PeerClient{loop: loop, links: map[string]*peerLink{}}
 	for controller, addr := range addrs {
 		p.links[controller] = &peerLink{addr: addr, pool: newCallPool(loop, 1)}
 	}
 	return p
 }
 
-// Ask implements membership.Peers. While a request to a controller is under way another one
-// to it is refused, so that no queue of them builds up.
-func (p *PeerCalls) Ask(controller string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
+// Ask implements membership.Peers. While a request to a controller is in progress, further
+// requests to that controller fail at once, so that they do not queue up.
+func (p *PeerClient) Ask(controller string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	link := p.links[controller]
 	if link == nil {
-		err := fmt.Errorf("%w: no controller %s", protocol.ErrNotExecuted, controller)
+		err := fmt.Errorf("%w: unknown controller %s", protocol.ErrNotExecuted, controller)
 		go p.loop.Post(func() { done(protocol.PeerAnswer{}, err) })
 		return
 	}
-	start(link.pool, func() (protocol.PeerAnswer, error) { return link.exchange(request) }, done)
+	startCall(link.pool, func() (protocol.PeerAnswer, error) { return link.exchange(request) }, done)
 }
 
-// peerLink is the connection to one controller. Its pool has one slot, so that one goroutine
-// at a time uses it.
+// peerLink is the outbound link to one controller. Its pool has one slot, so that only one
+// goroutine at a time uses the link.
 type peerLink struct {
 	addr string
 	pool callPool
-	conn *peerConn // nil: not open
+	conn *peerConn // nil while not open
 }
 
-// exchange sends a request and reads its answer, opening the connection if need be. After an
-// error the connection is closed: what comes later on it would answer the wrong request.
+// exchange sends a request and reads its answer. It opens the connection if it is not open.
+// After an error it closes the connection, because a late answer on that connection would be
+// read as the answer to the next request.
 func (l *peerLink) exchange(request protocol.PeerRequest) (protocol.PeerAnswer, error) {
 	if l.conn == nil {
 		conn, err := dialPeer(l.addr)
 		if err != nil {
-			return protocol.PeerAnswer{}, fmt.Errorf("peer: %w", err)
+			return protocol.PeerAnswer{}, fmt.Errorf("connect to peer: %w", err)
 		}
 		l.conn = conn
 	}
 	answer, err := l.conn.exchange(request)
 	if err != nil {
-		err = fmt.Errorf("peer: %w", errors.Join(err, l.conn.Close()))
+		err = fmt.Errorf("peer request to %s: %w", l.addr, errors.Join(err, l.conn.Close()))
 		l.conn = nil
 	}
 	return answer, err
 }
 
-// peerConn is an open connection to a controller. The gob streams last as long as it does.
+// peerConn is an open connection to a controller. Its gob encoder and decoder are used for the
+// lifetime of the connection.
 type peerConn struct {
 	net.Conn
-	encoder *gob.Encoder
-	decoder *gob.Decoder
-	limited *io.LimitedReader // what the decoder reads
+	encoder       *gob.Encoder
+	decoder       *gob.Decoder
+	limitedReader *io.LimitedReader // the decoder's input; limits the size of each answer
 }
 
 func dialPeer(addr string) (*peerConn, error) {
@@ -81,15 +83,15 @@
 	if err != nil {
 		return nil, err
 	}
-	limited := &io.LimitedReader{R: conn}
-	return &peerConn{Conn: conn, encoder: gob.NewEncoder(conn), decoder: gob.NewDecoder(limited), limited: limited}, nil
+	limitedReader := &io.LimitedReader{R: conn}
+	return &peerConn{Conn: conn, encoder: gob.NewEncoder(conn), decoder: gob.NewDecoder(limitedReader), limitedReader: limitedReader}, nil
 }
 
 func (c *peerConn) exchange(request protocol.PeerRequest) (protocol.PeerAnswer, error) {
 	if err := c.SetDeadline(time.Now().Add(peerTimeout)); err != nil {
 		return protocol.PeerAnswer{}, err
 	}
-	c.limited.N = maxPeerMessage
+	c.limitedReader.N = maxPeerMessageBytes
 	if err := c.encoder.Encode(request.Wire()); err != nil {
 		return protocol.PeerAnswer{}, err
 	}
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -11,45 +11,47 @@
 	"rockrun/internal/protocol"
 )
 
-// The link between controllers: gob over TCP, one connection a direction, one request at a
-// time on it.
+// The link between controllers uses gob over TCP, with one connection for each direction and
+// one request at a time on each connection.
 const (
-	// peerIdle is how long a connection may stay without a request.
-	peerIdle = 30 * time.Second
-	// peerAnswerTime is how long a request may wait for the controller.
-	peerAnswerTime = 4 * time.Second
-	// maxPeerMessage bounds a message in bytes, so that nonsense costs no memory.
-	maxPeerMessage = 4 << 20
-	// acceptPause keeps a listener that fails from failing all the time.
-	acceptPause = 50 * time.Millisecond
+	// peerIdleTimeout is how long a connection may stay open without a request.
+	peerIdleTimeout = 30 * time.Second
+	// peerAnswerTimeout is how long a request may wait for the controller's answer.
+	peerAnswerTimeout = 4 * time.Second
+	// maxPeerMessageBytes limits the size of a message, so that invalid input cannot exhaust
+	// memory.
+	maxPeerMessageBytes = 4 << 20
+	// acceptRetryDelay is the pause after a failed accept. It prevents a busy loop while the
+	// listener keeps failing.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Why a connection of a peer is closed.
+// Reasons for closing a connection of a peer.
 var (
-	errLoopBusy = errors.New("too busy")
-	errNoAnswer = errors.New("no answer in time")
+	errLoopQueueFull = errors.New("event loop queue is full")
+	errAnswerTimeout = errors.New("controller did not answer in time")
 )
 
-// PeerHandler answers a request of another controller. It runs on the loop; reply may be
-// called later, once.
+// PeerHandler answers a request of another controller. It runs on the loop. It calls reply
+// once, before or after it returns.
 type PeerHandler func(request protocol.PeerRequest, reply func(protocol.PeerAnswer))
 
-// PeerServerConfig is what a PeerServer is made of.
+// PeerServerConfig configures a PeerServer.
 type PeerServerConfig struct {
-	Connections int // open at a time, at most; more are closed at once
+	Connections int // maximum open connections; further ones are closed at once
 	Loop        *Loop
 	Handle      PeerHandler
 	Log         *slog.Logger
 }
 
-// PeerServer answers other controllers.
+// PeerServer answers requests of other controllers.
 type PeerServer struct{ PeerServerConfig }
 
-// NewPeerServer makes a server.
+// NewPeerServer returns a PeerServer.
 func NewPeerServer(config PeerServerConfig) *PeerServer { return &PeerServer{config} }
 
-// Serve accepts connections until the listener is closed. Connections that are open then
-// end with their peers, or once they have been idle for peerIdle.
+// Serve accepts connections until the listener is closed. Connections that are still open then
+// are closed when the peer closes its side, or after peerIdleTimeout without a request.
 func (s *PeerServer) Serve(listener net.Listener) {
 	slots := make(chan struct{}, s.Connections)
 	for {
@@ -58,8 +60,8 @@
 			return
 		}
 		if err != nil {
-			s.Log.Warn("peer connection not accepted", "err", err)
-			time.Sleep(acceptPause)
+			s.Log.Warn("peer connection accept failed", "err", err)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
@@ -74,27 +76,27 @@
 	}
 }
 
-func (s *PeerServer) serveConn(conn net.Conn) { s.closeConn(conn, s.answerAll(conn)) }
+func (s *PeerServer) serveConn(conn net.Conn) { s.closeConn(conn, s.serveRequests(conn)) }
 
-// closeConn closes a connection that ended for a reason, if any.
+// closeConn closes a connection and logs the reason, if any.
 func (s *PeerServer) closeConn(conn net.Conn, reason error) {
-	s.Log.Debug("peer connection ended", "err", errors.Join(reason, conn.Close()))
+	s.Log.Debug("peer connection closed", "err", errors.Join(reason, conn.Close()))
 }
 
-// answerAll answers requests until the connection fails, and says why it did.
-func (s *PeerServer) answerAll(conn net.Conn) error {
-	limited := &io.LimitedReader{R: conn}
-	decoder, encoder := gob.NewDecoder(limited), gob.NewEncoder(conn)
+// serveRequests answers requests until the connection fails, and returns the reason.
+func (s *PeerServer) serveRequests(conn net.Conn) error {
+	limitedReader := &io.LimitedReader{R: conn}
+	decoder, encoder := gob.NewDecoder(limitedReader), gob.NewEncoder(conn)
 	for {
-		if err := conn.SetDeadline(time.Now().Add(peerIdle)); err != nil {
+		if err := conn.SetDeadline(time.Now().Add(peerIdleTimeout)); err != nil {
 			return err
 		}
-		limited.N = maxPeerMessage
+		limitedReader.N = maxPeerMessageBytes
 		var request protocol.PeerRequestWire
 		if err := decoder.Decode(&request); err != nil {
 			return err
 		}
-		answer, err := s.answer(request.Request())
+		answer, err := s.answerRequest(request.Request())
 		if err != nil {
 			return err
 		}
@@ -104,19 +106,19 @@
 	}
 }
 
-// answer has the controller answer one request.
-func (s *PeerServer) answer(request protocol.PeerRequest) (protocol.PeerAnswer, error) {
+// answerRequest runs the handler for one request on the loop and waits for the answer.
+func (s *PeerServer) answerRequest(request protocol.PeerRequest) (protocol.PeerAnswer, error) {
 	answers := make(chan protocol.PeerAnswer, 1)
 	posted := s.Loop.TryPost(func() {
 		s.Handle(request, func(answer protocol.PeerAnswer) { answers <- answer })
 	})
 	if !posted {
-		return protocol.PeerAnswer{}, errLoopBusy
+		return protocol.PeerAnswer{}, errLoopQueueFull
 	}
 	select {
 	case answer := <-answers:
 		return answer, nil
-	case <-time.After(peerAnswerTime):
-		return protocol.PeerAnswer{}, errNoAnswer
+	case <-time.After(peerAnswerTimeout):
+		return protocol.PeerAnswer{}, errAnswerTimeout
 	}
 }
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -8,11 +8,11 @@
 	"rockrun/internal/protocol"
 )
 
-// servePeers answers heartbeats at an address with the next term.
+// servePeers runs a PeerServer at an address that answers each heartbeat with the next term.
 func servePeers(t *testing.T, loop *Loop, addr string) net.Listener {
 	t.Helper()
 	ln := listen(t, addr)
-	server := NewPeerServer(PeerServerConfig{Connections: 8, Loop: loop, Log: quiet,
+	server := NewPeerServer(PeerServerConfig{Connections: 8, Loop: loop, Log: discardLog,
 		Handle: func(request protocol.PeerRequest, reply func(protocol.PeerAnswer)) {
 			term := request.Heartbeat.Term + 1
 			reply(protocol.PeerAnswer{Reply: &protocol.PeerHeartbeatReply{Leader: true, Term: term, Shards: []int{2}}})
@@ -21,8 +21,8 @@
 	return ln
 }
 
-// heartbeatTo sends a heartbeat to a controller and waits for the answer.
-func heartbeatTo(calls *PeerCalls, controller string) (protocol.PeerAnswer, error) {
+// sendPeerHeartbeat sends a heartbeat to a controller and waits for the answer.
+func sendPeerHeartbeat(client *PeerClient, controller string) (protocol.PeerAnswer, error) {
 	type outcome struct {
 		answer protocol.PeerAnswer
 		err    error
@@ -31,26 +31,27 @@
 	request := protocol.PeerRequest{Heartbeat: &protocol.PeerHeartbeat{
 		Controller: "a", Term: 6, Machines: []protocol.MachineStatus{{Name: "m-1"}},
 	}}
-	calls.Ask(controller, request, func(answer protocol.PeerAnswer, err error) { outcomes <- outcome{answer, err} })
+	client.Ask(controller, request, func(answer protocol.PeerAnswer, err error) { outcomes <- outcome{answer, err} })
 	o := <-outcomes
 	return o.answer, o.err
 }
 
-// TestPeerLink sends requests over real sockets.
+// TestPeerLink checks requests between controllers over real sockets, to a known and an unknown
+// controller, and after invalid data on another connection.
 func TestPeerLink(t *testing.T) {
 	loop := runLoop(t)
-	ln := servePeers(t, loop, freePort)
-	calls := NewPeerCalls(loop, map[string]string{"b": ln.Addr().String()})
+	ln := servePeers(t, loop, ephemeralAddr)
+	client := NewPeerCalls(loop, map[string]string{"b": ln.Addr().String()})
 	for range 3 {
-		answer, err := heartbeatTo(calls, "b")
+		answer, err := sendPeerHeartbeat(client, "b")
 		if err != nil || answer.Reply == nil || answer.Reply.Term != 7 || len(answer.Reply.Shards) != 1 {
 			t.Fatalf("%+v, %v", answer.Reply, err)
 		}
 	}
-	if _, err := heartbeatTo(calls, "c"); !errors.Is(err, protocol.ErrNotExecuted) {
-		t.Errorf("an unknown controller: %v", err)
+	if _, err := sendPeerHeartbeat(client, "c"); !errors.Is(err, protocol.ErrNotExecuted) {
+		t.Errorf("unknown controller: error %v, want %v", err, protocol.ErrNotExecuted)
 	}
-	// Nonsense on the link ends that connection and nothing else.
+	// Invalid data closes the connection on which it arrives and does not affect others.
 	conn, err := net.Dial("tcp4", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -61,22 +62,23 @@
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
-	if _, err := heartbeatTo(calls, "b"); err != nil {
-		t.Errorf("after nonsense on another connection: %v", err)
+	if _, err := sendPeerHeartbeat(client, "b"); err != nil {
+		t.Errorf("after invalid data on another connection: %v", err)
 	}
 }
 
-// TestPeerLinkIsBusy: while a request to a controller is under way another one is refused.
-func TestPeerLinkIsBusy(t *testing.T) {
+// TestPeerClientRejectsConcurrentRequest checks that a request to a controller fails at once while
+// another request to that controller is in progress.
+func TestPeerClientRejectsConcurrentRequest(t *testing.T) {
 	loop := runLoop(t)
-	silent := listen(t, freePort) // takes connections and never answers
-	calls := NewPeerCalls(loop, map[string]string{"b": silent.Addr().String()})
+	unresponsive := listen(t, ephemeralAddr) // accepts connections and never answers
+	client := NewPeerCalls(loop, map[string]string{"b": unresponsive.Addr().String()})
 	first := make(chan error, 1)
-	calls.Ask("b", protocol.PeerRequest{}, func(_ protocol.PeerAnswer, err error) { first <- err })
-	if _, err := heartbeatTo(calls, "b"); !errors.Is(err, protocol.ErrNotExecuted) {
-		t.Errorf("a second request: %v", err)
+	client.Ask("b", protocol.PeerRequest{}, func(_ protocol.PeerAnswer, err error) { first <- err })
+	if _, err := sendPeerHeartbeat(client, "b"); !errors.Is(err, protocol.ErrNotExecuted) {
+		t.Errorf("second request: error %v, want %v", err, protocol.ErrNotExecuted)
 	}
 	if err := <-first; err == nil || errors.Is(err, protocol.ErrNotExecuted) {
-		t.Errorf("the first request: %v", err)
+		t.Errorf("first request: error %v, want a timeout", err)
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -14,33 +14,34 @@
 )
 
 const (
-	// maxRequestBody is the body from which requests are not even read.
+	// maxRequestBody is the body size in bytes above which a request is rejected unread.
 	maxRequestBody = 4 * protocol.MaxBody
-	// readTimeout bounds the wait for the next request on a connection.
+	// readTimeout limits the time to read a request and the wait for the next one on a
+	// connection.
 	readTimeout  = 75 * time.Second
 	writeTimeout = 10 * time.Second
 )
 
-// ServerConfig is what a Server is made of.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Loop       *Loop
 	Controller *coordination.Controller
 	Limiter    *Limiter
 	Metrics    *Metrics
-	Sockets    int // open connections, at most
+	Sockets    int // maximum open connections
 }
 
 // Server is the HTTP interface for users, agents and operators.
 type Server struct {
 	ServerConfig
-	app    *fiber.App
-	public *Listener
+	app            *fiber.App
+	publicListener *Listener
 }
 
-// NewServer makes the interface of a controller.
+// NewServer returns the Server of a controller with all its routes.
 func NewServer(config ServerConfig) *Server {
-	server := &Server{ServerConfig: config, public: &Listener{}}
-	server.Metrics.Connections("public", server.public)
+	server := &Server{ServerConfig: config, publicListener: &Listener{}}
+	server.Metrics.Connections("public", server.publicListener)
 	server.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		BodyLimit:             maxRequestBody,
@@ -53,42 +54,42 @@
 	server.app.Use(server.shedConnections)
 	server.app.Post("/hello", server.agentHeartbeat)
 	server.app.Get("/healthz", server.healthz)
-	server.app.Post("/submissions", server.limited(classSubmit, server.submit))
-	server.app.Get("/submissions/:id", server.limited(classStatus, server.status))
-	server.app.Post("/submissions/:id/withdraw", server.limited(classCancel, server.cancel))
+	server.app.Post("/submissions", server.withLimiter(classSubmit, server.submit))
+	server.app.Get("/submissions/:id", server.withLimiter(classStatus, server.status))
+	server.app.Post("/submissions/:id/withdraw", server.withLimiter(classCancel, server.cancel))
 	server.app.Get("/autoscaler/status", server.autoscalerStatus)
 	server.app.Get("/autoscaler/history", server.autoscalerHistory)
 	server.app.Get("/metrics", server.Metrics.handler)
 	return server
 }
 
-// answerError answers a request that no handler answered.
+// answerError answers a request for which routing or a handler returned an error.
 func answerError(ctx *fiber.Ctx, err error) error {
 	status := http.StatusInternalServerError
-	var routing *fiber.Error
-	if errors.As(err, &routing) {
-		status = routing.Code
+	var fiberErr *fiber.Error
+	if errors.As(err, &fiberErr) {
+		status = fiberErr.Code
 	}
 	if status == http.StatusRequestEntityTooLarge {
-		status = http.StatusBadRequest // which users do not repeat, unlike any other
+		status = http.StatusBadRequest // users do not retry a 400, unlike any other error status
 	}
-	return send(ctx, api.FromError(&api.StatusError{Status: status, Cause: err}))
+	return writeAnswer(ctx, api.FromError(&api.StatusError{Status: status, Cause: err}))
 }
 
-// Serve answers requests until Shutdown. It is called once.
+// Serve answers requests until Shutdown. It must be called only once.
 func (s *Server) Serve(listener net.Listener) error {
-	s.public.Listener = listener
-	return s.app.Listener(s.public)
+	s.publicListener.Listener = listener
+	return s.app.Listener(s.publicListener)
 }
 
-// Shutdown closes the listener and waits for the requests under way.
+// Shutdown closes the listener and waits at most the given time for requests in progress.
 func (s *Server) Shutdown(wait time.Duration) error { return s.app.ShutdownWithTimeout(wait) }
 
-// shedConnections closes connections after their answers while there are too many of them: a
-// controller that is left alone gets all agents and users of the others.
+// shedConnections closes each connection after its answer while too many are open. The number
+// rises when the other controllers fail and all their agents and users connect to this one.
 func (s *Server) shedConnections(ctx *fiber.Ctx) error {
 	err := ctx.Next()
-	if !mayKeepOpen(s.public.Open(), s.Sockets) {
+	if !keepAliveAllowed(s.publicListener.OpenCount(), s.Sockets) {
 		ctx.Context().SetConnectionClose()
 	}
 	return err
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -7,72 +7,73 @@
 	"sync/atomic"
 )
 
-// Sockets splits what a process may open by what it is for. The key-value store, the cloud
-// and the other controllers get what they need whatever else happens; of the rest a quarter
-// is for commands to agents and the remainder for who comes to the public address.
+// Sockets divides the sockets that a process may open among their uses. The key-value store,
+// the cloud and the peers have reserved parts, which the other uses cannot exhaust. Of the
+// remaining sockets a quarter is for commands to agents, and the rest is for the users, agents
+// and operators that connect to the public address.
 type Sockets struct {
 	Public  int
 	Agents  int
 	KVStore int
 	Cloud   int
-	Peers   int // connections of other controllers; as many go out as there are peers
+	Peers   int // inbound connections; one outbound connection per peer is not included
 }
 
 const (
-	ownSockets     = 16 // listeners, standard streams, the poller
-	kvStoreSockets = 64 // at most; an eighth of the limit where that is less
-	minKVSockets   = 8
-	cloudSockets   = 8
-	socketsPerPeer = 4
-	sparePeers     = 8
-	minRest        = 64
-	minAgents      = 16
+	reservedSockets          = 16 // listeners, standard streams, the poller
+	maxKVStoreSockets        = 64 // an eighth of the limit where that is less
+	minKVStoreSockets        = 8
+	cloudSockets             = 8
+	socketsPerPeer           = 4
+	sparePeerSockets         = 8
+	minAgentAndPublicSockets = 64
+	minAgentSockets          = 16
 )
 
-// SplitSockets splits a limit on open files for a number of other controllers. A limit too
-// small for everything still leaves each a few.
+// SplitSockets divides a limit on open files for a given number of peers. Each use gets a
+// minimum even if the limit is too small for all of them.
 func SplitSockets(limit, peers int) Sockets {
-	s := Sockets{Cloud: cloudSockets, Peers: socketsPerPeer*peers + sparePeers}
-	s.KVStore = min(kvStoreSockets, max(limit/8, minKVSockets))
-	rest := max(limit-ownSockets-s.KVStore-s.Cloud-s.Peers-peers, minRest)
-	s.Agents = max(rest/4, minAgents)
-	s.Public = rest - s.Agents
-	return s
+	sockets := Sockets{Cloud: cloudSockets, Peers: socketsPerPeer*peers + sparePeerSockets}
+	sockets.KVStore = min(maxKVStoreSockets, max(limit/8, minKVStoreSockets))
+	remaining := max(limit-reservedSockets-sockets.KVStore-sockets.Cloud-sockets.Peers-peers, minAgentAndPublicSockets)
+	sockets.Agents = max(remaining/4, minAgentSockets)
+	sockets.Public = remaining - sockets.Agents
+	return sockets
 }
 
-// errSockets says that a connection was not opened since there are too many.
-var errSockets = errors.New("too many connections open")
+// errTooManyConnections means that a connection was not opened because of the connection limit.
+var errTooManyConnections = errors.New("too many connections open")
 
-// mayKeepOpen reports whether there is so much room that connections may stay open between
-// requests. Above that mark each is closed after its answer: one more handshake costs more
-// than an open connection, until there are no more of them.
-func mayKeepOpen(open, limit int) bool { return open <= limit*3/4 }
+// keepAliveAllowed reports whether connections may stay open between requests, which is up to
+// three quarters of the limit. Above that, each connection is closed after its answer. A new
+// handshake costs more than an idle connection, but only while sockets are left.
+func keepAliveAllowed(open, limit int) bool { return open <= limit*3/4 }
 
-// connectionGauge counts open connections of one kind. It may be used from any goroutine.
+// connectionGauge counts the open connections of one kind. It is safe for concurrent use.
 type connectionGauge struct{ open atomic.Int64 }
 
-// Open is how many are open now.
-func (g *connectionGauge) Open() int { return int(g.open.Load()) }
+// OpenCount returns the number of connections that are open now.
+func (g *connectionGauge) OpenCount() int { return int(g.open.Load()) }
 
-// track counts a connection until it is closed.
+// track counts a connection as open until the returned connection is closed.
 func (g *connectionGauge) track(conn net.Conn) net.Conn {
 	g.open.Add(1)
-	return &countedConn{Conn: conn, done: sync.OnceFunc(func() { g.open.Add(-1) })}
+	return &countedConn{Conn: conn, onClose: sync.OnceFunc(func() { g.open.Add(-1) })}
 }
 
-// countedConn is a connection that a connectionGauge counts.
+// countedConn is a connection that is counted by a connectionGauge.
 type countedConn struct {
 	net.Conn
-	done func()
+	onClose func()
 }
 
 // Close implements net.Conn.
 func (c *countedConn) Close() error {
-	c.done()
+	c.onClose()
 	return c.Conn.Close()
 }
 
-// Listener counts the connections that it has accepted.
+// Listener counts the open connections that it has accepted.
 type Listener struct {
 	net.Listener
 	connectionGauge
