--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -107,15 +107,15 @@
 	registerIntGauge("rockrun_jobs_waiting", "Unfinished jobs of the controller's homes that wait for others.",
 		func(s coordination.Stats) int64 { return s.JobsAwaitingDependencies })
 	registerIntGauge("rockrun_term", "Highest term that the controller has read.",
-		func(s coordination.Stats) int64 { return int64(s.Standing.Term) })
+		func(s coordination.Stats) int64 { return int64(s.Snapshot.Term) })
 	registerIntGauge("rockrun_leader", "1 while the controller leads in that term.",
-		func(s coordination.Stats) int64 { return boolGauge(s.Standing.Leading) })
+		func(s coordination.Stats) int64 { return boolGauge(s.Snapshot.Leading) })
 	registerIntGauge("rockrun_job_shards_held", "Job shards that the controller holds.",
-		func(s coordination.Stats) int64 { return int64(s.Standing.JobShards) })
+		func(s coordination.Stats) int64 { return int64(s.Snapshot.JobShards) })
 	registerIntGauge("rockrun_view_revision", "Revision of the store up to which the controller has read.",
-		func(s coordination.Stats) int64 { return int64(s.Standing.Revision) })
+		func(s coordination.Stats) int64 { return int64(s.Snapshot.Revision) })
 	registerIntGauge("rockrun_view_staleness_milliseconds", "Time since the controller's view is known to have held everything durable.",
-		func(s coordination.Stats) int64 { return s.Standing.Staleness.Milliseconds() })
+		func(s coordination.Stats) int64 { return s.Snapshot.Staleness.Milliseconds() })
 	registerIntGauge("rockrun_oversized_values", "Values the controller writes that are over the limit in force and not yet split.",
 		func(s coordination.Stats) int64 { return s.OversizedValues })
 }
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -30,9 +30,9 @@
 	return p
 }
 
-// Ask implements membership.Peers. While a request to a controller is in progress, further
+// SendRequest implements membership.Peers. While a request to a controller is in progress, further
 // requests to that controller fail at once, so that they do not queue up.
-func (p *PeerClient) Ask(controller string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
+func (p *PeerClient) SendRequest(controller string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	link := p.links[controller]
 	if link == nil {
 		err := fmt.Errorf("%w: unknown controller %s", protocol.ErrNotExecuted, controller)
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -31,7 +31,7 @@
 	request := protocol.PeerRequest{Heartbeat: &protocol.PeerHeartbeat{
 		Controller: "a", Term: 6, Machines: []protocol.MachineStatus{{Name: "m-1"}},
 	}}
-	client.Ask(controller, request, func(answer protocol.PeerAnswer, err error) { outcomes <- outcome{answer, err} })
+	client.SendRequest(controller, request, func(answer protocol.PeerAnswer, err error) { outcomes <- outcome{answer, err} })
 	o := <-outcomes
 	return o.answer, o.err
 }
@@ -74,7 +74,7 @@
 	unresponsive := listen(t, ephemeralAddr) // accepts connections and never answers
 	client := NewPeerCalls(loop, map[string]string{"b": unresponsive.Addr().String()})
 	first := make(chan error, 1)
-	client.Ask("b", protocol.PeerRequest{}, func(_ protocol.PeerAnswer, err error) { first <- err })
+	client.SendRequest("b", protocol.PeerRequest{}, func(_ protocol.PeerAnswer, err error) { first <- err })
 	if _, err := sendPeerHeartbeat(client, "b"); !errors.Is(err, protocol.ErrNotExecuted) {
 		t.Errorf("second request: error %v, want %v", err, protocol.ErrNotExecuted)
 	}
