--- a/cmd/rockrun/process.go
+++ b/cmd/rockrun/process.go
@@ -56,7 +56,7 @@
 	sockets := splitSockets(settings)
 	limiter := transport.NewLimiter(minInFlightRequests, maxInFlightRequests)
 	metrics := transport.NewMetrics(limiter)
-	metrics.Limits(settings.Cluster.ProcessLimits.Cores, settings.Cluster.ProcessLimits.MemoryMB)
+	metrics.RegisterLimits(settings.Cluster.ProcessLimits.Cores, settings.Cluster.ProcessLimits.MemoryMB)
 	backend := newBackend(settings, loop, sockets, metrics)
 	controller := coordination.New(coordination.Config{
 		Settings: settings,
@@ -66,19 +66,19 @@
 		Store:    backend.KVStore,
 		Cloud:    backend.Cloud,
 		Agents:   backend.Agents,
-		Peers:    transport.NewPeerCalls(loop, peerAddresses(settings)),
+		Peers:    transport.NewPeerClient(loop, peerAddresses(settings)),
 		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
-	metrics.Controller(controller.Stats)
+	metrics.RegisterController(controller.Stats)
 	return &process{
 		log:        log,
 		loop:       loop,
 		controller: controller,
 		server: transport.NewServer(transport.ServerConfig{
-			Loop: loop, Controller: controller, Limiter: limiter, Metrics: metrics, Sockets: sockets.Public,
+			Loop: loop, Controller: controller, Limiter: limiter, Metrics: metrics, MaxConnections: sockets.Public,
 		}),
 		peers: transport.NewPeerServer(transport.PeerServerConfig{
-			Connections: sockets.Peers, Loop: loop, Handle: controller.OnPeer, Log: log,
+			MaxConnections: sockets.Peers, Loop: loop, Handle: controller.OnPeer, Log: log,
 		}),
 	}
 }
@@ -102,17 +102,17 @@
 // newBackend returns the clients of the key-value store, the cloud and the agents.
 func newBackend(settings *config.Settings, loop *transport.Loop, sockets transport.Sockets, metrics *transport.Metrics) *transport.Backend {
 	services := transport.NewClient(transport.ClientConfig{
-		PerHost: sockets.KVStore, Total: sockets.KVStore + sockets.Cloud, Idle: idleTimeout,
+		MaxConnectionsPerHost: sockets.KVStore, MaxConnections: sockets.KVStore + sockets.Cloud, IdleTimeout: idleTimeout,
 	})
 	// Connections to agents stay open: a machine gets a new task about every 15 s, and
 	// opening a connection costs three times as much as the command itself. While more
 	// than three quarters of the agents' sockets are open, connections are closed after
 	// each answer.
 	agents := transport.NewClient(transport.ClientConfig{
-		PerHost: connectionsPerAgent, Total: sockets.Agents, Idle: idleTimeout,
+		MaxConnectionsPerHost: connectionsPerAgent, MaxConnections: sockets.Agents, IdleTimeout: idleTimeout,
 	})
-	metrics.Connections("workers", agents)
-	metrics.Connections("services", services)
+	metrics.RegisterConnections("workers", agents)
+	metrics.RegisterConnections("services", services)
 	return transport.NewBackend(transport.BackendConfig{
 		Loop:        loop,
 		Sockets:     sockets,
--- a/internal/transport/bench_test.go
+++ b/internal/transport/bench_test.go
@@ -35,7 +35,7 @@
 	})
 	limiter := NewLimiter(4, 100)
 	server := NewServer(ServerConfig{
-		Loop: loop, Controller: controller, Limiter: limiter, Metrics: NewMetrics(limiter), Sockets: 1000,
+		Loop: loop, Controller: controller, Limiter: limiter, Metrics: NewMetrics(limiter), MaxConnections: 1000,
 	})
 	loop.Post(controller.Start)
 	addr, _ := serve(tb, server)
@@ -170,7 +170,7 @@
 	for name, limit := range map[string]int{"open": 16, "new": 1} {
 		b.Run(name, func(b *testing.B) {
 			agent := protocol.AgentClient{
-				HTTP: NewClient(ClientConfig{PerHost: 2, Total: limit, Idle: time.Minute}), Timeout: time.Second,
+				HTTP: NewClient(ClientConfig{MaxConnectionsPerHost: 2, MaxConnections: limit, IdleTimeout: time.Minute}), Timeout: time.Second,
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -15,9 +15,9 @@
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
-	PerHost int           // maximum connections to one address
-	Total   int           // maximum connections to all addresses together
-	Idle    time.Duration // how long an unused connection stays open
+	MaxConnectionsPerHost int           // maximum connections to one address
+	MaxConnections        int           // maximum connections to all addresses together
+	IdleTimeout           time.Duration // how long an unused connection stays open
 }
 
 // Client makes HTTP requests over pooled connections. It retries only a GET request whose
@@ -31,13 +31,13 @@
 
 // NewClient returns a Client.
 func NewClient(config ClientConfig) *Client {
-	client := &Client{maxConnections: config.Total}
+	client := &Client{maxConnections: config.MaxConnections}
 	client.http = fasthttp.Client{
 		NoDefaultUserAgentHeader:      true,
 		DisablePathNormalizing:        true,
 		DisableHeaderNamesNormalizing: false,
-		MaxConnsPerHost:               config.PerHost,
-		MaxIdleConnDuration:           config.Idle,
+		MaxConnsPerHost:               config.MaxConnectionsPerHost,
+		MaxIdleConnDuration:           config.IdleTimeout,
 		MaxIdemponentCallAttempts:     1,
 		RetryIfErr:                    neverRetry,
 		MaxConnWaitTimeout:            dialTimeout,
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -40,7 +40,7 @@
 
 // blockingCalls returns one call of each kind to an address, by name.
 func blockingCalls(addr string) map[string]func() error {
-	client := NewClient(ClientConfig{PerHost: 4, Total: 32, Idle: time.Second})
+	client := NewClient(ClientConfig{MaxConnectionsPerHost: 4, MaxConnections: 32, IdleTimeout: time.Second})
 	store := &protocol.KVClient{HTTP: client, Addr: addr, Timeout: time.Second}
 	cloud := &protocol.CloudClient{HTTP: client, Addr: addr, Timeout: time.Second}
 	agent := &protocol.AgentClient{HTTP: client, Timeout: time.Second}
@@ -61,7 +61,7 @@
 // connection limit reaches all of them, stays within the limit, and keeps connections open.
 func TestClientConnectionLimit(t *testing.T) {
 	const limit = 16
-	client := NewClient(ClientConfig{PerHost: 2, Total: limit, Idle: 20 * time.Second})
+	client := NewClient(ClientConfig{MaxConnectionsPerHost: 2, MaxConnections: limit, IdleTimeout: 20 * time.Second})
 	for i := range 3 * limit {
 		addr := serveAnswer(t, "")
 		status, _, err := client.Call(http.MethodPost, addr, "/commands", []byte("{}"), time.Second)
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -44,7 +44,7 @@
 
 // unreachableBackend returns a Backend whose services are unreachable.
 func unreachableBackend(loop *Loop, metrics *Metrics) *Backend {
-	client := NewClient(ClientConfig{PerHost: 4, Total: 32, Idle: time.Second})
+	client := NewClient(ClientConfig{MaxConnectionsPerHost: 4, MaxConnections: 32, IdleTimeout: time.Second})
 	return NewBackend(BackendConfig{
 		Loop:        loop,
 		Sockets:     SplitSockets(200, 0),
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -73,24 +73,24 @@
 	m.registry.MustRegister(prometheus.NewGaugeFunc(opts, value))
 }
 
-// Connections exports the number of open connections of a kind.
-func (m *Metrics) Connections(kind string, connections interface{ OpenCount() int }) {
+// RegisterConnections exports the number of open connections of a kind.
+func (m *Metrics) RegisterConnections(kind string, connections interface{ OpenCount() int }) {
 	m.registerGauge("rockrun_connections", "Open connections, by kind.", prometheus.Labels{"kind": kind},
 		func() float64 { return float64(connections.OpenCount()) })
 }
 
-// Limits exports the resource limits of the process from the settings, for comparison with its
+// RegisterLimits exports the resource limits of the process from the settings, for comparison with its
 // usage. A value of 0 means that the limit is not set.
-func (m *Metrics) Limits(cores, memoryMB float64) {
+func (m *Metrics) RegisterLimits(cores, memoryMB float64) {
 	for name, value := range map[string]float64{"cores": cores, "memory_bytes": memoryMB * (1 << 20)} {
 		m.registerGauge("rockrun_limit_"+name, "What the settings allow the process; 0: not said.", nil,
 			func() float64 { return value })
 	}
 }
 
-// Controller exports a controller's counters and gauges. It calls stats from other goroutines
+// RegisterController exports a controller's counters and gauges. It calls stats from other goroutines
 // than the loop.
-func (m *Metrics) Controller(stats func() coordination.Stats) {
+func (m *Metrics) RegisterController(stats func() coordination.Stats) {
 	registerCounter := func(name, help string, count func(coordination.Stats) uint64) {
 		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help},
 			func() float64 { return float64(count(stats())) }))
--- a/internal/transport/metrics_test.go
+++ b/internal/transport/metrics_test.go
@@ -36,8 +36,8 @@
 // the controller's counts and limits are exported under their metric names.
 func TestCallCountsByResult(t *testing.T) {
 	metrics := NewMetrics(NewLimiter(4, 100))
-	metrics.Limits(0.06, 81)
-	metrics.Controller(func() coordination.Stats {
+	metrics.RegisterLimits(0.06, 81)
+	metrics.RegisterController(func() coordination.Stats {
 		return coordination.Stats{Passes: 7, JobsReleased: 3, JobsCancelledByDependency: 2, JobsAwaitingDependencies: 5, OversizedValues: 1}
 	})
 	backend := unreachableBackend(runLoop(t), metrics)
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -21,8 +21,8 @@
 	links map[string]*peerLink // by controller name
 }
 
-// NewPeerCalls returns a PeerClient for controllers at the given addresses, by name.
-func NewPeerCalls(loop *Loop, addrs map[string]string) *PeerClient {
+// NewPeerClient returns a PeerClient for controllers at the given addresses, by name.
+func NewPeerClient(loop *Loop, addrs map[string]string) *PeerClient {
 	p := &PeerClient{loop: loop, links: map[string]*peerLink{}}
 	for controller, addr := range addrs {
 		p.links[controller] = &peerLink{addr: addr, pool: newCallPool(loop, 1)}
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -38,10 +38,10 @@
 
 // PeerServerConfig configures a PeerServer.
 type PeerServerConfig struct {
-	Connections int // maximum open connections; further ones are closed at once
-	Loop        *Loop
-	Handle      PeerHandler
-	Log         *slog.Logger
+	MaxConnections int // maximum open connections; further ones are closed at once
+	Loop           *Loop
+	Handle         PeerHandler
+	Log            *slog.Logger
 }
 
 // PeerServer answers requests of other controllers.
@@ -53,7 +53,7 @@
 // Serve accepts connections until the listener is closed. Connections that are still open then
 // are closed when the peer closes its side, or after peerIdleTimeout without a request.
 func (s *PeerServer) Serve(listener net.Listener) {
-	slots := make(chan struct{}, s.Connections)
+	slots := make(chan struct{}, s.MaxConnections)
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/transport/peer_test.go
+++ b/internal/transport/peer_test.go
@@ -12,7 +12,7 @@
 func servePeers(t *testing.T, loop *Loop, addr string) net.Listener {
 	t.Helper()
 	ln := listen(t, addr)
-	server := NewPeerServer(PeerServerConfig{Connections: 8, Loop: loop, Log: discardLog,
+	server := NewPeerServer(PeerServerConfig{MaxConnections: 8, Loop: loop, Log: discardLog,
 		Handle: func(request protocol.PeerRequest, reply func(protocol.PeerAnswer)) {
 			term := request.Heartbeat.Term + 1
 			reply(protocol.PeerAnswer{Reply: &protocol.PeerHeartbeatReply{Leader: true, Term: term, Shards: []int{2}}})
@@ -41,7 +41,7 @@
 func TestPeerLink(t *testing.T) {
 	loop := runLoop(t)
 	ln := servePeers(t, loop, ephemeralAddr)
-	client := NewPeerCalls(loop, map[string]string{"b": ln.Addr().String()})
+	client := NewPeerClient(loop, map[string]string{"b": ln.Addr().String()})
 	for range 3 {
 		answer, err := sendPeerHeartbeat(client, "b")
 		if err != nil || answer.Reply == nil || answer.Reply.Term != 7 || len(answer.Reply.Shards) != 1 {
@@ -72,7 +72,7 @@
 func TestPeerClientRejectsConcurrentRequest(t *testing.T) {
 	loop := runLoop(t)
 	unresponsive := listen(t, ephemeralAddr) // accepts connections and never answers
-	client := NewPeerCalls(loop, map[string]string{"b": unresponsive.Addr().String()})
+	client := NewPeerClient(loop, map[string]string{"b": unresponsive.Addr().String()})
 	first := make(chan error, 1)
 	client.SendRequest("b", protocol.PeerRequest{}, func(_ protocol.PeerAnswer, err error) { first <- err })
 	if _, err := sendPeerHeartbeat(client, "b"); !errors.Is(err, protocol.ErrNotExecuted) {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -24,11 +24,11 @@
 
 // ServerConfig configures a Server.
 type ServerConfig struct {
-	Loop       *Loop
-	Controller *coordination.Controller
-	Limiter    *Limiter
-	Metrics    *Metrics
-	Sockets    int // maximum open connections
+	Loop           *Loop
+	Controller     *coordination.Controller
+	Limiter        *Limiter
+	Metrics        *Metrics
+	MaxConnections int // maximum open connections
 }
 
 // Server is the HTTP interface for users, agents and operators.
@@ -41,11 +41,11 @@
 // NewServer returns the Server of a controller with all its routes.
 func NewServer(config ServerConfig) *Server {
 	server := &Server{ServerConfig: config, publicListener: &Listener{}}
-	server.Metrics.Connections("public", server.publicListener)
+	server.Metrics.RegisterConnections("public", server.publicListener)
 	server.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		BodyLimit:             maxRequestBody,
-		Concurrency:           server.Sockets,
+		Concurrency:           server.MaxConnections,
 		ReadTimeout:           readTimeout,
 		WriteTimeout:          writeTimeout,
 		IdleTimeout:           readTimeout,
@@ -89,7 +89,7 @@
 // rises when the other controllers fail and all their agents and users connect to this one.
 func (s *Server) shedConnections(ctx *fiber.Ctx) error {
 	err := ctx.Next()
-	if !keepAliveAllowed(s.publicListener.OpenCount(), s.Sockets) {
+	if !keepAliveAllowed(s.publicListener.OpenCount(), s.MaxConnections) {
 		ctx.Context().SetConnectionClose()
 	}
 	return err
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -60,10 +60,10 @@
 	backend := unreachableBackend(loop, metrics)
 	config := singleControllerConfig(loop)
 	config.Store, config.Cloud, config.Agents = backend.KVStore, backend.Cloud, backend.Agents
-	config.Peers = NewPeerCalls(loop, nil)
+	config.Peers = NewPeerClient(loop, nil)
 	controller := coordination.New(config)
 	addr, shutdown := serve(t, NewServer(ServerConfig{
-		Loop: loop, Controller: controller, Limiter: limiter, Metrics: metrics, Sockets: 100,
+		Loop: loop, Controller: controller, Limiter: limiter, Metrics: metrics, MaxConnections: 100,
 	}))
 	loop.Post(controller.Start)
 	for _, exchange := range []httpExchange{
@@ -108,7 +108,7 @@
 	loop := runLoop(t)
 	limiter := NewLimiter(4, 100)
 	server := NewServer(ServerConfig{
-		Loop: loop, Controller: coordination.New(singleControllerConfig(loop)), Limiter: limiter, Metrics: NewMetrics(limiter), Sockets: sockets,
+		Loop: loop, Controller: coordination.New(singleControllerConfig(loop)), Limiter: limiter, Metrics: NewMetrics(limiter), MaxConnections: sockets,
 	})
 	addr, shutdown := serve(t, server)
 	closedCount := 0
