--- a/internal/scenario/agent.go
+++ b/internal/scenario/agent.go
@@ -7,62 +7,62 @@
 	"rockrun/internal/protocol"
 )
 
-// fakeAgent is the stand-in for a machine's agent.
+// fakeAgent simulates the agent on a machine.
 type fakeAgent struct {
 	sim         *simulation
 	machine     *fakeMachine
 	machineType *protocol.MachineType
 	dead        bool
 	tasks       []*agentTask
-	images      map[string]bool // that are cached here
+	images      map[string]bool // cached on the machine
 
 	agentSession
 	agentFaults
 }
 
-// agentSession is what an agent knows of its controllers, and of its heartbeats to them.
+// agentSession is the state of an agent's session with its controllers.
 type agentSession struct {
 	epoch        uint64
 	sequence     uint64
 	fencingToken uint64
-	leaseFrom    time.Duration // when the last answered heartbeat was sent
+	leaseStart   time.Duration // send time of the last accepted heartbeat, or start of the agent
 
-	controller      int // the host that it sends to
-	inFlight        bool
-	lastHeartbeat   time.Duration
-	heartbeatWanted bool // soon, as something has changed
+	controller         int  // index of the host that receives the heartbeats
+	inFlight           bool // a heartbeat is unanswered
+	lastHeartbeat      time.Duration
+	heartbeatRequested bool // an early heartbeat is scheduled because the state changed
 }
 
-// agentFaults are the faults of a machine.
+// agentFaults are the faults injected into a machine.
 type agentFaults struct {
-	partitioned       bool     // no message gets through
-	heldBack          []func() // commands and heartbeats that arrive once that ends
-	inboundPartition  bool     // its heartbeats arrive, but neither answers nor commands reach it
-	outboundPartition bool     // it reaches no controller; commands reach it
-	faulty            bool     // whatever runs here fails
-	slowdown          float64  // how many times longer tasks take
-	terminatedAt      time.Duration
+	partitioned       bool          // heartbeats and commands are queued, answers are lost
+	queuedMessages    []func()      // delivered when the partition or pause ends
+	inboundPartition  bool          // heartbeats arrive, but answers and commands are lost
+	outboundPartition bool          // heartbeats are lost; commands arrive
+	faulty            bool          // every task fails
+	slowdown          float64       // factor on the run time of tasks
+	terminatedAt      time.Duration // announced termination of the machine; 0: none
 	pausedUntil       time.Duration
 }
 
-// newAgent starts the agent on a machine that has booted.
+// newAgent starts the agent of a booted machine.
 func newAgent(sim *simulation, machine *fakeMachine, machineType *protocol.MachineType) {
 	a := &fakeAgent{sim: sim, machine: machine, machineType: machineType, images: map[string]bool{}}
 	a.slowdown = 1
-	a.epoch, a.leaseFrom, a.controller = 1, sim.now, sim.rand.IntN(len(sim.hosts))
+	a.epoch, a.leaseStart, a.controller = 1, sim.now, sim.rand.IntN(len(sim.hosts))
 	sim.agents[machine.Name] = a
 	a.sendHeartbeat()
 	a.watchLease()
 }
 
-// isPaused reports whether the machine stands still now.
+// isPaused reports whether the machine is paused now.
 func (a *fakeAgent) isPaused() bool { return a.sim.now < a.pausedUntil }
 
-// pause lets the machine stand still for a while: its tasks don't go on, it sends
-// nothing, and what is sent to it is read afterwards. Its lease runs on.
-func (a *fakeAgent) pause(lasting time.Duration) {
-	a.pausedUntil = a.sim.now + lasting
-	a.sim.after(lasting, func() {
+// pause suspends the machine: tasks do not progress, no heartbeat is sent, and incoming
+// commands are delivered when the pause ends. The lease of the agent continues to run out.
+func (a *fakeAgent) pause(duration time.Duration) {
+	a.pausedUntil = a.sim.now + duration
+	a.sim.after(duration, func() {
 		if a.dead || a.isPaused() {
 			return
 		}
@@ -72,31 +72,31 @@
 	})
 }
 
-// heal ends a partition and delivers what was held back.
+// heal ends a partition and delivers the queued messages.
 func (a *fakeAgent) heal() {
 	a.partitioned = false
-	for _, deliver := range a.heldBack {
+	for _, deliver := range a.queuedMessages {
 		deliver()
 	}
-	a.heldBack = nil
+	a.queuedMessages = nil
 }
 
-// shutDown ends the machine with all that runs on it.
+// shutDown removes the machine and its tasks from the simulation.
 func (a *fakeAgent) shutDown() {
 	a.dead = true
-	a.dropTasks()
+	a.removeAllTasks()
 	delete(a.sim.agents, a.machine.Name)
 }
 
-// restart ends everything on the machine; its agent is back at once.
+// restart terminates all tasks and immediately starts a new agent epoch.
 func (a *fakeAgent) restart() {
-	a.dropTasks()
+	a.removeAllTasks()
 	a.epoch++
-	a.leaseFrom = a.sim.now
+	a.leaseStart = a.sim.now
 	a.wantHeartbeat()
 }
 
-func (a *fakeAgent) dropTasks() {
+func (a *fakeAgent) removeAllTasks() {
 	for _, task := range a.tasks {
 		a.sim.checker.taskLeft(a, task)
 	}
@@ -106,19 +106,19 @@
 // watchLease restarts the agent whenever its lease has expired.
 func (a *fakeAgent) watchLease() {
 	lease := a.sim.cluster.Agents.Lease()
-	a.sim.after(max(a.leaseFrom+lease-a.sim.now, time.Millisecond), func() {
+	a.sim.after(max(a.leaseStart+lease-a.sim.now, time.Millisecond), func() {
 		if a.dead {
 			return
 		}
-		if a.sim.now >= a.leaseFrom+lease {
+		if a.sim.now >= a.leaseStart+lease {
 			a.restart()
 		}
 		a.watchLease()
 	})
 }
 
-// execute carries out commands that a controller sends, unless they come with a lower
-// token or for another epoch.
+// execute applies a controller's commands and returns the agent's next heartbeat. Commands
+// with a lower fencing token or for another epoch are rejected.
 func (a *fakeAgent) execute(request protocol.CommandRequest) (heartbeat *protocol.AgentHeartbeat, executed bool) {
 	if request.FencingToken < a.fencingToken || request.Epoch != a.epoch {
 		return a.heartbeat(), false
@@ -128,7 +128,7 @@
 	return a.heartbeat(), true
 }
 
-// raiseToken takes a higher token over and shows it soon.
+// raiseToken adopts a higher fencing token and requests a heartbeat that reports it.
 func (a *fakeAgent) raiseToken(token uint64) {
 	if token > a.fencingToken {
 		a.fencingToken = token
@@ -136,8 +136,9 @@
 	}
 }
 
-// find looks up an attempt on the machine; without one it returns -1 and nil.
-func (a *fakeAgent) find(name string, attempt uint64) (int, *agentTask) {
+// findAttempt returns the index and the state of an attempt, or -1 and nil if the machine
+// does not have it.
+func (a *fakeAgent) findAttempt(name string, attempt uint64) (int, *agentTask) {
 	i := slices.IndexFunc(a.tasks, func(t *agentTask) bool { return t.Task == name && t.Attempt == attempt })
 	if i < 0 {
 		return -1, nil
@@ -145,7 +146,7 @@
 	return i, a.tasks[i]
 }
 
-// mayRun reports whether the machine has an attempt at a task that has not ended.
+// mayRun reports whether an attempt of a task on the machine has not ended.
 func (a *fakeAgent) mayRun(name string) bool {
 	return slices.ContainsFunc(a.tasks, func(t *agentTask) bool { return t.Task == name && t.State != protocol.TaskEnded })
 }
--- a/internal/scenario/agent_heartbeat.go
+++ b/internal/scenario/agent_heartbeat.go
@@ -9,15 +9,15 @@
 	"rockrun/internal/protocol"
 )
 
-// Times of an agent's heartbeats, by the protocol.
+// Timing of an agent's heartbeats as defined by the protocol.
 const (
-	answerTimeout       = 4 * time.Second
-	redirectPause       = 200 * time.Millisecond
-	nextControllerPause = time.Second
-	minHeartbeatPause   = 500 * time.Millisecond // between heartbeats, however much changes
+	answerTimeout        = 4 * time.Second
+	redirectDelay        = 200 * time.Millisecond
+	nextControllerDelay  = time.Second
+	minHeartbeatInterval = 500 * time.Millisecond // holds even if the state changes more often
 )
 
-// heartbeat is a new heartbeat with what the agent has to say.
+// heartbeat returns a heartbeat with the agent's state and the next sequence number.
 func (a *fakeAgent) heartbeat() *protocol.AgentHeartbeat {
 	a.sequence++
 	heartbeat := &protocol.AgentHeartbeat{
@@ -31,8 +31,8 @@
 		FencingToken: a.fencingToken,
 	}
 	if a.terminatedAt > 0 {
-		left := (a.terminatedAt - a.sim.now).Seconds()
-		heartbeat.TerminationSeconds = &left
+		remaining := (a.terminatedAt - a.sim.now).Seconds()
+		heartbeat.TerminationSeconds = &remaining
 	}
 	for _, task := range a.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, task.TaskStatus)
@@ -40,52 +40,53 @@
 	return heartbeat
 }
 
-// wantHeartbeat asks for a heartbeat soon.
+// wantHeartbeat schedules a heartbeat as soon as minHeartbeatInterval allows.
 func (a *fakeAgent) wantHeartbeat() {
-	if a.heartbeatWanted || a.dead {
+	if a.heartbeatRequested || a.dead {
 		return
 	}
-	a.heartbeatWanted = true
-	a.sim.after(a.lastHeartbeat+minHeartbeatPause-a.sim.now, a.sendHeartbeat)
+	a.heartbeatRequested = true
+	a.sim.after(a.lastHeartbeat+minHeartbeatInterval-a.sim.now, a.sendHeartbeat)
 }
 
-// sendHeartbeat sends a heartbeat, unless one is under way, and sees to the next one.
+// sendHeartbeat sends a heartbeat unless one is already in flight. Its exchange schedules
+// the next heartbeat.
 func (a *fakeAgent) sendHeartbeat() {
 	if a.dead || a.inFlight || a.isPaused() {
 		return
 	}
-	a.inFlight, a.heartbeatWanted, a.lastHeartbeat = true, false, a.sim.now
-	call := &exchange{agent: a, sentAt: a.sim.now, epoch: a.epoch}
+	a.inFlight, a.heartbeatRequested, a.lastHeartbeat = true, false, a.sim.now
+	call := &heartbeatExchange{agent: a, sentAt: a.sim.now, epoch: a.epoch}
 	heartbeat := a.heartbeat()
 	receiver := a.sim.hosts[a.controller]
-	a.sim.after(answerTimeout, call.unanswered)
+	a.sim.after(answerTimeout, call.handleFailure)
 	if receiver.process == nil {
-		a.sim.after(a.sim.latency(), call.unanswered)
+		a.sim.after(a.sim.latency(), call.handleFailure)
 		return
 	}
 	if a.outboundPartition {
-		return // it can't even connect
+		return // the connection fails; the exchange ends after answerTimeout
 	}
-	a.sim.copyHeartbeat(heartbeat)
+	a.sim.injectHeartbeatCopies(heartbeat)
 	process := receiver.process
 	deliver := func() { call.deliver(process, heartbeat) }
 	if a.partitioned {
-		a.heldBack = append(a.heldBack, deliver)
+		a.queuedMessages = append(a.queuedMessages, deliver)
 		return
 	}
 	a.sim.after(a.sim.latency(), deliver)
 }
 
-// exchange is a heartbeat under way.
-type exchange struct {
-	agent  *fakeAgent
-	sentAt time.Duration
-	epoch  uint64
-	over   bool
+// heartbeatExchange is a heartbeat that waits for its answer.
+type heartbeatExchange struct {
+	agent    *fakeAgent
+	sentAt   time.Duration
+	epoch    uint64
+	finished bool
 }
 
-// deliver hands the heartbeat to a controller's process.
-func (x *exchange) deliver(process *process, heartbeat *protocol.AgentHeartbeat) {
+// deliver passes the heartbeat to a controller process and returns its answer to the agent.
+func (x *heartbeatExchange) deliver(process *process, heartbeat *protocol.AgentHeartbeat) {
 	agent, sim := x.agent, x.agent.sim
 	if process.dead || !sim.reachable(process.host, agent) {
 		return
@@ -95,77 +96,79 @@
 			sim.trace.answered(process.host.name, kindHeartbeatAnswer, answer)
 			sim.after(sim.latency(), func() {
 				if !agent.partitioned && !agent.inboundPartition && sim.reachable(process.host, agent) {
-					x.answered(answer)
+					x.handleAnswer(answer)
 				}
 			})
 		})
 	})()
 }
 
-// answered takes in the answer and sees to the next heartbeat.
-func (x *exchange) answered(answer api.Answer) { x.finish(answer, true) }
+// handleAnswer processes an answer and schedules the next heartbeat.
+func (x *heartbeatExchange) handleAnswer(answer api.Answer) { x.finish(answer, true) }
 
-// unanswered takes in that no answer came and sees to the next heartbeat.
-func (x *exchange) unanswered() { x.finish(api.Answer{}, false) }
+// handleFailure records that the heartbeat got no answer and schedules the next heartbeat.
+func (x *heartbeatExchange) handleFailure() { x.finish(api.Answer{}, false) }
 
-func (x *exchange) finish(answer api.Answer, came bool) {
+func (x *heartbeatExchange) finish(answer api.Answer, answered bool) {
 	agent, sim := x.agent, x.agent.sim
-	if x.over || agent.dead || agent.isPaused() || sim.now-x.sentAt > answerTimeout+time.Millisecond {
-		return // it waits no longer for this answer
+	if x.finished || agent.dead || agent.isPaused() || sim.now-x.sentAt > answerTimeout+time.Millisecond {
+		return // the agent no longer waits for this answer
 	}
-	x.over, agent.inFlight = true, false
-	pause := x.pauseAfter(answer, came)
-	if agent.heartbeatWanted {
-		agent.heartbeatWanted = false
+	x.finished, agent.inFlight = true, false
+	delay := x.processAnswer(answer, answered)
+	if agent.heartbeatRequested {
+		agent.heartbeatRequested = false
 		agent.wantHeartbeat()
 	}
 	sequence := agent.sequence
-	sim.after(pause, func() {
+	sim.after(delay, func() {
 		if agent.sequence == sequence || sim.now-agent.lastHeartbeat >= sim.cluster.Agents.HeartbeatInterval()/2 {
 			agent.sendHeartbeat()
 		}
 	})
 }
 
-// pauseAfter takes an answer in and returns how long to wait until the next heartbeat.
-func (x *exchange) pauseAfter(answer api.Answer, came bool) time.Duration {
+// processAnswer applies an answer, or the lack of one, and returns the delay until the next
+// heartbeat.
+func (x *heartbeatExchange) processAnswer(answer api.Answer, answered bool) time.Duration {
 	agent, sim := x.agent, x.agent.sim
 	untilNext := time.Duration((0.75 + 0.5*sim.rand.Float64()) * float64(sim.cluster.Agents.HeartbeatInterval()))
 	switch {
-	case came && answer.Status == http.StatusOK:
-		x.accept(answer.Body.(protocol.AgentHeartbeatAnswer))
+	case answered && answer.Status == http.StatusOK:
+		x.applyAnswer(answer.Body.(protocol.AgentHeartbeatAnswer))
 		return untilNext
-	case came && answer.Status == http.StatusMisdirectedRequest:
-		if agent.follow(answer.Body.(protocol.Redirect).Controller) {
-			return redirectPause
+	case answered && answer.Status == http.StatusMisdirectedRequest:
+		if agent.redirectTo(answer.Body.(protocol.Redirect).Controller) {
+			return redirectDelay
 		}
 	default:
-		agent.nextController()
+		agent.selectNextController()
 	}
-	return nextControllerPause
+	return nextControllerDelay
 }
 
-// accept carries out an answer 200, unless it is of a lower token or another epoch.
-func (x *exchange) accept(answer protocol.AgentHeartbeatAnswer) {
+// applyAnswer renews the lease and executes the commands of an answer with status 200. An
+// answer with a lower fencing token or for an earlier epoch of the agent is ignored.
+func (x *heartbeatExchange) applyAnswer(answer protocol.AgentHeartbeatAnswer) {
 	agent := x.agent
 	if answer.FencingToken < agent.fencingToken || x.epoch != agent.epoch {
 		return
 	}
 	agent.raiseToken(answer.FencingToken)
-	agent.leaseFrom = x.sentAt
+	agent.leaseStart = x.sentAt
 	agent.apply(answer.Commands)
 }
 
-// follow turns to the controller named and returns true, or to the next where that is
-// none other.
-func (a *fakeAgent) follow(controller string) bool {
+// redirectTo selects the named controller and returns true. If the controller is unknown or
+// already selected, redirectTo selects the next controller and returns false.
+func (a *fakeAgent) redirectTo(controller string) bool {
 	i := slices.IndexFunc(a.sim.hosts, func(h *host) bool { return h.name == controller })
 	if i < 0 || i == a.controller {
-		a.nextController()
+		a.selectNextController()
 		return false
 	}
 	a.controller = i
 	return true
 }
 
-func (a *fakeAgent) nextController() { a.controller = (a.controller + 1) % len(a.sim.hosts) }
+func (a *fakeAgent) selectNextController() { a.controller = (a.controller + 1) % len(a.sim.hosts) }
--- a/internal/scenario/agent_link.go
+++ b/internal/scenario/agent_link.go
@@ -6,25 +6,26 @@
 	"rockrun/internal/protocol"
 )
 
-// commandFaults are what happens to commands on their way to agents.
+// commandFaults are the faults injected into command requests. Each share is a probability
+// per request.
 type commandFaults struct {
-	duplicateShare float64 // of which a second copy arrives late
+	duplicateShare float64 // executed a second time after a delay
 
-	delayedShare float64 // that are carried out late, unanswered
-	least, most  time.Duration
+	delayedShare float64       // executed late and never answered
+	least, most  time.Duration // bounds of the delay of delayedShare
 
-	latencyShare float64 // that are held up on their way there or back
+	latencyShare float64 // delayed on the way to the agent, or in their answer
 	maxLatency   time.Duration
 }
 
 const (
-	// commandTimeout is how long a controller waits for the answer to commands.
+	// commandTimeout is how long a controller waits for the answer to a command request.
 	commandTimeout = 2 * time.Second
-	// maxDuplicateDelay is how long after commands their copy arrives at the latest.
+	// maxDuplicateDelay bounds the delay between a command request and its duplicate.
 	maxDuplicateDelay = 20 * time.Second
 )
 
-// agentLink is a process's way to the agents.
+// agentLink connects a controller process to the agents.
 type agentLink struct{ process *process }
 
 // Execute implements coordination.Agents.
@@ -37,8 +38,8 @@
 	case agent == nil || !sim.reachable(l.process.host, agent):
 		delivery.fail()
 	case agent.partitioned || agent.isPaused():
-		// Held back, and carried out once that ends, if the machine is still there.
-		agent.heldBack = append(agent.heldBack, func() {
+		// Queued until the partition or pause ends, and executed if the machine still exists.
+		agent.queuedMessages = append(agent.queuedMessages, func() {
 			if !agent.dead {
 				agent.execute(request)
 			}
@@ -52,7 +53,7 @@
 	}
 }
 
-// agentAt finds the agent with an address, or returns nil.
+// agentAt returns the agent with an address, or nil if there is none.
 func (s *simulation) agentAt(address string) *fakeAgent {
 	for _, agent := range s.agents {
 		if agent.machine.Address == address {
@@ -62,22 +63,22 @@
 	return nil
 }
 
-// commandDelivery is a request with commands on its way to an agent.
+// commandDelivery is a command request in transit to an agent.
 type commandDelivery struct {
-	sim       *simulation
-	sender    *process
-	request   protocol.CommandRequest
-	done      func(*protocol.AgentHeartbeat, bool, error)
-	abandoned bool // the sender waits no longer
+	sim      *simulation
+	sender   *process
+	request  protocol.CommandRequest
+	done     func(*protocol.AgentHeartbeat, bool, error)
+	timedOut bool // the delays exceed commandTimeout, so the sender ignores the answer
 }
 
-// fail lets the sender hear after a while that there was no answer.
+// fail reports an unknown outcome to the sender after commandTimeout.
 func (d *commandDelivery) fail() {
 	d.sim.after(commandTimeout, d.sender.guard(func() { d.done(nil, false, protocol.ErrOutcomeUnknown) }))
 }
 
-// deliverLate lets the commands arrive late. They are carried out if token and epoch still
-// match.
+// deliverLate delivers the commands after a delay. The agent still checks their fencing
+// token and epoch.
 func (d *commandDelivery) deliverLate(agent *fakeAgent) {
 	delay := d.sim.randomBetween(d.sim.network.commands.least, d.sim.network.commands.most)
 	d.sim.faults.note("delayed-command", delay)
@@ -88,31 +89,31 @@
 	})
 }
 
-// deliver sends the commands. They or their answer may be held up on the way, and the
-// sender may give up meanwhile.
+// deliver sends the commands. If the injected delay of the request or of its answer exceeds
+// commandTimeout, the sender times out first.
 func (d *commandDelivery) deliver(agent *fakeAgent) {
 	sim := d.sim
-	there, back := sim.latency(), time.Duration(0)
+	requestDelay, answerDelay := sim.latency(), time.Duration(0)
 	if sim.network.commands.latencyShare > 0 && sim.rand.Float64() < sim.network.commands.latencyShare {
 		sim.faults.note("command-latency", sim.network.commands.maxLatency)
 		delay := sim.randomBelow(sim.network.commands.maxLatency)
 		if sim.rand.IntN(2) == 0 {
-			there += delay
+			requestDelay += delay
 		} else {
-			back += delay
+			answerDelay += delay
 		}
 	}
-	d.abandoned = there+back > commandTimeout
-	if d.abandoned {
+	d.timedOut = requestDelay+answerDelay > commandTimeout
+	if d.timedOut {
 		d.fail()
 	}
-	sim.after(there, func() { d.arrive(agent, back) })
+	sim.after(requestDelay, func() { d.arrive(agent, answerDelay) })
 }
 
-// arrive carries the commands out, and answers after some more time than a message takes.
-func (d *commandDelivery) arrive(agent *fakeAgent, extra time.Duration) {
+// arrive executes the commands and answers after extraDelay and the latency of a message.
+func (d *commandDelivery) arrive(agent *fakeAgent, extraDelay time.Duration) {
 	if agent.dead || agent.partitioned || agent.inboundPartition || agent.isPaused() {
-		if !d.abandoned {
+		if !d.timedOut {
 			d.fail()
 		}
 		return
@@ -126,7 +127,7 @@
 			}
 		})
 	}
-	if !d.abandoned {
-		sim.after(extra+sim.latency(), d.sender.guard(func() { d.done(heartbeat, executed, nil) }))
+	if !d.timedOut {
+		sim.after(extraDelay+sim.latency(), d.sender.guard(func() { d.done(heartbeat, executed, nil) }))
 	}
 }
--- a/internal/scenario/agent_tasks.go
+++ b/internal/scenario/agent_tasks.go
@@ -7,29 +7,29 @@
 	"rockrun/internal/protocol"
 )
 
-// agentTask is an attempt on a machine.
+// agentTask is an attempt of a task on a machine.
 type agentTask struct {
 	protocol.TaskStatus
-	spec       *protocol.JobSpec // nil: of a job that nobody submitted
-	timerRound int               // timers of an earlier state are ignored
+	spec            *protocol.JobSpec // nil if the job was never submitted
+	timerGeneration int               // invalidates the timers of earlier states
 }
 
-// active reports whether a task has its image and has not ended.
+// active reports whether the attempt has its image and has not ended.
 func (t *agentTask) active() bool {
 	return t.State == protocol.TaskRunning || t.State == protocol.TaskSaving
 }
 
-// capacityTolerance is how much more than a machine has may be used, as sums of fractions
-// are not exact.
+// capacityTolerance is the excess over a machine's capacity that is accepted, because
+// floating-point sums are inexact.
 const capacityTolerance = 1e-6
 
-// failsAfterSeconds is how long a task runs that fails.
-const failsAfterSeconds = 1
+// failureDelaySeconds is the run time of a failing task.
+const failureDelaySeconds = 1
 
-// apply carries out commands.
+// apply executes commands.
 func (a *fakeAgent) apply(commands []protocol.Command) {
 	for _, command := range commands {
-		i, task := a.find(command.Task, command.Attempt)
+		i, task := a.findAttempt(command.Task, command.Attempt)
 		switch command.Verb {
 		case protocol.VerbStart:
 			if task == nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// start begins an attempt, or ends it at once where the machine can't take it.
+// start creates an attempt. If the machine rejects the attempt, it ends immediately.
 func (a *fakeAgent) start(command protocol.Command) {
 	task := &agentTask{TaskStatus: protocol.TaskStatus{Task: command.Task, Attempt: command.Attempt}}
 	id, _, err := protocol.ParseTaskName(command.Task)
@@ -58,7 +58,7 @@
 		return
 	}
 	task.spec = &job.spec
-	if cause := a.refusal(task); cause != "" {
+	if cause := a.rejectionCause(task); cause != "" {
 		a.end(task, cause)
 		return
 	}
@@ -71,8 +71,9 @@
 	a.afterSeconds(task, fetch, func() { a.run(task, job) })
 }
 
-// refusal says why the machine can't take an attempt that was just added, or nothing.
-func (a *fakeAgent) refusal(task *agentTask) string {
+// rejectionCause returns why the machine rejects an attempt that is already in its list, or
+// "" if the machine accepts it.
+func (a *fakeAgent) rejectionCause(task *agentTask) string {
 	cpus, memory := task.spec.CPUs, task.spec.MemoryGB
 	for _, other := range a.tasks {
 		if other == task || other.State == protocol.TaskEnded {
@@ -90,7 +91,7 @@
 	return ""
 }
 
-// run lets a task run that has its image.
+// run starts a task whose image is fetched.
 func (a *fakeAgent) run(task *agentTask, job *userJob) {
 	checker := a.sim.checker
 	a.images[task.spec.Image] = true
@@ -98,7 +99,7 @@
 	a.setState(task, protocol.TaskRunning)
 	switch {
 	case a.faulty || job.failsEverywhere:
-		a.afterSeconds(task, failsAfterSeconds, func() { a.end(task, protocol.CauseError) })
+		a.afterSeconds(task, failureDelaySeconds, func() { a.end(task, protocol.CauseError) })
 	case checker.completedTasks[task.Task]:
 		a.end(task, protocol.CauseDone)
 	case task.spec.Kind != protocol.KindService:
@@ -106,7 +107,7 @@
 	}
 }
 
-// complete ends a task that is done.
+// complete ends an attempt whose task is done.
 func (a *fakeAgent) complete(task *agentTask, job *userJob) {
 	a.sim.checker.completedTasks[task.Task] = true
 	a.end(task, protocol.CauseDone)
@@ -116,8 +117,8 @@
 	}
 }
 
-// stop ends a task that has not ended, once its progress is saved where the time that it
-// is given suffices for that.
+// stop ends an attempt. A running task that can save a checkpoint within its grace period
+// saves it first. A task that is already saving ends early only with a grace period of 0.
 func (a *fakeAgent) stop(task *agentTask, graceSeconds *float64) {
 	savable := task.State == protocol.TaskRunning && task.spec.CheckpointSeconds > 0
 	switch {
@@ -132,12 +133,12 @@
 	}
 }
 
-// end lets a task end, with its cause.
+// end moves an attempt to the ended state with a cause.
 func (a *fakeAgent) end(task *agentTask, cause string) {
 	if task.active() {
 		a.sim.checker.taskLeft(a, task)
 	}
-	task.timerRound++
+	task.timerGeneration++
 	task.Cause = cause
 	a.setState(task, protocol.TaskEnded)
 }
@@ -147,15 +148,15 @@
 	a.wantHeartbeat()
 }
 
-// afterSeconds calls back once a task has gone on for so long, unless its state changes
-// before. A pause of the machine holds it up.
+// afterSeconds schedules a callback for an attempt. The callback is dropped if the attempt
+// changes its state or the agent restarts first, and delayed while the machine is paused.
 func (a *fakeAgent) afterSeconds(task *agentTask, seconds float64, callback func()) {
-	task.timerRound++
-	round, epoch := task.timerRound, a.epoch
+	task.timerGeneration++
+	generation, epoch := task.timerGeneration, a.epoch
 	var run func()
 	run = func() {
 		switch {
-		case a.dead || task.timerRound != round || epoch != a.epoch:
+		case a.dead || task.timerGeneration != generation || epoch != a.epoch:
 		case a.isPaused():
 			a.sim.after(a.pausedUntil-a.sim.now+time.Millisecond, run)
 		default:
--- a/internal/scenario/clock.go
+++ b/internal/scenario/clock.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// clock is virtual time: a queue of events that are carried out in the order of their
-// times, and in the order in which they were scheduled where these are equal.
+// clock is a virtual clock with an event queue. Events run in the order of their due times,
+// and events with equal due times in the order in which they were scheduled.
 type clock struct {
-	now       time.Duration // since the beginning of the scenario
-	scheduled int           // events so far
+	now       time.Duration // since the start of the scenario
+	scheduled int           // number of events scheduled so far
 	queue     eventQueue
 }
 
-// after schedules what to do once a delay has passed, which counts as none if negative.
-func (c *clock) after(delay time.Duration, do func()) {
+// after schedules a callback. A negative delay counts as zero.
+func (c *clock) after(delay time.Duration, callback func()) {
 	c.scheduled++
-	heap.Push(&c.queue, event{due: c.now + max(delay, 0), number: c.scheduled, callback: do})
+	heap.Push(&c.queue, event{due: c.now + max(delay, 0), sequence: c.scheduled, callback: callback})
 }
 
-// run carries out all events until the given time.
+// run executes all events due up to and including a time, and advances the clock to it.
 func (c *clock) run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].due <= until {
 		next := c.queue[0]
@@ -30,14 +30,14 @@
 	c.now = until
 }
 
-// event is something that will happen.
+// event is a scheduled callback.
 type event struct {
 	due      time.Duration
-	number   int
+	sequence int
 	callback func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a min-heap of events, ordered by due time and sequence.
 type eventQueue []event
 
 // Len implements heap.Interface.
@@ -45,7 +45,7 @@
 
 // Less implements heap.Interface.
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].due < q[j].due || q[i].due == q[j].due && q[i].number < q[j].number
+	return q[i].due < q[j].due || q[i].due == q[j].due && q[i].sequence < q[j].sequence
 }
 
 // Swap implements heap.Interface.
--- a/internal/scenario/clock_test.go
+++ b/internal/scenario/clock_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// TestClockOrder: events come in the order of their times, those of one time in the order
-// in which they were scheduled, and none after the end.
+// TestClockOrder checks that events run in the order of their due times, that events with
+// equal due times run in scheduling order, and that events after the end do not run.
 func TestClockOrder(t *testing.T) {
 	var c clock
-	var seen []string
-	note := func(name string) func() {
-		return func() { seen = append(seen, name+" "+c.now.String()) }
+	var executed []string
+	record := func(name string) func() {
+		return func() { executed = append(executed, name+" "+c.now.String()) }
 	}
-	c.after(3*time.Second, note("third"))
+	c.after(3*time.Second, record("third"))
 	c.after(time.Second, func() {
-		note("first")()
-		c.after(-time.Second, note("at once"))
+		record("first")()
+		c.after(-time.Second, record("negative delay"))
 	})
-	c.after(time.Second, note("second"))
-	c.after(5*time.Second, note("last"))
-	c.after(6*time.Second, note("never"))
+	c.after(time.Second, record("second"))
+	c.after(5*time.Second, record("at the end"))
+	c.after(6*time.Second, record("after the end"))
 	c.run(5 * time.Second)
-	want := []string{"first 1s", "second 1s", "at once 1s", "third 3s", "last 5s"}
-	if !slices.Equal(seen, want) || c.now != 5*time.Second {
-		t.Errorf("at %s: %q, want %q", c.now, seen, want)
+	want := []string{"first 1s", "second 1s", "negative delay 1s", "third 3s", "at the end 5s"}
+	if !slices.Equal(executed, want) || c.now != 5*time.Second {
+		t.Errorf("at %s: %q, want %q", c.now, executed, want)
 	}
 }
--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -8,25 +8,25 @@
 	"rockrun/internal/protocol"
 )
 
-// machinePool is a kind of machines that the cloud has a number of.
+// machinePool is a machine type, zone and market with limited capacity.
 type machinePool struct {
 	machineType string
 	zone        string
-	spot        bool
+	spot        bool // false: on-demand
 }
 
-// fakeCloud is the stand-in for the cloud.
+// fakeCloud simulates the cloud provider.
 type fakeCloud struct {
 	sim      *simulation
 	types    []protocol.MachineType
 	capacity map[machinePool]int
-	machines []*fakeMachine      // all that there ever were, in the order of their creation
-	requests map[string][]string // names of the machines that were created, by request
+	machines []*fakeMachine      // including deleted machines, in order of creation
+	requests map[string][]string // names of created machines by request ID
 
 	calls           int
 	outage          bool
-	lostAnswerShare float64 // of answers that are lost, the request being carried out
-	bootFailures    int     // so many of the next machines never boot
+	lostAnswerShare float64 // of answers that are lost although the request was executed
+	bootFailures    int     // number of further machines that never boot
 }
 
 // fakeMachine is a machine that the cloud created.
@@ -38,20 +38,23 @@
 	stages    []stageChange
 }
 
-// stageChange is the stage of a machine from a time on. Lists show it after a lag.
+// stageChange is the start of a machine's stage. Lists show the stage after a lag.
 type stageChange struct {
 	since time.Duration
-	stage string // stageDeleted or one of protocol's
+	stage string // stageDeleted or a machine stage of package protocol
 }
 
 const (
 	stageDeleted = ""
-	// crashNoticeDelay is how long after a crash of a machine the cloud notices.
+	// crashNoticeDelay is the time from a machine crash until the cloud reports the machine
+	// as failed.
 	crashNoticeDelay = 30 * time.Second
-	// Machines boot within this range of the time that their type states.
+	// The boot time of a machine is the nominal boot time of its type, scaled by a random
+	// factor of minBootFactor to minBootFactor+bootFactorRange.
 	minBootFactor   = 0.6
 	bootFactorRange = 0.9
-	// Lists are this range of the stated lag old.
+	// The age of a machine list is the configured lag, scaled by a random factor of
+	// minLagFactor to minLagFactor+lagFactorRange.
 	minLagFactor   = 0.5
 	lagFactorRange = 1.5
 )
@@ -60,7 +63,7 @@
 	m.stages = append(m.stages, stageChange{since: now, stage: stage})
 }
 
-// stageAt is the stage of a machine at a time, or stageDeleted before its creation.
+// stageAt returns the stage of a machine at a time, stageDeleted before its creation.
 func (m *fakeMachine) stageAt(when time.Duration) string {
 	stage := stageDeleted
 	for _, change := range m.stages {
@@ -71,7 +74,7 @@
 	return stage
 }
 
-// find looks a machine up by its name, or returns nil.
+// find returns the machine with a name, or nil if there is none.
 func (c *fakeCloud) find(name string) *fakeMachine {
 	i := slices.IndexFunc(c.machines, func(m *fakeMachine) bool { return m.Name == name })
 	if i < 0 {
@@ -80,27 +83,27 @@
 	return c.machines[i]
 }
 
-// create creates as many machines as there is capacity for and returns their names; a
-// request that was carried out before gets the names that it got then.
+// create creates machines up to the capacity of their pool and returns their names. Create
+// requests are idempotent: a repeated request returns the names of the first execution.
 func (c *fakeCloud) create(request protocol.CreateMachinesRequest) ([]string, error) {
 	if names, ok := c.requests[request.Request]; ok {
 		return names, nil
 	}
 	pool := machinePool{machineType: request.Type, zone: request.Zone, spot: request.Spot}
-	count := min(c.free(pool), request.Count)
+	count := min(c.freeCapacity(pool), request.Count)
 	if count <= 0 {
 		return nil, protocol.ErrNoCapacity
 	}
 	var names []string
 	for range count {
-		names = append(names, c.createOne(pool).Name)
+		names = append(names, c.createMachine(pool).Name)
 	}
 	c.requests[request.Request] = names
 	return names, nil
 }
 
-// free is how many machines of a pool can be created.
-func (c *fakeCloud) free(pool machinePool) int {
+// freeCapacity returns how many more machines of a pool can be created.
+func (c *fakeCloud) freeCapacity(pool machinePool) int {
 	free := c.capacity[pool]
 	for _, machine := range c.machines {
 		if machine.pool == pool && !machine.deleted {
@@ -110,8 +113,9 @@
 	return free
 }
 
-// createOne creates a machine, which boots unless it is one of those that fail to.
-func (c *fakeCloud) createOne(pool machinePool) *fakeMachine {
+// createMachine creates a machine. While bootFailures is positive, the machine never boots and
+// bootFailures is decremented.
+func (c *fakeCloud) createMachine(pool machinePool) *fakeMachine {
 	number := len(c.machines)
 	machine := &fakeMachine{pool: pool, createdAt: c.sim.now}
 	machine.CloudMachine = protocol.CloudMachine{
@@ -143,7 +147,7 @@
 	})
 }
 
-// delete deletes machines; those that are unknown or deleted stay as they are.
+// delete deletes machines. Unknown and already deleted machines are ignored.
 func (c *fakeCloud) delete(names []string) {
 	for _, name := range names {
 		machine := c.find(name)
@@ -156,7 +160,7 @@
 	}
 }
 
-// crash lets a machine stop by itself; the cloud notices later.
+// crash stops a machine. The cloud reports the failure after crashNoticeDelay.
 func (c *fakeCloud) crash(name string) {
 	machine := c.find(name)
 	if machine == nil || machine.deleted {
@@ -176,7 +180,7 @@
 	}
 }
 
-// list is the machines as they were a lag ago.
+// list returns the machines as of a random time in the past, see minLagFactor.
 func (c *fakeCloud) list() []protocol.CloudMachine {
 	lagSeconds := c.sim.cluster.Cloud.ListLagSeconds * (minLagFactor + lagFactorRange*c.sim.rand.Float64())
 	asOf := c.sim.now - time.Duration(lagSeconds*float64(time.Second))
--- a/internal/scenario/cloud_link.go
+++ b/internal/scenario/cloud_link.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// cloudTimeout is how long a process waits for a lost answer of the cloud.
+	// cloudTimeout is how long a process waits for an answer that the cloud never sends.
 	cloudTimeout = 5 * time.Second
-	// cloudAnswerDelay is how long an answer of the cloud takes.
+	// cloudAnswerDelay is the time until an answer of the cloud arrives.
 	cloudAnswerDelay = 50 * time.Millisecond
 )
 
-// cloudLink is a process's way to the cloud.
+// cloudLink connects a controller process to the cloud.
 type cloudLink struct{ process *process }
 
-func (l cloudLink) sent(kind string, message any) {
+func (l cloudLink) traceSent(kind string, message any) {
 	l.process.host.sim.trace.sentJSON(l.process.host.name, kind, message)
 }
 
-// call sends a request. serve carries it out and returns what to do when its answer
-// arrives; failed is called when none does.
+// call sends a request. serve executes the request and returns the callback for the arrival
+// of its answer. failed is called instead if the request or the answer is lost.
 func (l cloudLink) call(serve func(cloud *fakeCloud) func(), failed func(error)) {
 	sim := l.process.host.sim
 	cloud := sim.cloud
@@ -42,7 +42,7 @@
 
 // MachineTypes implements provisioning.Cloud.
 func (l cloudLink) MachineTypes(done func(protocol.MachineTypeCatalogue, error)) {
-	l.sent("machine types", nil)
+	l.traceSent("machine types", nil)
 	l.call(func(cloud *fakeCloud) func() {
 		return func() { done(protocol.MachineTypeCatalogue{Types: cloud.types}, nil) }
 	}, func(err error) { done(protocol.MachineTypeCatalogue{}, err) })
@@ -50,7 +50,7 @@
 
 // CreateMachines implements provisioning.Cloud.
 func (l cloudLink) CreateMachines(request protocol.CreateMachinesRequest, done func([]string, error)) {
-	l.sent("rent", request)
+	l.traceSent("rent", request)
 	l.call(func(cloud *fakeCloud) func() {
 		names, err := cloud.create(request)
 		return func() { done(names, err) }
@@ -59,7 +59,7 @@
 
 // DeleteMachines implements provisioning.Cloud.
 func (l cloudLink) DeleteMachines(names []string, done func(error)) {
-	l.sent("delete", names)
+	l.traceSent("delete", names)
 	l.call(func(cloud *fakeCloud) func() {
 		cloud.delete(names)
 		return func() { done(nil) }
@@ -68,7 +68,7 @@
 
 // ListMachines implements provisioning.Cloud.
 func (l cloudLink) ListMachines(done func([]protocol.CloudMachine, error)) {
-	l.sent("list machines", nil)
+	l.traceSent("list machines", nil)
 	l.call(func(cloud *fakeCloud) func() {
 		list := cloud.list()
 		return func() { done(list, nil) }
--- a/internal/scenario/heartbeat_faults.go
+++ b/internal/scenario/heartbeat_faults.go
@@ -7,50 +7,52 @@
 	"rockrun/internal/protocol"
 )
 
-// heartbeatFaults are what happens to agents' heartbeats on their way.
+// heartbeatFaults are the faults injected into agent heartbeats. Each share is a probability
+// per heartbeat.
 type heartbeatFaults struct {
-	duplicateShare float64 // of which a second copy arrives late
-	least, most    time.Duration
+	duplicateShare float64       // delivered a second time after a delay
+	least, most    time.Duration // bounds of the delay of duplicates
 
-	replayShare float64 // of which a copy is kept for the next leader
-	kept        []*protocol.AgentHeartbeat
+	replayShare float64 // recorded and replayed when the next leader is elected
+	recorded    []*protocol.AgentHeartbeat
 }
 
-// maxKeptHeartbeats bounds the heartbeats that are kept for the next leader.
-const maxKeptHeartbeats = 1000
+// maxRecordedHeartbeats bounds the heartbeats recorded for replay.
+const maxRecordedHeartbeats = 1000
 
-// copyHeartbeat lets a copy of a heartbeat arrive late, at any controller, whatever has
-// become of the machine, and keeps another for the next leader.
-func (s *simulation) copyHeartbeat(heartbeat *protocol.AgentHeartbeat) {
+// injectHeartbeatCopies records a heartbeat for replay and delivers a delayed copy to a random
+// controller, each with its configured probability. The copy arrives even if the machine is
+// gone by then.
+func (s *simulation) injectHeartbeatCopies(heartbeat *protocol.AgentHeartbeat) {
 	faults := &s.network.heartbeats
-	if faults.replayShare > 0 && len(faults.kept) < maxKeptHeartbeats && s.rand.Float64() < faults.replayShare {
-		faults.kept = append(faults.kept, heartbeat)
+	if faults.replayShare > 0 && len(faults.recorded) < maxRecordedHeartbeats && s.rand.Float64() < faults.replayShare {
+		faults.recorded = append(faults.recorded, heartbeat)
 	}
 	if faults.duplicateShare == 0 || s.rand.Float64() >= faults.duplicateShare {
 		return
 	}
 	delay := s.randomBetween(faults.least, faults.most)
 	receiver := s.hosts[s.rand.IntN(len(s.hosts))]
-	s.after(delay, func() { receiver.receiveCopy(heartbeat) })
+	s.after(delay, func() { receiver.receiveHeartbeatCopy(heartbeat) })
 }
 
-// replayHeartbeats lets the kept heartbeats arrive at every controller, as a new leader
-// begins.
+// replayHeartbeats delivers the recorded heartbeats to every controller when a new leader is
+// elected.
 func (s *simulation) replayHeartbeats() {
-	if len(s.network.heartbeats.kept) > 0 {
+	if len(s.network.heartbeats.recorded) > 0 {
 		s.faults.note("replayed-heartbeats", time.Second)
 	}
-	for _, heartbeat := range s.network.heartbeats.kept {
+	for _, heartbeat := range s.network.heartbeats.recorded {
 		for _, receiver := range s.hosts {
-			s.after(s.randomBelow(time.Second), func() { receiver.receiveCopy(heartbeat) })
+			s.after(s.randomBelow(time.Second), func() { receiver.receiveHeartbeatCopy(heartbeat) })
 		}
 	}
-	s.network.heartbeats.kept = nil
+	s.network.heartbeats.recorded = nil
 }
 
-// receiveCopy hands a copy of a heartbeat to the process that runs, whose answer reaches
-// nobody.
-func (h *host) receiveCopy(heartbeat *protocol.AgentHeartbeat) {
+// receiveHeartbeatCopy passes a copy of a heartbeat to the host's running process. The answer
+// is discarded.
+func (h *host) receiveHeartbeatCopy(heartbeat *protocol.AgentHeartbeat) {
 	p := h.process
 	if p == nil || h.agentsPartitioned {
 		return
--- a/internal/scenario/host.go
+++ b/internal/scenario/host.go
@@ -8,48 +8,49 @@
 	"rockrun/internal/coordination"
 )
 
-// host is where the processes of one controller come and go, with its network.
+// host runs the processes of one controller, one at a time, and holds the host's network
+// faults.
 type host struct {
 	sim                      *simulation
 	name                     string
-	zone                     string   // "": none in particular
+	zone                     string   // "": no zone
 	process                  *process // nil while none runs
-	unawareOfAnnouncedLimits bool     // of its processes, like those of a version without the setting
-	storePartitioned         bool     // the store refuses it
-	peersPartitioned         bool     // it can't reach other controllers, nor they it
-	agentsPartitioned        bool     // it can't reach agents, nor they it
+	unawareOfAnnouncedLimits bool     // its processes run a version without the announced limits setting
+	storePartitioned         bool     // requests to the store fail
+	peersPartitioned         bool     // no messages to or from other controllers
+	agentsPartitioned        bool     // no messages to or from agents
 	pausedUntil              time.Duration
 }
 
-// process is one run of the program.
+// process is one execution of the controller program.
 type process struct {
 	host       *host
 	controller *coordination.Controller
-	started    bool // its controller has started; on a host that stands still it has to wait
+	started    bool // the controller has started; on a paused host the start is delayed
 	dead       bool
 }
 
-// start begins a new process.
+// start starts a new process.
 func (h *host) start() {
 	sim := h.sim
 	sim.faults.end("down", h.name)
-	next := &process{host: h}
-	next.controller = coordination.New(coordination.Config{
+	p := &process{host: h}
+	p.controller = coordination.New(coordination.Config{
 		Settings: h.settings(),
 		Options:  sim.options,
-		Clock:    next,
-		Store:    storeLink{next},
-		Cloud:    cloudLink{next},
-		Agents:   agentLink{next},
-		Peers:    peerLink{next},
+		Clock:    p,
+		Store:    storeLink{p},
+		Cloud:    cloudLink{p},
+		Agents:   agentLink{p},
+		Peers:    peerLink{p},
 		Rand:     rand.New(rand.NewPCG(sim.rand.Uint64(), sim.rand.Uint64())),
 		Log:      sim.log.With("controller", h.name),
 	})
-	h.process = next
-	sim.after(0, next.startController)
+	h.process = p
+	sim.after(0, p.startController)
 }
 
-// startController starts the controller once the host does not stand still.
+// startController starts the controller, on a paused host when the pause ends.
 func (p *process) startController() {
 	switch {
 	case p.dead:
@@ -61,14 +62,14 @@
 	}
 }
 
-// startIfDown begins a new process where none runs.
+// startIfDown starts a new process if none runs.
 func (h *host) startIfDown() {
 	if h.process == nil {
 		h.start()
 	}
 }
 
-// settings are those of a new process.
+// settings returns the settings for a new process.
 func (h *host) settings() *config.Settings {
 	settings := &config.Settings{Controller: h.name, Cluster: h.sim.cluster}
 	if h.unawareOfAnnouncedLimits {
@@ -82,7 +83,7 @@
 	return settings
 }
 
-// crash ends the process without notice, if one runs.
+// crash ends the running process, if any, without a shutdown.
 func (h *host) crash() {
 	if h.process != nil {
 		h.sim.faults.begin("down", h.name)
@@ -91,11 +92,11 @@
 	}
 }
 
-// isPaused reports whether the process stands still. What comes meanwhile is worked off
-// afterwards.
+// isPaused reports whether the host is paused. Its process handles pending messages and
+// timers when the pause ends.
 func (h *host) isPaused() bool { return h.sim.now < h.pausedUntil }
 
-// The parts of a controller's network that a partition takes away.
+// Parts of a controller's network that a partition can cut.
 const (
 	partAll    = "all"
 	partStore  = "store"
@@ -103,27 +104,27 @@
 	partAgents = "agents"
 )
 
-// setPartition takes a part of the host's network away, or gives it back. The host counts
-// as partitioned for as long as any part is missing, whatever name it was cut or healed by.
-func (h *host) setPartition(part string, cut bool) {
-	before := h.isPartitioned()
+// setPartition cuts or heals a part of the host's network. The fault log records the host as
+// partitioned while any part is cut, whichever part names were used to cut and heal.
+func (h *host) setPartition(part string, partitioned bool) {
+	wasPartitioned := h.isPartitioned()
 	if part == partAll || part == partStore {
-		h.storePartitioned = cut
+		h.storePartitioned = partitioned
 	}
 	if part == partAll || part == partPeers {
-		h.peersPartitioned = cut
+		h.peersPartitioned = partitioned
 	}
 	if part == partAll || part == partAgents {
-		h.agentsPartitioned = cut
+		h.agentsPartitioned = partitioned
 	}
-	switch after := h.isPartitioned(); {
-	case after && !before:
+	switch isPartitioned := h.isPartitioned(); {
+	case isPartitioned && !wasPartitioned:
 		h.sim.faults.begin("partition", h.name)
-	case before && !after:
+	case wasPartitioned && !isPartitioned:
 		h.sim.faults.end("partition", h.name)
 	}
-	if !cut {
-		h.sim.store.answerWatches()
+	if !partitioned {
+		h.sim.store.answerReadyWatches()
 	}
 }
 
@@ -131,8 +132,8 @@
 	return h.storePartitioned || h.peersPartitioned || h.agentsPartitioned
 }
 
-// guard makes a callback do nothing once the process is dead, and wait while it is paused or
-// has not started its controller.
+// guard wraps a callback of the process. The callback is dropped if the process is dead, and
+// delayed while the host is paused or the controller has not started.
 func (p *process) guard(callback func()) func() {
 	var run func()
 	run = func() {
--- a/internal/scenario/network.go
+++ b/internal/scenario/network.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Latency of a message on the network of a scenario.
+// Latency of a message on the simulated network.
 const (
 	minLatency    = time.Millisecond
 	latencyJitter = 3 * time.Millisecond
 )
 
-// networkFaults are the faults of the network that are no host's or machine's own.
+// networkFaults are the network faults that do not belong to a single host or machine.
 type networkFaults struct {
-	partitionedZone string // cut off from all else; "": none
+	partitionedZone string // cut off from all other zones; "": none
 	commands        commandFaults
 	heartbeats      heartbeatFaults
 }
 
-// latency draws how long a message is on its way.
+// latency draws the latency of a message.
 func (s *simulation) latency() time.Duration { return minLatency + s.randomBelow(latencyJitter) }
 
-// reachable reports whether messages pass between a controller and a machine.
+// reachable reports whether a controller's host and an agent can exchange messages.
 func (s *simulation) reachable(h *host, agent *fakeAgent) bool {
 	if h.agentsPartitioned {
 		return false
@@ -26,25 +26,26 @@
 	return s.network.partitionedZone == "" || (h.zone == s.network.partitionedZone) == (agent.machine.Zone == s.network.partitionedZone)
 }
 
-// partitionZone cuts a zone off from everything else: its machines and the controllers
-// in it reach each other and nobody more. What is on its way is lost.
-func (s *simulation) partitionZone(zone string, lasting time.Duration) {
-	s.faults.note("zone-partition", lasting)
+// partitionZone cuts a zone off from all other zones and from the store. Machines and
+// controllers inside the zone still reach each other; the controllers lose all their peers.
+// Heartbeats in transit and their answers are lost.
+func (s *simulation) partitionZone(zone string, duration time.Duration) {
+	s.faults.note("zone-partition", duration)
 	s.network.partitionedZone = zone
-	s.partitionHostsIn(zone, true)
-	s.after(lasting, func() {
+	s.setHostsPartitioned(zone, true)
+	s.after(duration, func() {
 		s.network.partitionedZone = ""
-		s.partitionHostsIn(zone, false)
+		s.setHostsPartitioned(zone, false)
 	})
 }
 
-// partitionHostsIn cuts the controllers in a zone off from the store and from their peers,
-// or ends that.
-func (s *simulation) partitionHostsIn(zone string, cut bool) {
+// setHostsPartitioned cuts or heals the connections of a zone's controllers to the store and
+// to their peers.
+func (s *simulation) setHostsPartitioned(zone string, partitioned bool) {
 	for _, h := range s.hosts {
 		if h.zone == zone {
-			h.setPartition(partStore, cut)
-			h.setPartition(partPeers, cut)
+			h.setPartition(partStore, partitioned)
+			h.setPartition(partPeers, partitioned)
 		}
 	}
 }
--- a/internal/scenario/peer_link.go
+++ b/internal/scenario/peer_link.go
@@ -6,10 +6,10 @@
 	"rockrun/internal/protocol"
 )
 
-// peerTimeout is how long a controller waits for the answer of one that can't be reached.
+// peerTimeout is how long a controller waits for the answer of an unreachable peer.
 const peerTimeout = time.Second
 
-// peerLink is a process's way to other controllers.
+// peerLink connects a controller process to its peers.
 type peerLink struct{ process *process }
 
 // SendRequest implements coordination.Peers.
@@ -32,9 +32,8 @@
 	})
 }
 
-// deliver hands a request to a process that runs. The sender does not wait for one that is
-// paused, which reads the request afterwards all the same: it hears neither an answer nor
-// an error.
+// deliver passes a request to a running process. A paused process handles the request when
+// the pause ends, but then the sender receives neither an answer nor an error.
 func (l peerLink) deliver(receiver *process, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	sim := l.process.host.sim
 	if receiver.host.isPaused() {
@@ -48,7 +47,7 @@
 	})()
 }
 
-// fail lets a request end without an answer.
+// fail reports an unknown outcome to the sender after peerTimeout.
 func (l peerLink) fail(done func(protocol.PeerAnswer, error)) {
 	l.process.host.sim.after(peerTimeout, l.process.guard(func() { done(protocol.PeerAnswer{}, protocol.ErrOutcomeUnknown) }))
 }
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -12,13 +12,13 @@
 	"rockrun/internal/storage"
 )
 
-// fakeStore is the stand-in for the key-value store.
+// fakeStore simulates the external key-value store.
 type fakeStore struct {
 	sim      *simulation
 	revision uint64
 	items    map[string]*protocol.KeyValue
 	history  []storeChange
-	watches  []*storeWatch // that have had nothing to tell yet
+	watches  []*storeWatch // open watches without changes so far
 
 	leases      map[uint64]*storeLease
 	lastLeaseID uint64
@@ -28,35 +28,35 @@
 	storeCounts
 }
 
-// storeFaults are the faults of the store.
+// storeFaults are the faults injected into the store.
 type storeFaults struct {
 	outage          bool
-	lostAnswerShare float64 // of transactions whose answer is lost
-	delayedShare    float64 // of those that are applied late
-	latencyShare    float64 // of calls that take long
+	lostAnswerShare float64 // of transactions, executed without an answer
+	delayedShare    float64 // of the unanswered transactions, executed late
+	latencyShare    float64 // of requests that are delayed
 	maxLatency      time.Duration
 }
 
-// storeCounts are what expectations ask for.
+// storeCounts are the counters that a scenario's expectations check.
 type storeCounts struct {
-	requests          int // all calls
-	writes            int // operations carried out or refused by a condition
+	requests          int // requests of all kinds
+	writes            int // operations that were executed or failed a precondition
 	grantWrites       int
-	finalReads        int // of final records
-	rejected          int // transactions that were rejected for good
-	inheritedOversize int // values over the limits to come when these came into force
+	finalReads        int // reads of final records
+	rejected          int // transactions over a limit, which no retry can commit
+	inheritedOversize int // values over the announced size limit when that took effect
 }
 
-// storeLease removes the items that were put under it once it expires.
+// storeLease is a lease. The items written under a lease are deleted when it expires.
 type storeLease struct {
 	ttl       time.Duration
 	expiresAt time.Duration
 }
 
-// leaseExpiryDelay is how long after its time the store notices that a lease has expired.
+// leaseExpiryDelay is the time from a lease's deadline until the store expires the lease.
 const leaseExpiryDelay = 50 * time.Millisecond
 
-// storeChange is a change of an item, by the revision that made it.
+// storeChange is the change of an item in a revision.
 type storeChange struct {
 	revision uint64
 	event    protocol.Event
@@ -71,11 +71,11 @@
 	}
 }
 
-// refuses reports whether no request of a host is served.
+// refuses reports whether the store fails all requests of a host.
 func (s *fakeStore) refuses(h *host) bool { return s.outage || h.storePartitioned }
 
-// setOutage begins or ends an outage. Leases do not expire during one, and have their whole
-// time again afterwards.
+// setOutage starts or ends an outage. Leases do not expire during an outage, and the end of
+// the outage renews all leases for their full TTL.
 func (s *fakeStore) setOutage(on bool) {
 	s.outage = on
 	if on {
@@ -84,10 +84,10 @@
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		s.extendLease(id, s.leases[id])
 	}
-	s.answerWatches()
+	s.answerReadyWatches()
 }
 
-// openLease opens a lease and returns its id.
+// openLease creates a lease and returns its ID.
 func (s *fakeStore) openLease(ttl time.Duration) uint64 {
 	s.lastLeaseID++
 	id := s.lastLeaseID
@@ -101,7 +101,7 @@
 	s.sim.after(lease.ttl+leaseExpiryDelay, func() { s.expireLease(id) })
 }
 
-// revokeLease lets a lease expire now.
+// revokeLease expires a lease immediately.
 func (s *fakeStore) revokeLease(id uint64) {
 	if lease := s.leases[id]; lease != nil {
 		lease.expiresAt = 0
@@ -109,7 +109,8 @@
 	}
 }
 
-// expireLease removes a lease whose time is over, and the items under it.
+// expireLease deletes a lease past its deadline and the items under it. It does nothing
+// during an outage, or if the lease was renewed meanwhile.
 func (s *fakeStore) expireLease(id uint64) {
 	lease := s.leases[id]
 	if lease == nil || s.outage || s.sim.now < lease.expiresAt {
@@ -126,10 +127,10 @@
 		s.revision++
 		s.remove(key)
 	}
-	s.answerWatches()
+	s.answerReadyWatches()
 }
 
-// keys lists the keys with a prefix, in order.
+// keys returns the keys with a prefix in ascending order.
 func (s *fakeStore) keys(prefix string) []string {
 	var keys []string
 	for key := range s.items {
@@ -141,7 +142,7 @@
 	return keys
 }
 
-// list is all that lies in the store, by key.
+// list returns all items in the order of their keys.
 func (s *fakeStore) list() []protocol.KeyValue {
 	var items []protocol.KeyValue
 	for _, key := range s.keys("") {
@@ -150,17 +151,17 @@
 	return items
 }
 
-// commit carries out a transaction and returns the new revision.
+// commit executes a transaction and returns the new revision.
 func (s *fakeStore) commit(transaction protocol.Transaction) (uint64, error) {
-	if s.exceeds(transaction) {
+	if s.exceedsLimits(transaction) {
 		s.rejected++
 		return 0, protocol.ErrRejected
 	}
-	if !s.takeWrites(s.sim.now, len(transaction.Operations)) {
+	if !s.consumeWrites(s.sim.now, len(transaction.Operations)) {
 		return 0, protocol.ErrRateLimited
 	}
 	s.writes += len(transaction.Operations)
-	if err := s.checkConditions(transaction); err != nil {
+	if err := s.checkPreconditions(transaction); err != nil {
 		return 0, err
 	}
 	s.revision++
@@ -172,15 +173,15 @@
 			s.remove(operation.Delete)
 		}
 	}
-	s.answerWatches()
+	s.answerReadyWatches()
 	return s.revision, nil
 }
 
-// checkConditions returns protocol.ErrConflict unless every item has the version that a
-// transaction expects, and protocol.ErrLeaseNotFound unless all leases are there.
-func (s *fakeStore) checkConditions(transaction protocol.Transaction) error {
+// checkPreconditions returns protocol.ErrConflict unless every item has the version that the
+// transaction expects, and protocol.ErrLeaseNotFound unless all its leases exist.
+func (s *fakeStore) checkPreconditions(transaction protocol.Transaction) error {
 	for _, condition := range transaction.Conditions {
-		var version uint64 // 0: there is no such item
+		var version uint64 // 0: the item does not exist
 		if item := s.items[condition.Key]; item != nil {
 			version = item.Version
 		}
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// put writes an item under the revision of now.
+// put writes an item at the current revision.
 func (s *fakeStore) put(operation protocol.Operation) {
 	key := operation.Put
 	if key == storage.KeyLeader {
@@ -205,24 +206,24 @@
 		s.sim.replayHeartbeats()
 	}
 	s.items[key] = &protocol.KeyValue{Key: key, Value: operation.Value, Version: s.revision, Lease: operation.Lease}
-	s.record(protocol.Event{Put: key, Value: operation.Value, Version: s.revision})
+	s.recordChange(protocol.Event{Put: key, Value: operation.Value, Version: s.revision})
 	if path.Dir(key) == path.Dir(storage.GrantKey(0)) {
 		s.grantWrites++
 		s.sim.faults.noteHandover()
 	}
 }
 
-// remove deletes an item under the revision of now.
+// remove deletes an item at the current revision.
 func (s *fakeStore) remove(key string) {
 	delete(s.items, key)
-	s.record(protocol.Event{Remove: key, Version: s.revision})
+	s.recordChange(protocol.Event{Remove: key, Version: s.revision})
 }
 
-func (s *fakeStore) record(event protocol.Event) {
+func (s *fakeStore) recordChange(event protocol.Event) {
 	s.history = append(s.history, storeChange{revision: s.revision, event: event})
 }
 
-// changes are the changes of items with a prefix after a revision.
+// changes returns the changes after a revision to items with a key prefix.
 func (s *fakeStore) changes(prefix string, after uint64) protocol.Changes {
 	changes := protocol.Changes{Revision: s.revision}
 	first, _ := slices.BinarySearchFunc(s.history, after+1, func(change storeChange, revision uint64) int {
@@ -236,13 +237,13 @@
 	return changes
 }
 
-// lowerLimits makes the announced limits those in force.
+// lowerLimits puts the announced limits into effect.
 func (s *fakeStore) lowerLimits() {
 	s.setLimits(s.sim.cluster.KVStore.Limits())
 	s.inheritedOversize = s.oversized()
 }
 
-// oversized counts the values in the store that could not be written any more.
+// oversized counts the stored values that exceed the current size limit.
 func (s *fakeStore) oversized() int {
 	count := 0
 	for _, item := range s.items {
--- a/internal/scenario/store_limits.go
+++ b/internal/scenario/store_limits.go
@@ -8,40 +8,42 @@
 	"rockrun/internal/protocol"
 )
 
-// storeLimits are what the store allows: sizes, and a budget of writes that fills up with
-// time.
+// storeLimits are the store's limits per transaction and its write rate limit, a token bucket
+// that holds one second of writes.
 type storeLimits struct {
-	limits     config.StoreLimits
-	available  float64 // writes that may be made now
-	refilledAt time.Duration
+	limits          config.StoreLimits
+	availableWrites float64 // as of refilledAt
+	refilledAt      time.Duration
 }
 
-// newStoreLimits are the limits in force today, whatever is announced.
+// newStoreLimits returns the current limits. Announced limits are ignored.
 func newStoreLimits(settings config.KVStore) storeLimits {
 	settings.Announced = nil
 	limits := settings.Limits()
-	return storeLimits{limits: limits, available: limits.WriteRate}
+	return storeLimits{limits: limits, availableWrites: limits.WriteRate}
 }
 
-// setLimits puts other limits in force.
+// setLimits replaces the limits.
 func (l *storeLimits) setLimits(limits config.StoreLimits) {
 	l.limits = limits
-	l.available = min(l.available, limits.WriteRate)
+	l.availableWrites = min(l.availableWrites, limits.WriteRate)
 }
 
-// takeWrites takes a number of writes from the budget and reports whether it held them.
-func (l *storeLimits) takeWrites(now time.Duration, count int) bool {
-	l.available = min(l.limits.WriteRate, l.available+l.limits.WriteRate*(now-l.refilledAt).Seconds())
+// consumeWrites refills the bucket and consumes count writes from it. It returns false and
+// consumes nothing if fewer writes are available.
+func (l *storeLimits) consumeWrites(now time.Duration, count int) bool {
+	l.availableWrites = min(l.limits.WriteRate, l.availableWrites+l.limits.WriteRate*(now-l.refilledAt).Seconds())
 	l.refilledAt = now
-	if l.available < float64(count) {
+	if l.availableWrites < float64(count) {
 		return false
 	}
-	l.available -= float64(count)
+	l.availableWrites -= float64(count)
 	return true
 }
 
-// exceeds reports whether a transaction is over a limit, whatever its conditions.
-func (l *storeLimits) exceeds(transaction protocol.Transaction) bool {
+// exceedsLimits reports whether a transaction exceeds a limit per transaction. The result does
+// not depend on whether its preconditions hold.
+func (l *storeLimits) exceedsLimits(transaction protocol.Transaction) bool {
 	oversized := slices.ContainsFunc(transaction.Operations, func(operation protocol.Operation) bool {
 		return len(operation.Value) > l.limits.ValueBytes
 	})
--- a/internal/scenario/store_limits_test.go
+++ b/internal/scenario/store_limits_test.go
@@ -8,14 +8,14 @@
 	"rockrun/internal/protocol"
 )
 
-// TestWriteBudget: the budget holds a second's writes, fills up with time, and a
-// transaction that it can't hold takes nothing.
+// TestWriteBudget checks that the write budget holds one second of writes and refills over
+// time, and that a transaction over the budget consumes nothing.
 func TestWriteBudget(t *testing.T) {
 	limits := newStoreLimits(config.KVStore{WritesPerSecond: 10, ValueKiB: 1, TransactionOperations: 4})
 	for i, c := range []struct {
-		at    time.Duration
-		count int
-		taken bool
+		at      time.Duration
+		count   int
+		allowed bool
 	}{
 		{0, 8, true},
 		{0, 3, false},
@@ -25,13 +25,14 @@
 		{time.Minute, 11, false},
 		{time.Minute, 10, true},
 	} {
-		if taken := limits.takeWrites(c.at, c.count); taken != c.taken {
-			t.Errorf("%d: %d writes at %s: taken %t", i, c.count, c.at, taken)
+		if allowed := limits.consumeWrites(c.at, c.count); allowed != c.allowed {
+			t.Errorf("case %d: %d writes at %s: allowed %t", i, c.count, c.at, allowed)
 		}
 	}
 }
 
-// TestTransactionLimits: what is over a limit is rejected, also one that was lowered.
+// TestTransactionLimits checks that transactions over a limit are rejected, also after the
+// limits are lowered.
 func TestTransactionLimits(t *testing.T) {
 	settings := config.KVStore{WritesPerSecond: 10, ValueKiB: 1, TransactionOperations: 2}
 	limits := newStoreLimits(settings)
@@ -40,20 +41,20 @@
 		operations []protocol.Operation
 		exceeds    bool
 	}{
-		"within":     {[]protocol.Operation{value(1024), value(1)}, false},
-		"large":      {[]protocol.Operation{value(1025)}, true},
-		"operations": {[]protocol.Operation{value(1), value(1), value(1)}, true},
+		"within limits":       {[]protocol.Operation{value(1024), value(1)}, false},
+		"oversized value":     {[]protocol.Operation{value(1025)}, true},
+		"too many operations": {[]protocol.Operation{value(1), value(1), value(1)}, true},
 	} {
-		if got := limits.exceeds(protocol.Transaction{Operations: c.operations}); got != c.exceeds {
-			t.Errorf("%s: exceeds %t", name, got)
+		if got := limits.exceedsLimits(protocol.Transaction{Operations: c.operations}); got != c.exceeds {
+			t.Errorf("%s: exceeds limits %t", name, got)
 		}
 	}
 	settings.ValueKiB, settings.WritesPerSecond = 0.5, 4
 	limits.setLimits(settings.Limits())
-	if !limits.exceeds(protocol.Transaction{Operations: []protocol.Operation{value(1024)}}) {
+	if !limits.exceedsLimits(protocol.Transaction{Operations: []protocol.Operation{value(1024)}}) {
 		t.Error("a value over the lowered limit is allowed")
 	}
-	if limits.takeWrites(0, 5) {
+	if limits.consumeWrites(0, 5) {
 		t.Error("more writes than the lowered limit are allowed")
 	}
 }
--- a/internal/scenario/store_link.go
+++ b/internal/scenario/store_link.go
@@ -9,23 +9,26 @@
 )
 
 const (
-	// transactionTimeout is how long a process waits for a lost answer to a transaction.
+	// transactionTimeout is how long a process waits for the answer to a transaction if the
+	// answer is lost.
 	transactionTimeout = 2 * time.Second
-	// maxTransactionDelay is how late a delayed transaction is applied at most.
+	// maxTransactionDelay bounds the delay of transactions that are executed late.
 	maxTransactionDelay = 20 * time.Second
-	// storePageItems is how many items a page has; few, so that paging is used.
-	storePageItems = 10
+	// storePageSize is the number of items in a page of a list. The value is small so that
+	// scenarios exercise paging.
+	storePageSize = 10
 )
 
-// storeLink is a process's way to the key-value store.
+// storeLink connects a controller process to the key-value store.
 type storeLink struct{ process *process }
 
-func (l storeLink) sent(kind string, values ...any) {
+func (l storeLink) traceSent(kind string, values ...any) {
 	l.process.host.sim.trace.sent(l.process.host.name, kind, values...)
 }
 
-// call sends a request. serve is called when it arrives and returns what to do when its
-// answer does, or nil if that is seen to; refused is called when it is not carried out.
+// call sends a request. serve executes the request on arrival and returns the callback for
+// the arrival of the answer, or nil if serve itself arranges the answer. refused is called
+// instead if the store does not execute the request.
 func (l storeLink) call(serve func(store *fakeStore) func(), refused func(error)) {
 	sim := l.process.host.sim
 	store := sim.store
@@ -36,24 +39,24 @@
 	}
 	sim.after(delay, func() {
 		if store.refuses(l.process.host) {
-			l.answer(func() { refused(protocol.ErrNotExecuted) })
+			l.sendAnswer(func() { refused(protocol.ErrNotExecuted) })
 			return
 		}
 		if answer := serve(store); answer != nil {
-			l.answer(answer)
+			l.sendAnswer(answer)
 		}
 	})
 }
 
-// answer lets an answer arrive at the process.
-func (l storeLink) answer(callback func()) {
+// sendAnswer delivers an answer to the process.
+func (l storeLink) sendAnswer(callback func()) {
 	sim := l.process.host.sim
 	sim.after(sim.latency(), l.process.guard(callback))
 }
 
 // Get implements kv.Store.
 func (l storeLink) Get(key string, done func(protocol.KeyValue, bool, error)) {
-	l.sent("get", key)
+	l.traceSent("get", key)
 	l.call(func(store *fakeStore) func() {
 		if strings.HasPrefix(key, storage.FinalKey("")) {
 			store.finalReads++
@@ -69,14 +72,14 @@
 
 // List implements kv.Store.
 func (l storeLink) List(prefix, after string, done func(protocol.KeyValuePage, error)) {
-	l.sent("list", prefix, after)
+	l.traceSent("list", prefix, after)
 	l.call(func(store *fakeStore) func() {
 		page := protocol.KeyValuePage{Revision: store.revision}
 		for _, key := range store.keys(prefix) {
 			if key <= after {
 				continue
 			}
-			if len(page.Items) == storePageItems {
+			if len(page.Items) == storePageSize {
 				page.More = true
 				break
 			}
@@ -102,8 +105,8 @@
 	}, func(err error) { done(0, err) })
 }
 
-// commitUnanswered carries a transaction out, at once or late, and tells nobody what came
-// of it.
+// commitUnanswered executes a transaction immediately or after a delay, and discards the
+// result. A delayed transaction is lost if the store has an outage when it is due.
 func (s *fakeStore) commitUnanswered(transaction protocol.Transaction) {
 	sim := s.sim
 	if sim.rand.Float64() >= s.delayedShare {
@@ -121,7 +124,7 @@
 
 // OpenLease implements kv.Store.
 func (l storeLink) OpenLease(ttl time.Duration, done func(uint64, error)) {
-	l.sent("new lease", ttl)
+	l.traceSent("new lease", ttl)
 	l.call(func(store *fakeStore) func() {
 		id := store.openLease(ttl)
 		return func() { done(id, nil) }
@@ -130,7 +133,7 @@
 
 // RenewLease implements kv.Store.
 func (l storeLink) RenewLease(id uint64, done func(error)) {
-	l.sent("renew", id)
+	l.traceSent("renew", id)
 	l.call(func(store *fakeStore) func() {
 		lease := store.leases[id]
 		if lease == nil {
@@ -143,7 +146,7 @@
 
 // RevokeLease implements kv.Store.
 func (l storeLink) RevokeLease(id uint64, done func(error)) {
-	l.sent("end lease", id)
+	l.traceSent("end lease", id)
 	l.call(func(store *fakeStore) func() {
 		store.revokeLease(id)
 		return func() { done(nil) }
@@ -152,7 +155,7 @@
 
 // Watch implements kv.Store.
 func (l storeLink) Watch(prefix string, after uint64, wait time.Duration, done func(protocol.Changes, error)) {
-	l.sent("follow", prefix, after, wait)
+	l.traceSent("follow", prefix, after, wait)
 	l.call(func(store *fakeStore) func() {
 		if changes := store.changes(prefix, after); len(changes.Events) > 0 || wait == 0 {
 			return func() { done(changes, nil) }
