--- a/internal/scenario/store_limits.go
+++ b/internal/scenario/store_limits.go
@@ -47,5 +47,5 @@
 	oversized := slices.ContainsFunc(transaction.Operations, func(operation protocol.Operation) bool {
 		return len(operation.Value) > l.limits.ValueBytes
 	})
-	return oversized || len(transaction.Operations) > l.limits.Operations || len(transaction.Conditions) > l.limits.Conditions
+	return oversized || len(transaction.Operations) > l.limits.Operations || len(transaction.Preconditions) > l.limits.Preconditions
 }
