--- a/internal/coordination/jobs/fixture_test.go
+++ b/internal/coordination/jobs/fixture_test.go
@@ -204,7 +204,7 @@
 	f.leases.Extend(0, f.now)
 }
 
-// lowerLimits lowers the committer's limits to at most the given ones.
+// applyAnnouncedLimits lowers the committer's limits to at most the given ones.
 func (f *fixture) lowerLimits(valueBytes, operations int) {
 	limits := f.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
--- a/internal/scenario/actions_controllers.go
+++ b/internal/scenario/actions_controllers.go
@@ -76,7 +76,7 @@
 	return func() {
 		sim.faults.note("upgrade", down)
 		h.crash()
-		h.unawareOfAnnouncedLimits = false
+		h.ignoresAnnouncedLimits = false
 		sim.after(down, h.startIfDown)
 	}
 }
--- a/internal/scenario/actions_machines.go
+++ b/internal/scenario/actions_machines.go
@@ -53,7 +53,7 @@
 	return func() {
 		if agent := sim.agents[machine]; agent != nil && notice > 0 {
 			agent.terminatedAt = sim.now + notice
-			agent.wantHeartbeat()
+			agent.requestHeartbeat()
 		}
 		sim.after(notice, func() { sim.cloud.delete([]string{machine}) })
 	}
--- a/internal/scenario/actions_services.go
+++ b/internal/scenario/actions_services.go
@@ -39,7 +39,7 @@
 func actStoreLowerLimits(sim *simulation, _ *statement) func() {
 	return func() {
 		sim.faults.note("store-lower-limits", time.Second)
-		sim.store.lowerLimits()
+		sim.store.applyAnnouncedLimits()
 	}
 }
 
--- a/internal/scenario/agent.go
+++ b/internal/scenario/agent.go
@@ -93,7 +93,7 @@
 	a.removeAllTasks()
 	a.epoch++
 	a.leaseStart = a.sim.now
-	a.wantHeartbeat()
+	a.requestHeartbeat()
 }
 
 func (a *fakeAgent) removeAllTasks() {
@@ -132,7 +132,7 @@
 func (a *fakeAgent) raiseToken(token uint64) {
 	if token > a.fencingToken {
 		a.fencingToken = token
-		a.wantHeartbeat()
+		a.requestHeartbeat()
 	}
 }
 
@@ -146,7 +146,7 @@
 	return i, a.tasks[i]
 }
 
-// mayRun reports whether an attempt of a task on the machine has not ended.
-func (a *fakeAgent) mayRun(name string) bool {
+// hasUnfinishedAttempt reports whether an attempt of a task on the machine has not ended.
+func (a *fakeAgent) hasUnfinishedAttempt(name string) bool {
 	return slices.ContainsFunc(a.tasks, func(t *agentTask) bool { return t.Task == name && t.State != protocol.TaskEnded })
 }
--- a/internal/scenario/agent_heartbeat.go
+++ b/internal/scenario/agent_heartbeat.go
@@ -40,8 +40,8 @@
 	return heartbeat
 }
 
-// wantHeartbeat schedules a heartbeat as soon as minHeartbeatInterval allows.
-func (a *fakeAgent) wantHeartbeat() {
+// requestHeartbeat schedules a heartbeat as soon as minHeartbeatInterval allows.
+func (a *fakeAgent) requestHeartbeat() {
 	if a.heartbeatRequested || a.dead {
 		return
 	}
@@ -118,7 +118,7 @@
 	delay := x.processAnswer(answer, answered)
 	if agent.heartbeatRequested {
 		agent.heartbeatRequested = false
-		agent.wantHeartbeat()
+		agent.requestHeartbeat()
 	}
 	sequence := agent.sequence
 	sim.after(delay, func() {
--- a/internal/scenario/agent_link.go
+++ b/internal/scenario/agent_link.go
@@ -11,8 +11,8 @@
 type commandFaults struct {
 	duplicateShare float64 // executed a second time after a delay
 
-	delayedShare float64       // executed late and never answered
-	least, most  time.Duration // bounds of the delay of delayedShare
+	delayedShare       float64       // executed late and never answered
+	minDelay, maxDelay time.Duration // bounds of the delay of delayedShare
 
 	latencyShare float64 // delayed on the way to the agent, or in their answer
 	maxLatency   time.Duration
@@ -80,7 +80,7 @@
 // deliverLate delivers the commands after a delay. The agent still checks their fencing
 // token and epoch.
 func (d *commandDelivery) deliverLate(agent *fakeAgent) {
-	delay := d.sim.randomBetween(d.sim.network.commands.least, d.sim.network.commands.most)
+	delay := d.sim.randomBetween(d.sim.network.commands.minDelay, d.sim.network.commands.maxDelay)
 	d.sim.faults.note("delayed-command", delay)
 	d.sim.after(delay, func() {
 		if !agent.dead && !agent.isPaused() {
--- a/internal/scenario/agent_tasks.go
+++ b/internal/scenario/agent_tasks.go
@@ -145,7 +145,7 @@
 
 func (a *fakeAgent) setState(task *agentTask, state string) {
 	task.State = state
-	a.wantHeartbeat()
+	a.requestHeartbeat()
 }
 
 // afterSeconds schedules a callback for an attempt. The callback is dropped if the attempt
--- a/internal/scenario/checker.go
+++ b/internal/scenario/checker.go
@@ -56,7 +56,7 @@
 // fetches and ends let the task run twice.
 func (c *checker) taskAccepted(agent *fakeAgent, task *agentTask) {
 	for _, other := range c.sim.agents {
-		if other != agent && other.mayRun(task.Task) {
+		if other != agent && other.hasUnfinishedAttempt(task.Task) {
 			c.violate(ruleTwoAttempts, "%s is taken by %s while %s has it", task.Task, agent.machine.Name, other.machine.Name)
 		}
 	}
--- a/internal/scenario/cloud.go
+++ b/internal/scenario/cloud.go
@@ -74,8 +74,8 @@
 	return stage
 }
 
-// find returns the machine with a name, or nil if there is none.
-func (c *fakeCloud) find(name string) *fakeMachine {
+// findMachine returns the machine with a name, or nil if there is none.
+func (c *fakeCloud) findMachine(name string) *fakeMachine {
 	i := slices.IndexFunc(c.machines, func(m *fakeMachine) bool { return m.Name == name })
 	if i < 0 {
 		return nil
@@ -150,7 +150,7 @@
 // delete deletes machines. Unknown and already deleted machines are ignored.
 func (c *fakeCloud) delete(names []string) {
 	for _, name := range names {
-		machine := c.find(name)
+		machine := c.findMachine(name)
 		if machine == nil || machine.deleted {
 			continue
 		}
@@ -162,7 +162,7 @@
 
 // crash stops a machine. The cloud reports the failure after crashNoticeDelay.
 func (c *fakeCloud) crash(name string) {
-	machine := c.find(name)
+	machine := c.findMachine(name)
 	if machine == nil || machine.deleted {
 		return
 	}
--- a/internal/scenario/expect.go
+++ b/internal/scenario/expect.go
@@ -47,7 +47,7 @@
 	"unfinished":                counted(func(sim *simulation) int { return len(sim.store.keys(storage.JobKey(""))) }),
 	"rejected":                  counted(func(sim *simulation) int { return sim.store.rejected }),
 	"oversized":                 counted(func(sim *simulation) int { return sim.store.oversized() }),
-	"inherited-oversized":       counted(func(sim *simulation) int { return sim.store.inheritedOversize }),
+	"inherited-oversized":       counted(func(sim *simulation) int { return sim.store.oversizedOnLimitChange }),
 	"cloud-calls":               counted(func(sim *simulation) int { return sim.cloud.calls }),
 	"machines-created":          counted(func(sim *simulation) int { return len(sim.cloud.machines) }),
 }
--- a/internal/scenario/heartbeat_faults.go
+++ b/internal/scenario/heartbeat_faults.go
@@ -10,8 +10,8 @@
 // heartbeatFaults are the faults injected into agent heartbeats. Each share is a probability
 // per heartbeat.
 type heartbeatFaults struct {
-	duplicateShare float64       // delivered a second time after a delay
-	least, most    time.Duration // bounds of the delay of duplicates
+	duplicateShare     float64       // delivered a second time after a delay
+	minDelay, maxDelay time.Duration // bounds of the delay of duplicates
 
 	replayShare float64 // recorded and replayed when the next leader is elected
 	recorded    []*protocol.AgentHeartbeat
@@ -31,7 +31,7 @@
 	if faults.duplicateShare == 0 || s.rand.Float64() >= faults.duplicateShare {
 		return
 	}
-	delay := s.randomBetween(faults.least, faults.most)
+	delay := s.randomBetween(faults.minDelay, faults.maxDelay)
 	receiver := s.hosts[s.rand.IntN(len(s.hosts))]
 	s.after(delay, func() { receiver.receiveHeartbeatCopy(heartbeat) })
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -75,7 +75,7 @@
 		Violations:        sim.checker.violations,
 		UnmetExpectations: unmet,
 		Digest:            sim.trace.digest(),
-		Records:           sim.store.list(),
+		Records:           sim.store.allItems(),
 	}, nil
 }
 
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -39,12 +39,12 @@
 
 // storeCounts are the counters that a scenario's expectations check.
 type storeCounts struct {
-	requests          int // requests of all kinds
-	writes            int // operations that were executed or failed a precondition
-	grantWrites       int
-	finalReads        int // reads of final records
-	rejected          int // transactions over a limit, which no retry can commit
-	inheritedOversize int // values over the announced size limit when that took effect
+	requests               int // requests of all kinds
+	writes                 int // operations that were executed or failed a precondition
+	grantWrites            int
+	finalReads             int // reads of final records
+	rejected               int // transactions over a limit, which no retry can commit
+	oversizedOnLimitChange int // values over the announced size limit when that took effect
 }
 
 // storeLease is a lease. The items written under a lease are deleted when it expires.
@@ -71,8 +71,8 @@
 	}
 }
 
-// refuses reports whether the store fails all requests of a host.
-func (s *fakeStore) refuses(h *host) bool { return s.outage || h.storePartitioned }
+// isUnavailableTo reports whether the store fails all requests of a host.
+func (s *fakeStore) isUnavailableTo(h *host) bool { return s.outage || h.storePartitioned }
 
 // setOutage starts or ends an outage. Leases do not expire during an outage, and the end of
 // the outage renews all leases for their full TTL.
@@ -142,8 +142,8 @@
 	return keys
 }
 
-// list returns all items in the order of their keys.
-func (s *fakeStore) list() []protocol.KeyValue {
+// allItems returns all items in the order of their keys.
+func (s *fakeStore) allItems() []protocol.KeyValue {
 	var items []protocol.KeyValue
 	for _, key := range s.keys("") {
 		items = append(items, *s.items[key])
@@ -237,10 +237,10 @@
 	return changes
 }
 
-// lowerLimits puts the announced limits into effect.
-func (s *fakeStore) lowerLimits() {
+// applyAnnouncedLimits puts the announced limits into effect.
+func (s *fakeStore) applyAnnouncedLimits() {
 	s.setLimits(s.sim.cluster.KVStore.Limits())
-	s.inheritedOversize = s.oversized()
+	s.oversizedOnLimitChange = s.oversized()
 }
 
 // oversized counts the stored values that exceed the current size limit.
--- a/internal/scenario/store_link.go
+++ b/internal/scenario/store_link.go
@@ -38,7 +38,7 @@
 		delay += sim.randomBelow(store.maxLatency)
 	}
 	sim.after(delay, func() {
-		if store.refuses(l.process.host) {
+		if store.isUnavailableTo(l.process.host) {
 			l.sendAnswer(func() { refused(protocol.ErrNotExecuted) })
 			return
 		}
--- a/internal/scenario/store_watch.go
+++ b/internal/scenario/store_watch.go
@@ -39,7 +39,7 @@
 	}
 	sim := w.process.host.sim
 	store := sim.store
-	if store.refuses(w.process.host) {
+	if store.isUnavailableTo(w.process.host) {
 		sim.after(watchRetryInterval, w.expire)
 		return
 	}
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -59,7 +59,7 @@
 	sim := u.sim
 	var serving []*host
 	for _, h := range sim.hosts {
-		if h.process != nil && (!u.healthyControllersOnly || !sim.store.refuses(h)) {
+		if h.process != nil && (!u.healthyControllersOnly || !sim.store.isUnavailableTo(h)) {
 			serving = append(serving, h)
 		}
 	}
