--- a/internal/scenario/checker.go
+++ b/internal/scenario/checker.go
@@ -10,15 +10,15 @@
 	"rockrun/internal/protocol"
 )
 
-// checker watches the rules of the protocol. It sees what really runs, not what
-// the controllers believe.
+// checker verifies the rules of the protocol against the tasks that actually run on the
+// fake machines, not against the controllers' records.
 type checker struct {
 	sim                     *simulation
-	runningOn               map[string][]*fakeAgent // by task
+	runningOn               map[string][]*fakeAgent // agents that run a task, by task name
 	completedTasks          map[string]bool
 	starts                  int
-	startsAfterCancellation int           // after a confirmed one, within the time for cancelling or not
-	livenessFrom            time.Duration // when all faults were over; 0: not yet
+	startsAfterCancellation int           // of jobs whose cancellation was confirmed, within the cancel timeout or after it
+	livenessStart           time.Duration // when checkLiveness was called, once all faults were over; 0: not yet
 	violations              []string
 }
 
@@ -26,15 +26,15 @@
 	return &checker{sim: sim, runningOn: map[string][]*fakeAgent{}, completedTasks: map[string]bool{}}
 }
 
-// violate notes that a rule is broken.
-func (c *checker) violate(broken rule, format string, args ...any) {
-	c.violations = append(c.violations, fmt.Sprintf("%s at %s: %s", broken, c.sim.now, fmt.Sprintf(format, args...)))
+// recordViolation records that a rule was violated, with the time and the details.
+func (c *checker) recordViolation(violated rule, format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%s at %s: %s", violated, c.sim.now, fmt.Sprintf(format, args...)))
 }
 
-// jobOf is the job of a task, as its user knows it.
+// jobOf returns the job of a task, with what its user knows about it.
 func (c *checker) jobOf(task *agentTask) *userJob { return c.sim.users.jobs[task.spec.ID] }
 
-// taskStarted is called when a task has its image and starts.
+// taskStarted is called when a machine has the task's image and starts the task.
 func (c *checker) taskStarted(agent *fakeAgent, task *agentTask) {
 	c.starts++
 	job := c.jobOf(task)
@@ -42,44 +42,44 @@
 		job.startedAt = c.sim.now
 	}
 	if others := c.runningOn[task.Task]; len(others) > 0 {
-		c.violate(ruleRanTwice, "%s starts on %s while on %s", task.Task, agent.machine.Name, others[0].machine.Name)
+		c.recordViolation(ruleRanTwice, "%s starts on %s while it runs on %s", task.Task, agent.machine.Name, others[0].machine.Name)
 	}
 	c.checkPlacement(agent, task)
 	c.checkDependencies(task.Task, job)
 	c.runningOn[task.Task] = append(c.runningOn[task.Task], agent)
 	c.checkNotCancelled(task, job)
-	c.checkQuota(task)
+	c.checkTeamMaximum(task)
 }
 
-// taskAccepted is called when a machine takes an attempt, which may wait for its image. No
-// other machine may have one at the same task that has not ended: only then can no order of
-// fetches and ends let the task run twice.
+// taskAccepted is called when a machine accepts an attempt, which may still have to fetch its
+// image. No other machine may have an attempt at the same task that has not ended: otherwise
+// some order of image fetches and task ends could run the task twice.
 func (c *checker) taskAccepted(agent *fakeAgent, task *agentTask) {
 	for _, other := range c.sim.agents {
 		if other != agent && other.mayRun(task.Task) {
-			c.violate(ruleTwoAttempts, "%s is taken by %s while %s has it", task.Task, agent.machine.Name, other.machine.Name)
+			c.recordViolation(ruleTwoAttempts, "%s is accepted by %s while %s has an attempt that has not ended", task.Task, agent.machine.Name, other.machine.Name)
 		}
 	}
 }
 
-// checkNotCancelled checks that a task that starts is of no job that was cancelled for
-// longer than a cancellation may take.
+// checkNotCancelled checks that a starting task does not belong to a job whose cancellation was
+// confirmed more than the cancel timeout ago.
 func (c *checker) checkNotCancelled(task *agentTask, job *userJob) {
 	if job.cancelledAt == 0 {
 		return
 	}
 	c.startsAfterCancellation++
 	if c.sim.now > job.cancelledAt+c.sim.cluster.Agents.CancelTimeout() {
-		c.violate(ruleRanCancelled, "%s starts %s after its cancellation", task.Task, c.sim.now-job.cancelledAt)
+		c.recordViolation(ruleRanCancelled, "%s starts %s after its cancellation was confirmed", task.Task, c.sim.now-job.cancelledAt)
 	}
 }
 
-// checkQuota checks that what runs of a task's team stays within its maximum.
-func (c *checker) checkQuota(task *agentTask) {
+// checkTeamMaximum checks that the running tasks of a task's team stay within the team's maximum.
+func (c *checker) checkTeamMaximum(task *agentTask) {
 	team := task.spec.Team
 	i := slices.IndexFunc(c.sim.cluster.Teams, func(t config.Team) bool { return t.Name == team })
-	most := c.sim.cluster.Teams[i].MaxCPUs
-	if most <= 0 {
+	maximum := c.sim.cluster.Teams[i].MaxCPUs
+	if maximum <= 0 {
 		return // no maximum
 	}
 	cpus := 0.0
@@ -90,32 +90,32 @@
 			}
 		}
 	}
-	if cpus > most+capacityTolerance {
-		c.violate(ruleQuota, "team %s uses %v of %v CPUs", team, cpus, most)
+	if cpus > maximum+capacityTolerance {
+		c.recordViolation(ruleQuota, "team %s uses %v CPUs, its maximum is %v", team, cpus, maximum)
 	}
 }
 
-// checkPlacement checks that a task starts where its job allows.
+// checkPlacement checks that a task starts on a machine and in a zone that its job allows.
 func (c *checker) checkPlacement(agent *fakeAgent, task *agentTask) {
 	spec := task.spec
 	if !allowedOn(spec, agent.machine) {
-		c.violate(ruleWrongPlace, "%s on %s", task.Task, agent.machine.Name)
+		c.recordViolation(ruleWrongPlacement, "%s starts on %s, which its job does not allow", task.Task, agent.machine.Name)
 	}
 	if !spec.OneZone && !spec.Spread {
-		return // any zone will do
+		return // no constraint on zones
 	}
-	here, elsewhere := c.tasksByZone(task, agent.machine.Zone)
-	here++
+	inZone, elsewhere := c.tasksByZone(task, agent.machine.Zone)
+	inZone++
 	if spec.OneZone && elsewhere > 0 {
-		c.violate(ruleWrongPlace, "%s in zone %s, others elsewhere", task.Task, agent.machine.Zone)
+		c.recordViolation(ruleWrongPlacement, "%s starts in zone %s while other tasks of its job are in other zones", task.Task, agent.machine.Zone)
 	}
-	if spec.Spread && here > (spec.Tasks+1)/2 {
-		c.violate(ruleWrongPlace, "%d of %d tasks of %s in zone %s", here, spec.Tasks, spec.ID, agent.machine.Zone)
+	if spec.Spread && inZone > (spec.Tasks+1)/2 {
+		c.recordViolation(ruleWrongPlacement, "%d of %d tasks of %s are in zone %s", inZone, spec.Tasks, spec.ID, agent.machine.Zone)
 	}
 }
 
-// allowedOn reports whether a job's tasks may be on a machine, for its type, its zone and
-// whether it is a spot machine.
+// allowedOn reports whether a job's tasks may run on a machine, given the machine's type, zone
+// and market (spot or on-demand).
 func allowedOn(spec *protocol.JobSpec, machine *fakeMachine) bool {
 	switch {
 	case machine.Spot && !spec.Spot:
@@ -127,31 +127,31 @@
 	}
 }
 
-// tasksByZone counts the other tasks of a task's job that are on machines, those in a zone
-// and those in others.
-func (c *checker) tasksByZone(task *agentTask, zone string) (here, elsewhere int) {
+// tasksByZone counts the other running tasks of a task's job, separately for the given zone and
+// for all other zones.
+func (c *checker) tasksByZone(task *agentTask, zone string) (inZone, elsewhere int) {
 	for name, agents := range c.runningOn {
 		if !isTaskOf(name, task.spec.ID) || name == task.Task {
 			continue
 		}
 		for _, agent := range agents {
 			if agent.machine.Zone == zone {
-				here++
+				inZone++
 			} else {
 				elsewhere++
 			}
 		}
 	}
-	return here, elsewhere
+	return inZone, elsewhere
 }
 
-// isTaskOf reports whether a name is that of a task of a job.
+// isTaskOf reports whether a task name belongs to a job.
 func isTaskOf(task, job string) bool {
 	id, _, err := protocol.ParseTaskName(task)
 	return err == nil && id == job
 }
 
-// taskLeft is called when a task is no longer on its machine.
+// taskLeft is called when a task no longer runs on its machine.
 func (c *checker) taskLeft(agent *fakeAgent, task *agentTask) {
 	c.runningOn[task.Task] = slices.DeleteFunc(c.runningOn[task.Task], func(other *fakeAgent) bool { return other == agent })
 	if len(c.runningOn[task.Task]) == 0 {
@@ -159,7 +159,7 @@
 	}
 }
 
-// machinesOf lists the machines that tasks of a job are on.
+// machinesOf lists the agents that run tasks of a job, in the order of the task names.
 func (c *checker) machinesOf(job string) []*fakeAgent {
 	var tasks []string
 	for task := range c.runningOn {
@@ -175,7 +175,7 @@
 	return agents
 }
 
-// complete reports whether all tasks of a job have completed.
+// complete reports whether all tasks of a job have actually completed.
 func (c *checker) complete(job *userJob) bool {
 	for task := range job.spec.Tasks {
 		if !c.completedTasks[protocol.TaskName(job.spec.ID, task)] {
@@ -185,35 +185,36 @@
 	return true
 }
 
-// maxUnpolled is for how long polls of a job may be unanswered at the end.
-const maxUnpolled = 90 * time.Second
+// maxUnansweredAtEnd is how long polls of a job may have been unanswered when the scenario ends.
+const maxUnansweredAtEnd = 90 * time.Second
 
-// end checks what only the end of the scenario shows.
+// end checks the rules that can be decided only at the end of the scenario.
 func (c *checker) end() {
 	if c.starts == 0 {
-		c.violate(ruleNothingRan, "no task was started")
+		c.recordViolation(ruleNothingRan, "no task was started")
 	}
-	if id := c.cancelledWithoutCause(); id != "" {
-		c.violate(ruleWentBack, "%s is called cancelled and nothing before it is", id)
+	if id := c.findCancelledWithoutCause(); id != "" {
+		c.recordViolation(ruleInvalidOutcome, "%s is reported cancelled, but neither its user nor a cancelled dependency caused it", id)
 	}
 	for _, job := range c.sim.users.jobs {
-		if job.accepted && job.unansweredSince > 0 && c.sim.now-job.unansweredSince > maxUnpolled {
-			c.violate(ruleForgotten, "no poll for %s was answered since %s", job.spec.ID, job.unansweredSince)
+		if job.accepted && job.unansweredSince > 0 && c.sim.now-job.unansweredSince > maxUnansweredAtEnd {
+			c.recordViolation(ruleJobForgotten, "no poll of %s has been answered since %s", job.spec.ID, job.unansweredSince)
 		}
 	}
 }
 
-// jobDenied is called with an answer that denies a job, which must not be an accepted one.
+// jobDenied is called with an answer that rejects a job or calls it unknown. An accepted job must
+// not get such an answer.
 func (c *checker) jobDenied(job *userJob, id string, status int) {
 	if job != nil && job.accepted {
-		c.violate(ruleForgotten, "%s is answered %d", id, status)
+		c.recordViolation(ruleJobForgotten, "request for the accepted job %s is answered with status %d", id, status)
 	}
 }
 
-// invalidAnswered is called with the answer to a submission that can't run, or that is
-// malformed.
+// invalidAnswered is called with the answer to a submission that is malformed or describes a job
+// that can never run.
 func (c *checker) invalidAnswered(body string, status int) {
 	if status == http.StatusOK || status == http.StatusCreated {
-		c.violate(ruleAcceptedBad, "%.60q is answered %d", body, status)
+		c.recordViolation(ruleInvalidAccepted, "invalid submission %.60q is answered with status %d", body, status)
 	}
 }
--- a/internal/scenario/checker_dependencies.go
+++ b/internal/scenario/checker_dependencies.go
@@ -8,47 +8,49 @@
 	"rockrun/internal/protocol"
 )
 
-// Rules on jobs that depend on others.
+// Rules for jobs with dependencies.
 
-// dependenciesComplete reports whether all jobs that a job depends on are done: as it is,
-// not as anybody was told.
+// dependenciesComplete reports whether all dependencies of a job have actually completed,
+// whatever the users have been told.
 func (c *checker) dependenciesComplete(job *userJob) bool {
-	return !slices.ContainsFunc(job.spec.Dependencies, c.incomplete)
+	return !slices.ContainsFunc(job.spec.Dependencies, c.dependencyIncomplete)
 }
 
-// incomplete reports whether a job that another one names is not done.
-func (c *checker) incomplete(id string) bool {
+// dependencyIncomplete reports whether a job that is named as a dependency is unknown or has not
+// completed.
+func (c *checker) dependencyIncomplete(id string) bool {
 	job := c.sim.users.jobs[id]
 	return job == nil || !c.complete(job)
 }
 
-// checkDependencies is called when a task of a job starts.
+// checkDependencies checks that all dependencies of a job have completed when one of its tasks
+// starts.
 func (c *checker) checkDependencies(task string, job *userJob) {
 	for _, id := range job.spec.Dependencies {
-		if c.incomplete(id) {
-			c.violate(ruleTooEarly, "%s starts before %s is done", task, id)
+		if c.dependencyIncomplete(id) {
+			c.recordViolation(ruleTooEarly, "%s starts before its dependency %s is done", task, id)
 		}
 	}
 }
 
-// dependenciesOf lists the jobs that a job depends on, directly or through others.
+// dependenciesOf lists the direct and indirect dependencies of a job.
 func (c *checker) dependenciesOf(job *userJob) []*userJob {
 	var found []*userJob
-	for open := []*userJob{job}; len(open) > 0; {
-		last := open[len(open)-1]
-		open = open[:len(open)-1]
-		for _, id := range last.spec.Dependencies {
+	for stack := []*userJob{job}; len(stack) > 0; {
+		current := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
+		for _, id := range current.spec.Dependencies {
 			if dependency := c.sim.users.jobs[id]; dependency != nil && !slices.Contains(found, dependency) {
 				found = append(found, dependency)
-				open = append(open, dependency)
+				stack = append(stack, dependency)
 			}
 		}
 	}
 	return found
 }
 
-// dependencyCancelledAt returns since when the users have known that a dependency of a job
-// is cancelled, or false.
+// dependencyCancelledAt returns when a user was first told that a direct or indirect dependency
+// of a job is cancelled; found is false if no dependency is known to be cancelled.
 func (c *checker) dependencyCancelledAt(job *userJob) (since time.Duration, found bool) {
 	for _, dependency := range c.dependenciesOf(job) {
 		if dependency.outcome == protocol.StageCancelled && (!found || dependency.cancelledAt < since) {
@@ -58,38 +60,39 @@
 	return since, found
 }
 
-// mayBeCancelled reports whether a job may be called cancelled that its own user
-// didn't cancel: a dependency was asked to be, and isn't known to be done instead.
-func (c *checker) mayBeCancelled(job *userJob) bool {
+// dependencyMayBeCancelled reports whether a dependency may have caused the cancellation of a
+// job: its cancellation was requested, and no user has been told that it is done instead.
+func (c *checker) dependencyMayBeCancelled(job *userJob) bool {
 	return slices.ContainsFunc(c.dependenciesOf(job), func(dependency *userJob) bool {
 		return dependency.cancelRequested && dependency.outcome != protocol.StageDone
 	})
 }
 
-// checkOrphaned is called when a job is called queued or running.
+// checkOrphaned is called when a job is reported queued or running. That must not happen once one
+// of its dependencies has been cancelled for longer than the cancel timeout.
 func (c *checker) checkOrphaned(job *userJob, stage string) {
 	since, found := c.dependencyCancelledAt(job)
 	since = max(since, job.acceptedAt)
 	if found && c.sim.now > since+c.sim.cluster.Agents.CancelTimeout() {
-		c.violate(ruleOrphaned, "%s is called %s, one before it has been cancelled since %s", job.spec.ID, stage, since)
+		c.recordViolation(ruleOrphaned, "%s is reported %s, but a dependency has been cancelled since %s", job.spec.ID, stage, since)
 	}
 }
 
-// checkDependencyAnswer is called with the answer to a submission; whether all jobs that it
-// names had been accepted is what was so when it was sent.
+// checkDependencyAnswer is called with the answer to a submission. allAccepted tells whether all
+// dependencies that it names had been accepted when the submission was sent.
 func (c *checker) checkDependencyAnswer(job *userJob, status int, allAccepted bool) {
 	dependencies := job.spec.Dependencies
 	switch {
 	case allAccepted && status == http.StatusUnprocessableEntity && len(dependencies) > 0 && !c.dependsOnService(job):
-		c.violate(ruleRefusedNeeds, "%s is answered %d, all that it needs was accepted", job.spec.ID, status)
+		c.recordViolation(ruleDependencyRejected, "%s is answered with status %d although all of its dependencies were accepted", job.spec.ID, status)
 	case status == http.StatusCreated && slices.ContainsFunc(dependencies, c.neverSubmitted):
-		c.violate(ruleInvented, "%s is accepted, and needs one that nobody has submitted", job.spec.ID)
+		c.recordViolation(ruleUnknownJob, "%s is accepted although it depends on a job that nobody submitted", job.spec.ID)
 	}
 }
 
 func (c *checker) neverSubmitted(id string) bool { return c.sim.users.jobs[id] == nil }
 
-// dependsOnService reports whether a job names a service, as no user should.
+// dependsOnService reports whether a job names a service as a dependency, which is invalid.
 func (c *checker) dependsOnService(job *userJob) bool {
 	return slices.ContainsFunc(job.spec.Dependencies, func(id string) bool {
 		dependency := c.sim.users.jobs[id]
--- a/internal/scenario/checker_liveness.go
+++ b/internal/scenario/checker_liveness.go
@@ -8,74 +8,76 @@
 	"rockrun/internal/protocol"
 )
 
-// Rules on what must happen once all faults are over.
+// Liveness rules, which apply once all faults are over.
 
 const (
-	// maxUnanswered is how long after the last fault a job may go unanswered.
-	maxUnanswered = 75 * time.Second
-	// maxWaiting is how long a job may wait once all faults are over while a machine that
-	// fits has room and its team is under its maximum.
-	maxWaiting = 90 * time.Second
-	// livenessPeriod is how often that is checked.
-	livenessPeriod = 5 * time.Second
+	// maxUnansweredAfterFaults is how long polls of a job may be unanswered once all faults are
+	// over.
+	maxUnansweredAfterFaults = 75 * time.Second
+	// maxRunnableWait is how long a runnable job may wait for its first task to run while a
+	// suitable machine has capacity and its team is below its maximum.
+	maxRunnableWait = 90 * time.Second
+	// livenessCheckInterval is the time between two liveness checks.
+	livenessCheckInterval = 5 * time.Second
 )
 
-// checkLiveness is called once all faults are over: from then on no accepted job may go
-// unanswered for long, or wait for nothing.
+// checkLiveness starts the periodic liveness checks. It is called once all faults are over. From
+// then on no accepted job may go unanswered for long, and no runnable job may starve.
 func (c *checker) checkLiveness() {
-	c.livenessFrom = max(c.sim.now, 1)
-	var look func()
-	look = func() {
+	c.livenessStart = max(c.sim.now, 1)
+	var check func()
+	check = func() {
 		c.checkAnswered()
 		c.checkWaiting()
-		c.sim.after(livenessPeriod, look)
+		c.sim.after(livenessCheckInterval, check)
 	}
-	look()
+	check()
 }
 
-// checkAnswered looks for jobs that go unanswered, however others fare.
+// checkAnswered checks every accepted job without a known outcome for polls that stay unanswered
+// for too long.
 func (c *checker) checkAnswered() {
 	for _, job := range c.sim.users.jobs {
-		since := max(c.livenessFrom, job.answeredAt, job.acceptedAt)
-		if job.accepted && job.outcome == "" && c.sim.now-since > maxUnanswered {
-			c.violate(ruleForgotten, "no question about %s was answered since %s", job.spec.ID, since)
+		since := max(c.livenessStart, job.answeredAt, job.acceptedAt)
+		if job.accepted && job.outcome == "" && c.sim.now-since > maxUnansweredAfterFaults {
+			c.recordViolation(ruleJobForgotten, "no poll of %s has been answered since %s", job.spec.ID, since)
 		}
 	}
 }
 
-// checkWaiting looks for jobs that wait for nothing.
+// checkWaiting checks for jobs that have been starved for too long.
 func (c *checker) checkWaiting() {
 	now := c.sim.now
 	for _, id := range slices.Sorted(maps.Keys(c.sim.users.jobs)) {
 		job := c.sim.users.jobs[id]
-		if !c.waitsForNothing(job) {
+		if !c.isStarved(job) {
 			job.waitingSince = 0
 			continue
 		}
 		if job.waitingSince == 0 {
 			job.waitingSince = max(now, 1)
 		}
-		if now-job.waitingSince > maxWaiting {
-			c.violate(ruleLeftWaiting, "%s waits since %s while there is room", id, job.waitingSince)
+		if now-job.waitingSince > maxRunnableWait {
+			c.recordViolation(ruleStarved, "%s has been waiting since %s while a machine has capacity for it", id, job.waitingSince)
 			job.waitingSince = 0
 		}
 	}
 }
 
-// waitsForNothing reports whether a job could run and no task of it does.
-func (c *checker) waitsForNothing(job *userJob) bool {
+// isStarved reports whether a job could run now but none of its tasks does.
+func (c *checker) isStarved(job *userJob) bool {
 	if !job.accepted || job.cancelRequested || job.outcome != "" || job.failsEverywhere {
 		return false
 	}
-	return len(c.machinesOf(job.spec.ID)) == 0 && c.dependenciesComplete(job) && c.withinMaximum(job) && c.hasRoom(job)
+	return len(c.machinesOf(job.spec.ID)) == 0 && c.dependenciesComplete(job) && c.withinMaximum(job) && c.hasCapacityFor(job)
 }
 
-// withinMaximum reports whether one more task of a job is within its team's maximum.
+// withinMaximum reports whether one more task of a job would stay within its team's maximum.
 func (c *checker) withinMaximum(job *userJob) bool {
 	used := 0.0
 	for _, agent := range c.sim.agents {
 		for _, task := range agent.tasks {
-			if task.occupies() && task.spec.Team == job.spec.Team {
+			if task.holdsResources() && task.spec.Team == job.spec.Team {
 				used += task.spec.CPUs
 			}
 		}
@@ -88,24 +90,25 @@
 	return true
 }
 
-// hasRoom reports whether a task of a job fits on a machine that works.
-func (c *checker) hasRoom(job *userJob) bool {
+// hasCapacityFor reports whether a healthy machine that the job allows has capacity for one of its
+// tasks.
+func (c *checker) hasCapacityFor(job *userJob) bool {
 	for _, agent := range c.sim.agents {
-		if agent.fits(&job.spec) && allowedOn(&job.spec, agent.machine) && agent.works() {
+		if agent.fits(&job.spec) && allowedOn(&job.spec, agent.machine) && agent.isHealthy() {
 			return true
 		}
 	}
 	return false
 }
 
-// occupies reports whether a task takes room on its machine.
-func (t *agentTask) occupies() bool { return t.State != protocol.TaskEnded && t.spec != nil }
+// holdsResources reports whether a task occupies CPUs and memory of its machine.
+func (t *agentTask) holdsResources() bool { return t.State != protocol.TaskEnded && t.spec != nil }
 
-// fits reports whether there is room for a task of a job beside what is on the machine.
+// fits reports whether the machine has free capacity for one more task of a job.
 func (a *fakeAgent) fits(spec *protocol.JobSpec) bool {
 	cpus, memory := a.machineType.CPUs, a.machineType.MemoryGB
 	for _, task := range a.tasks {
-		if task.occupies() {
+		if task.holdsResources() {
 			cpus -= task.spec.CPUs
 			memory -= task.spec.MemoryGB
 		}
@@ -113,15 +116,17 @@
 	return spec.CPUs <= cpus+capacityTolerance && spec.MemoryGB <= memory+capacityTolerance
 }
 
-// works reports whether a machine suffers no fault and is not about to be reclaimed.
-func (a *fakeAgent) works() bool {
-	cutOff := a.partitioned || a.inboundPartition || a.outboundPartition
-	return !cutOff && !a.faulty && a.terminatedAt == 0 && !a.isPaused()
+// isHealthy reports whether a machine is not partitioned, paused or failing its tasks, and is not
+// about to be reclaimed.
+func (a *fakeAgent) isHealthy() bool {
+	partitioned := a.partitioned || a.inboundPartition || a.outboundPartition
+	return !partitioned && !a.faulty && a.terminatedAt == 0 && !a.isPaused()
 }
 
-// unservedJob names an accepted job that neither is over nor runs as it should.
-func (c *checker) unservedJob() string {
-	running := map[string]int{} // tasks by job
+// findUnservedJob returns the id of an accepted, uncancelled job that has no outcome and is not a
+// service with all of its replicas running, or "" if there is none.
+func (c *checker) findUnservedJob() string {
+	running := map[string]int{} // number of running tasks by job
 	for task, agents := range c.runningOn {
 		if id, _, err := protocol.ParseTaskName(task); err == nil && len(agents) > 0 {
 			running[id]++
--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -10,8 +10,8 @@
 	"rockrun/internal/protocol"
 )
 
-// idleWorld has one machine with room and one accepted job that fits there.
-func idleWorld() (*simulation, *userJob) {
+// newIdleSimulation returns a simulation with one idle machine and one accepted job that fits on it.
+func newIdleSimulation() (*simulation, *userJob) {
 	sim := newSimulation(config.Cluster{
 		Teams:  []config.Team{{Name: "red", MaxCPUs: 4}},
 		Agents: config.Agents{LeaseSeconds: 30, CancelSeconds: 60},
@@ -25,79 +25,80 @@
 	return sim, job
 }
 
-// sees reports whether the first violation is of a rule.
-func sees(sim *simulation, broken rule) bool {
+// firstViolationIs reports whether the first recorded violation is of the given rule.
+func firstViolationIs(sim *simulation, violated rule) bool {
 	violations := sim.checker.violations
-	return len(violations) > 0 && strings.HasPrefix(violations[0], string(broken))
+	return len(violations) > 0 && strings.HasPrefix(violations[0], string(violated))
 }
 
-// TestCheckerSeesLeftWaiting: a job that waits for 90 s beside room for it is seen,
-// and one that waits for something is not.
-func TestCheckerSeesLeftWaiting(t *testing.T) {
-	for name, c := range map[string]struct {
+// TestCheckerDetectsStarvedJob: the checker reports a job that waits for more than 90 s while a
+// machine has capacity for it. It reports no job that runs or that has a reason to wait.
+func TestCheckerDetectsStarvedJob(t *testing.T) {
+	for name, tc := range map[string]struct {
 		change func(sim *simulation, job *userJob)
 		seen   bool
 	}{
-		"room and limit":     {func(*simulation, *userJob) {}, true},
-		"above limit":        {func(_ *simulation, job *userJob) { job.spec.CPUs = 5 }, false},
+		"capacity and quota": {func(*simulation, *userJob) {}, true},
+		"over team maximum":  {func(_ *simulation, job *userJob) { job.spec.CPUs = 5 }, false},
 		"other zone":         {func(_ *simulation, job *userJob) { job.spec.Zone = "south" }, false},
 		"outbound partition": {func(sim *simulation, _ *userJob) { sim.agents["m-1"].outboundPartition = true }, false},
-		"no room": {func(sim *simulation, _ *userJob) {
+		"no capacity": {func(sim *simulation, _ *userJob) {
 			running := protocol.TaskStatus{State: protocol.TaskRunning}
 			sim.agents["m-1"].tasks = []*agentTask{{TaskStatus: running, spec: &protocol.JobSpec{Team: "blue", CPUs: 3}}}
 		}, false},
-		"it runs": {func(sim *simulation, _ *userJob) {
+		"running": {func(sim *simulation, _ *userJob) {
 			sim.checker.runningOn["run-1/0"] = []*fakeAgent{sim.agents["m-1"]}
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			sim, job := idleWorld()
-			c.change(sim, job)
+			sim, job := newIdleSimulation()
+			tc.change(sim, job)
 			for sim.now = time.Second; sim.now < 3*time.Minute; sim.now += 5 * time.Second {
 				sim.checker.checkWaiting()
 			}
-			if seen := sees(sim, ruleLeftWaiting); seen != c.seen {
-				t.Errorf("seen %t: %v", seen, sim.checker.violations)
+			if seen := firstViolationIs(sim, ruleStarved); seen != tc.seen {
+				t.Errorf("detected %t: %v", seen, sim.checker.violations)
 			}
 		})
 	}
 }
 
-// TestCheckerSeesUnserved: a class, a team or the largest jobs less than half
-// served are seen, and a largest job that begins after four minutes.
-func TestCheckerSeesUnserved(t *testing.T) {
-	sim, small := idleWorld()
+// TestExpectServedDetectsUnservedJobs: the check reports a class, a team or a group of largest
+// jobs of which less than half are served, and a largest job that begins more than four minutes
+// after it was ready.
+func TestExpectServedDetectsUnservedJobs(t *testing.T) {
+	sim, small := newIdleSimulation()
 	sim.now = 10 * time.Minute
 	small.outcome, small.startedAt = protocol.StageDone, time.Second
 	large := &userJob{spec: small.spec}
 	large.accepted, large.outcome, large.startedAt = true, protocol.StageDone, 2*time.Minute
 	large.spec.ID, large.spec.Tasks = "run-2", 100
 	sim.users.jobs["run-2"] = large
-	if why := sim.unserved(0.5, 4*time.Minute); why != "" {
-		t.Errorf("all is served: %s", why)
+	if problem := sim.checkServed(0.5, 4*time.Minute); problem != "" {
+		t.Errorf("every job is served, got %q", problem)
 	}
 	large.startedAt = 5 * time.Minute
-	if why := sim.unserved(0.5, 4*time.Minute); !strings.Contains(why, "begin") {
-		t.Errorf("a largest job began late: %q", why)
+	if problem := sim.checkServed(0.5, 4*time.Minute); !strings.Contains(problem, "begin") {
+		t.Errorf("a largest job that began late is not reported, got %q", problem)
 	}
 	large.startedAt, large.outcome = time.Second, ""
-	if why := sim.unserved(0.5, 4*time.Minute); !strings.Contains(why, "largest") {
-		t.Errorf("no largest job is served: %q", why)
+	if problem := sim.checkServed(0.5, 4*time.Minute); !strings.Contains(problem, "largest") {
+		t.Errorf("a class without a served largest job is not reported, got %q", problem)
 	}
 	large.outcome, small.outcome, small.spec.Class, small.spec.Team = protocol.StageDone, "", "d", "red"
-	if why := sim.unserved(0.5, 4*time.Minute); why == "" {
-		t.Error("a class is not served")
+	if problem := sim.checkServed(0.5, 4*time.Minute); problem == "" {
+		t.Error("a class without a served job is not reported")
 	}
 }
 
-// TestCheckerSeesBadSubmissions: a submission that can't run or lacks a field and is
-// accepted all the same is seen, and one that is refused is not.
-func TestCheckerSeesBadSubmissions(t *testing.T) {
+// TestCheckerDetectsInvalidAccepted: the checker reports an invalid submission that is accepted,
+// and none that is rejected or unanswered.
+func TestCheckerDetectsInvalidAccepted(t *testing.T) {
 	for status, seen := range map[int]bool{200: true, 201: true, 400: false, 422: false, 503: false, 0: false} {
-		sim, _ := idleWorld()
+		sim, _ := newIdleSimulation()
 		sim.checker.invalidAnswered(`{"id":"run-1"}`, status)
-		if got := len(sim.checker.violations) == 1 && sees(sim, ruleAcceptedBad); got != seen {
-			t.Errorf("status %d: seen %t", status, got)
+		if got := len(sim.checker.violations) == 1 && firstViolationIs(sim, ruleInvalidAccepted); got != seen {
+			t.Errorf("status %d: detected %t", status, got)
 		}
 	}
 }
--- a/internal/scenario/combined_faults_test.go
+++ b/internal/scenario/combined_faults_test.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// How many days are drawn in the tests.
+// Number of random scenarios per test.
 const (
-	combinedDays = 40
-	pipelineDays = 30
+	combinedRuns = 40
+	pipelineRuns = 30
 )
 
-// TestRandomFaultsCombined plays days on which faults come in pairs, with overlaps
-// drawn from fixed seeds. The rules hold, and once all is over nothing is left
-// waiting, forgotten or unserved.
+// TestRandomFaultsCombined runs scenarios with pairs of overlapping faults, drawn from fixed seeds.
+// No rule may be violated, and after the last fault every job must be served and its polls
+// answered.
 func TestRandomFaultsCombined(t *testing.T) {
-	for seed := uint64(1); seed <= combinedDays; seed++ {
+	for seed := uint64(1); seed <= combinedRuns; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			playCombinedDay(t, seed, nil)
+			playCombinedFaults(t, seed, nil)
 		})
 	}
 }
 
-// TestRandomPipelines plays such days with pipelines of every shape in them, of which
-// some are cancelled and some get their last job late.
+// TestRandomPipelines runs such scenarios with pipelines of every shape. In some pipelines a job
+// is cancelled, and in some the last job is submitted only when the others have ended.
 func TestRandomPipelines(t *testing.T) {
-	for seed := uint64(1001); seed <= 1000+pipelineDays; seed++ {
+	for seed := uint64(1001); seed <= 1000+pipelineRuns; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			pipelines := &dayWriter{rand: rand.New(rand.NewPCG(seed, 3))}
+			pipelines := &scenarioGenerator{rand: rand.New(rand.NewPCG(seed, 3))}
 			pipelines.drawPipelines()
-			playCombinedDay(t, seed, pipelines.script)
+			playCombinedFaults(t, seed, pipelines.script)
 		})
 	}
 }
 
-// combinedWorld is where such days are played.
+// combinedWorld is the world file of the scenarios with combined faults.
 const combinedWorld = `team red cpus=16 max=32
 team blue cpus=8 max=16
 machine-type small cpus=4 mem=32 price=0.4 spot=0.1 boot=5 fetch=1
@@ -51,24 +51,24 @@
 controller-zone a north
 `
 
-// playCombinedDay draws a day with a seed and plays it, with more lines of a script.
-func playCombinedDay(t *testing.T, seed uint64, more []byte) {
+// playCombinedFaults draws a scenario from a seed, appends more lines to its script and runs it.
+func playCombinedFaults(t *testing.T, seed uint64, more []byte) {
 	t.Helper()
-	day := &dayWriter{rand: rand.New(rand.NewPCG(seed, 2)), expect: []byte("all-served\nserved\n")}
+	generator := &scenarioGenerator{rand: rand.New(rand.NewPCG(seed, 2)), expect: []byte("all-served\nserved\n")}
 	world := []byte(combinedWorld)
-	if day.rand.IntN(2) == 0 {
+	if generator.rand.IntN(2) == 0 {
 		world = append(world, "job-shards n=2\n"...)
 	}
-	if day.rand.IntN(2) == 0 {
+	if generator.rand.IntN(2) == 0 {
 		world = append(world, "controllers 5\n"...)
 	}
-	day.drawCombinedFaults()
-	day.script = append(day.script, more...)
-	day.play(t, world, seed)
+	generator.drawCombinedFaults()
+	generator.script = append(generator.script, more...)
+	generator.play(t, world, seed)
 }
 
-// drawPipelines draws the part of a script in which users submit pipelines.
-func (d *dayWriter) drawPipelines() {
+// drawPipelines draws the lines of a script that submit pipelines.
+func (d *scenarioGenerator) drawPipelines() {
 	r := d.rand
 	for i := range 9 {
 		d.add(seconds(1+r.IntN(200)), "pipeline run-%d shape=%s every=%dms count=%d team=%s tasks=%d cpus=%d run=%d image-gb=%d"+
@@ -81,9 +81,9 @@
 	}
 }
 
-// drawCombinedFaults draws jobs and pairs of faults: each is two that begin within three
-// seconds of each other, with cancellations in between.
-func (d *dayWriter) drawCombinedFaults() {
+// drawCombinedFaults draws jobs and pairs of faults. The two faults of a pair begin within three
+// seconds of each other, and jobs may be cancelled during a pair.
+func (d *scenarioGenerator) drawCombinedFaults() {
 	d.drawCombinedJobs()
 	for at := seconds(25 + d.rand.IntN(15)); at < seconds(200); at += seconds(45 + d.rand.IntN(40)) {
 		for range 2 {
@@ -102,8 +102,8 @@
 	d.add(700*time.Second, "end")
 }
 
-// drawCombinedJobs draws the jobs of a day, of which some are cancelled.
-func (d *dayWriter) drawCombinedJobs() {
+// drawCombinedJobs draws the jobs of a scenario, some of which are cancelled.
+func (d *scenarioGenerator) drawCombinedJobs() {
 	r := d.rand
 	d.add(time.Second, "submit run-1 kind=service priority=critical tasks=3 cpus=2 image-gb=0 spread=1")
 	d.add(time.Second, "submit run-2 kind=service priority=critical team=blue tasks=2 cpus=1 image-gb=1")
@@ -118,20 +118,20 @@
 	}
 }
 
-// someController draws whom a fault meets.
-func (d *dayWriter) someController() string {
+// someController draws the controller that a fault affects.
+func (d *scenarioGenerator) someController() string {
 	return d.oneOf("leader", "holder:0", "holder:1", "a", "b", "c")
 }
 
-// drawOneOfPair draws one fault of a pair, and its end.
-func (d *dayWriter) drawOneOfPair(pair time.Duration) {
+// drawOneOfPair draws one fault of a pair, and when it ends.
+func (d *scenarioGenerator) drawOneOfPair(pair time.Duration) {
 	at := pair + d.millisecondsBelow(3000)
-	lasting := seconds(3 + d.rand.IntN(70))
-	end := at + lasting
+	duration := seconds(3 + d.rand.IntN(70))
+	end := at + duration
 	share := 1 + d.rand.IntN(9) // tenths
 	switch d.rand.IntN(16) {
 	case 0:
-		d.add(at, "store-outage %s", lasting)
+		d.add(at, "store-outage %s", duration)
 	case 1:
 		d.add(at, "partition %s store", d.someController())
 		d.add(end, "heal all store")
@@ -149,15 +149,15 @@
 		d.add(at+100*time.Millisecond+d.millisecondsBelow(6000), "start all")
 	case 6:
 		d.add(at, "crash all")
-		d.add(at+[]time.Duration{200 * time.Millisecond, 3 * time.Second, lasting}[d.rand.IntN(3)], "start all")
+		d.add(at+[]time.Duration{200 * time.Millisecond, 3 * time.Second, duration}[d.rand.IntN(3)], "start all")
 	case 7:
-		d.add(at, "machine-partition some %s share=0.%d", lasting, share)
+		d.add(at, "machine-partition some %s share=0.%d", duration, share)
 	case 8:
-		d.add(at, "machine-pause some %s share=0.%d", lasting, share)
+		d.add(at, "machine-pause some %s share=0.%d", duration, share)
 	case 9:
-		d.add(at, "inbound-partition some %s share=0.%d", lasting, share)
+		d.add(at, "inbound-partition some %s share=0.%d", duration, share)
 	case 10:
-		d.add(at, "outbound-partition some %s share=0.%d", lasting, share)
+		d.add(at, "outbound-partition some %s share=0.%d", duration, share)
 	case 11:
 		d.add(at, "store-lost-answers share=0.%d late=0.8", share/2)
 		d.add(end, "store-lost-answers share=0")
@@ -171,12 +171,12 @@
 		d.add(at, "duplicate-heartbeats share=0.%d least=2s most=70s", share)
 		d.add(end, "duplicate-heartbeats share=0")
 	case 15:
-		d.add(at, "zone-partition north %s", lasting)
+		d.add(at, "zone-partition north %s", duration)
 	}
 }
 
-// drawCancellations draws cancellations during a pair of faults, if any.
-func (d *dayWriter) drawCancellations(pair time.Duration) {
+// drawCancellations draws cancellations during a pair of faults, in two cases of three.
+func (d *scenarioGenerator) drawCancellations(pair time.Duration) {
 	switch d.rand.IntN(3) {
 	case 0:
 		d.add(pair+d.millisecondsBelow(4000), "cancel-running count=%d pause=%ds", 1+d.rand.IntN(4), d.rand.IntN(30))
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -12,20 +12,20 @@
 	"testing"
 )
 
-// updateDigests writes the digests of the runs played instead of comparing them:
+// updateDigests records the digests of the scenarios that run, instead of comparing them:
 //
 //	go test ./internal/scenario -update-digests
-var updateDigests = flag.Bool("update-digests", false, "record the digests of the scenarios played")
+var updateDigests = flag.Bool("update-digests", false, "record the digests of the scenarios that run instead of comparing them")
 
 const digestFile = "testdata/digests.txt"
 
-// digests are the recorded digests of scenarios and random days by the name of their
-// test: what controllers sent, and when. A change that is meant to leave behaviour as it
-// is leaves them as they are; one that is not says in its commit why they change.
+// digests holds the recorded digests of what controllers sent and when, keyed by the name of the
+// test that runs the scenario. A change that preserves behaviour does not change them; the commit
+// of any other change says why they change.
 var digests struct {
 	sync.Mutex
 	recorded map[string]string
-	played   map[string]string
+	played   map[string]string // in this test run
 }
 
 func TestMain(m *testing.M) {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// saveDigests puts the digests of what was played into the file, beside the others.
+// saveDigests writes the digests of this test run to the file and preserves all others.
 func saveDigests() error {
 	maps.Copy(digests.recorded, digests.played)
 	var text bytes.Buffer
@@ -70,8 +70,8 @@
 	return os.WriteFile(digestFile, text.Bytes(), 0o644)
 }
 
-// checkDigest compares what controllers sent in a run with what they sent when its
-// digest was recorded.
+// checkDigest compares the digest of a run with the recorded one. A difference means that
+// controllers sent something else, or at another time, than when the digest was recorded.
 func checkDigest(t *testing.T, result *Result) {
 	t.Helper()
 	digests.Lock()
@@ -82,8 +82,8 @@
 	}
 	switch recorded, known := digests.recorded[t.Name()]; {
 	case !known:
-		t.Errorf("no digest is recorded for this run; it is %s", result.Digest)
+		t.Errorf("no digest is recorded for this run, whose digest is %s", result.Digest)
 	case recorded != result.Digest:
-		t.Errorf("controllers decided otherwise than recorded: digest %s, recorded %s", result.Digest, recorded)
+		t.Errorf("controllers sent other messages than recorded, or at other times: digest %s, recorded %s", result.Digest, recorded)
 	}
 }
--- a/internal/scenario/expect.go
+++ b/internal/scenario/expect.go
@@ -8,11 +8,12 @@
 	"rockrun/internal/storage"
 )
 
-// expectation checks one line of the expectations and says what is not met, or
-// nothing.
+// expectation checks one line of the expect file. It returns how the expectation is not met, or ""
+// if it is met.
 type expectation func(sim *simulation, line *statement) string
 
-// expectations are the verbs of what must be true at the end of a scenario.
+// expectations maps the verbs of the expect file to the functions that check them at the end of a
+// scenario.
 var expectations = map[string]expectation{
 	// Jobs
 	"accepted":                expectAccepted,
@@ -26,49 +27,52 @@
 	"all-served":              expectAllServed,
 	"served":                  expectServed,
 
-	// The cluster
+	// Cluster
 	"machines":         expectMachines,
 	"machine-deleted":  expectMachineDeleted,
 	"job-shards-apart": expectJobShardsApart,
 
-	// The scenario itself
+	// Faults and violations
 	"overlap":  expectOverlap,
 	"violates": expectViolates,
 
-	// Counts, with least= and most=
-	"starts":                    counted(func(sim *simulation) int { return sim.checker.starts }),
-	"starts-after-cancellation": counted(func(sim *simulation) int { return sim.checker.startsAfterCancellation }),
-	"probes":                    counted(func(sim *simulation) int { return sim.users.probeAnswers }),
-	"requests":                  counted(func(sim *simulation) int { return sim.store.requests }),
-	"writes":                    counted(func(sim *simulation) int { return sim.store.writes }),
-	"grants":                    counted(func(sim *simulation) int { return sim.store.grantWrites }),
-	"final-reads":               counted(func(sim *simulation) int { return sim.store.finalReads }),
-	"records":                   counted(func(sim *simulation) int { return len(sim.store.keys(storage.Prefix)) }),
-	"unfinished":                counted(func(sim *simulation) int { return len(sim.store.keys(storage.JobKey(""))) }),
-	"rejected":                  counted(func(sim *simulation) int { return sim.store.rejected }),
-	"oversized":                 counted(func(sim *simulation) int { return sim.store.oversized() }),
-	"inherited-oversized":       counted(func(sim *simulation) int { return sim.store.inheritedOversize }),
-	"cloud-calls":               counted(func(sim *simulation) int { return sim.cloud.calls }),
-	"machines-created":          counted(func(sim *simulation) int { return len(sim.cloud.machines) }),
+	// Counts, bounded by least= and most=
+	"starts":                    expectCount(func(sim *simulation) int { return sim.checker.starts }),
+	"starts-after-cancellation": expectCount(func(sim *simulation) int { return sim.checker.startsAfterCancellation }),
+	"probes":                    expectCount(func(sim *simulation) int { return sim.users.probeAnswers }),
+	"requests":                  expectCount(func(sim *simulation) int { return sim.store.requests }),
+	"writes":                    expectCount(func(sim *simulation) int { return sim.store.writes }),
+	"grants":                    expectCount(func(sim *simulation) int { return sim.store.grantWrites }),
+	"final-reads":               expectCount(func(sim *simulation) int { return sim.store.finalReads }),
+	"records":                   expectCount(func(sim *simulation) int { return len(sim.store.keys(storage.Prefix)) }),
+	"unfinished":                expectCount(func(sim *simulation) int { return len(sim.store.keys(storage.JobKey(""))) }),
+	"rejected":                  expectCount(func(sim *simulation) int { return sim.store.rejected }),
+	"oversized":                 expectCount(func(sim *simulation) int { return sim.store.oversized() }),
+	"inherited-oversized":       expectCount(func(sim *simulation) int { return sim.store.inheritedOversize }),
+	"cloud-calls":               expectCount(func(sim *simulation) int { return sim.cloud.calls }),
+	"machines-created":          expectCount(func(sim *simulation) int { return len(sim.cloud.machines) }),
 }
 
-// counted expects a count within the bounds of a line: "starts least=12 most=12".
-func counted(count func(*simulation) int) expectation {
-	return func(sim *simulation, line *statement) string { return line.bounds(count(sim)) }
+// expectCount returns an expectation that a count is within the bounds of a line:
+// "starts least=12 most=12".
+func expectCount(count func(*simulation) int) expectation {
+	return func(sim *simulation, line *statement) string { return line.checkBounds(count(sim)) }
 }
 
-// bounds says whether a count is outside of a line's least= and most=.
-func (line *statement) bounds(count int) string {
+// checkBounds checks that a count is within a line's least= and most=. It returns a message if the
+// count is outside, else "".
+func (line *statement) checkBounds(count int) string {
 	if n := float64(count); n > line.number("most", math.Inf(1)) || n < line.number("least", 0) {
-		return fmt.Sprintf("there were %d", count)
+		return fmt.Sprintf("the count is %d", count)
 	}
 	return ""
 }
 
-// exceeds says whether something took longer than a line allows with within=.
-func exceeds(line *statement, took time.Duration) string {
-	if limit := line.text("within", ""); limit != "" && took > line.duration(limit) {
-		return fmt.Sprintf("it took %s", took)
+// checkWithin checks an elapsed time against the line's within=, if there is one. It returns a
+// message if the limit is exceeded, else "".
+func checkWithin(line *statement, elapsed time.Duration) string {
+	if limit := line.text("within", ""); limit != "" && elapsed > line.duration(limit) {
+		return fmt.Sprintf("it took %s", elapsed)
 	}
 	return ""
 }
--- a/internal/scenario/expect_cluster.go
+++ b/internal/scenario/expect_cluster.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// expectMachines: "machines kind=spot most=2" counts those that are not deleted.
+// expectMachines: "machines kind=spot most=2" counts the machines that are not deleted.
 func expectMachines(sim *simulation, line *statement) string {
 	kind := line.text("kind", "")
 	count := 0
@@ -14,38 +14,39 @@
 			count++
 		}
 	}
-	return line.bounds(count)
+	return line.checkBounds(count)
 }
 
 // expectMachineDeleted: "machine-deleted m-000000".
 func expectMachineDeleted(sim *simulation, line *statement) string {
 	if machine := sim.cloud.find(line.arg(0)); machine == nil || !machine.deleted {
-		return "it is still there"
+		return "the machine does not exist or is not deleted"
 	}
 	return ""
 }
 
-// expectJobShardsApart: no controller holds both job shards.
+// expectJobShardsApart: "job-shards-apart", no controller holds both job shards.
 func expectJobShardsApart(sim *simulation, _ *statement) string {
 	if first := sim.hostNow(holderPrefix + "0"); first == sim.hostNow(holderPrefix+"1") {
-		return first.name + " holds both"
+		return first.name + " holds both job shards"
 	}
 	return ""
 }
 
-// expectOverlap: "overlap pause store-outage", two faults really overlapped.
+// expectOverlap: "overlap pause store-outage", the two faults overlapped at least once.
 func expectOverlap(sim *simulation, line *statement) string {
 	if sim.faults.overlaps(line.arg(0), line.arg(1)) == 0 {
-		return "they never did"
+		return "the faults never overlapped"
 	}
 	return ""
 }
 
-// expectViolates: "violates quota" is only for scenarios that show that the checker works.
+// expectViolates: "violates quota", the checker reported a violation of the rule. Only scenarios
+// that test the checker use it.
 func expectViolates(sim *simulation, line *statement) string {
-	broken := line.arg(0)
-	if !slices.ContainsFunc(sim.checker.violations, func(violation string) bool { return strings.HasPrefix(violation, broken) }) {
-		return "the checker did not see it"
+	violated := line.arg(0)
+	if !slices.ContainsFunc(sim.checker.violations, func(violation string) bool { return strings.HasPrefix(violation, violated) }) {
+		return "the checker did not report it"
 	}
 	return ""
 }
--- a/internal/scenario/expect_served.go
+++ b/internal/scenario/expect_served.go
@@ -8,15 +8,16 @@
 	"rockrun/internal/protocol"
 )
 
-// expectServed: "served share=0.5 largest=4m", of every class, every team and every class's
-// largest jobs a share is served, and the largest began within a time.
+// expectServed: "served share=0.5 largest=4m", at least the given share of the jobs of every class,
+// of every team and among every class's largest jobs is served, and the largest jobs began within
+// the given time after they were ready.
 func expectServed(sim *simulation, line *statement) string {
-	return sim.unserved(line.number("share", 0.5), line.duration(line.text("largest", "4m")))
+	return sim.checkServed(line.number("share", 0.5), line.duration(line.text("largest", "4m")))
 }
 
-// unserved says of which jobs too small a share is done or runs, or which of the largest
-// began too late, or nothing.
-func (s *simulation) unserved(share float64, begin time.Duration) string {
+// checkServed returns a message that names a group of jobs of which too small a share is served, or
+// a largest job that began too late. It returns "" if there is neither.
+func (s *simulation) checkServed(share float64, maxStartDelay time.Duration) string {
 	classes, teams := s.jobsByClassAndTeam()
 	groups := map[string][]*userJob{}
 	for team, jobs := range teams {
@@ -25,20 +26,20 @@
 	for class, jobs := range classes {
 		groups["class "+class] = jobs
 		largest := largestOf(jobs)
-		if late := s.lateToBegin(largest, begin); late != nil {
+		if late := s.findLateStart(largest, maxStartDelay); late != nil {
 			return fmt.Sprintf("%s with %d tasks did not begin in time", late.spec.ID, late.spec.Tasks)
 		}
 		groups["largest of class "+class] = largest
 	}
 	for name, jobs := range groups {
 		if served := countServed(jobs); float64(served) < share*float64(len(jobs)) {
-			return fmt.Sprintf("%d of %d of %s are served", served, len(jobs), name)
+			return fmt.Sprintf("%d of %d jobs of %s are served", served, len(jobs), name)
 		}
 	}
 	return ""
 }
 
-// jobsByClassAndTeam are the accepted jobs that nobody cancelled.
+// jobsByClassAndTeam groups the accepted, uncancelled jobs by class and by team.
 func (s *simulation) jobsByClassAndTeam() (classes, teams map[string][]*userJob) {
 	classes, teams = map[string][]*userJob{}, map[string][]*userJob{}
 	for _, job := range s.users.jobs {
@@ -51,16 +52,17 @@
 	return classes, teams
 }
 
-// largestOf is the largest tenth of jobs, with all that are as large as the last of them.
+// largestOf returns the tenth of the jobs with the most tasks, and all jobs that have as many tasks
+// as the smallest job of that tenth.
 func largestOf(jobs []*userJob) []*userJob {
 	jobs = slices.Clone(jobs)
 	slices.SortFunc(jobs, func(a, b *userJob) int { return b.spec.Tasks - a.spec.Tasks })
-	least := jobs[max(1, len(jobs)/10)-1].spec.Tasks
-	return slices.DeleteFunc(jobs, func(job *userJob) bool { return job.spec.Tasks < least })
+	smallest := jobs[max(1, len(jobs)/10)-1].spec.Tasks
+	return slices.DeleteFunc(jobs, func(job *userJob) bool { return job.spec.Tasks < smallest })
 }
 
-// lateToBegin finds a job that did not begin within a time after it could, or nil.
-func (s *simulation) lateToBegin(jobs []*userJob, within time.Duration) *userJob {
+// findLateStart returns a job that did not start within a time after it was ready, or nil.
+func (s *simulation) findLateStart(jobs []*userJob, within time.Duration) *userJob {
 	for _, job := range jobs {
 		ready := s.readyAt(job)
 		if job.startedAt == 0 && s.now-ready > within || job.startedAt-ready > within {
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// countServed counts the jobs that are done, and the services that have begun.
+// countServed counts the jobs that are done and the services that have started.
 func countServed(jobs []*userJob) int {
 	count := 0
 	for _, job := range jobs {
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -2,58 +2,59 @@
 
 import "time"
 
-// faultLog notes when each fault lasted. Scenarios that combine faults prove by it that
-// these overlapped.
+// faultLog records when each fault was in effect. Scenarios that combine faults use it to verify
+// that the faults overlapped.
 type faultLog struct {
 	clock *clock
 	spans []faultSpan
 }
 
-// faultSpan is a time during which a fault lasted; an event, such as a confirmed
-// cancellation, is one without length.
+// faultSpan is the time during which a fault was in effect. An event, such as a confirmed
+// cancellation, is a span of length zero.
 type faultSpan struct {
 	name  string
-	key   string // tells those apart that last at the same time
+	key   string // distinguishes faults of the same name that last at the same time
 	begin time.Duration
-	end   time.Duration // stillLasting until it is known
+	end   time.Duration // faultOngoing while the fault lasts
 }
 
-// stillLasting is the end of a fault that has not ended.
-const stillLasting = -1
+// faultOngoing marks the end of a fault that has not ended.
+const faultOngoing = -1
 
-// note notes that a fault lasts for so long from now on.
-func (l *faultLog) note(name string, lasting time.Duration) {
-	l.spans = append(l.spans, faultSpan{name: name, begin: l.clock.now, end: l.clock.now + lasting})
+// note records a fault that begins now and lasts for the given duration.
+func (l *faultLog) note(name string, duration time.Duration) {
+	l.spans = append(l.spans, faultSpan{name: name, begin: l.clock.now, end: l.clock.now + duration})
 }
 
-// begin notes a fault whose end is not known yet; key tells those apart that last at the
-// same time.
+// begin records a fault whose end is not known yet. key distinguishes faults of the same name that
+// last at the same time.
 func (l *faultLog) begin(name, key string) {
-	l.spans = append(l.spans, faultSpan{name: name, key: key, begin: l.clock.now, end: stillLasting})
+	l.spans = append(l.spans, faultSpan{name: name, key: key, begin: l.clock.now, end: faultOngoing})
 }
 
-// end notes that a fault with a key is over, if there was one.
+// end records the end of the ongoing fault with the given name and key, if there is one.
 func (l *faultLog) end(name, key string) {
 	for i := range l.spans {
-		if span := &l.spans[i]; span.name == name && span.key == key && span.end == stillLasting {
+		if span := &l.spans[i]; span.name == name && span.key == key && span.end == faultOngoing {
 			span.end = l.clock.now
 		}
 	}
 }
 
-// A handover is noted from a moment before the grant, while the last holder may
-// still act, until the new one has heard its machines.
+// A handover span begins before the grant, while the previous holder may still act, and ends
+// when the new holder has received heartbeats from its machines.
 const (
 	handoverBefore = time.Second
 	handoverAfter  = 3 * time.Second
 )
 
-// noteHandover notes that the machines of a shard change hands now.
+// noteHandover records that a shard is granted to another holder now.
 func (l *faultLog) noteHandover() {
 	l.spans = append(l.spans, faultSpan{name: "handover", begin: l.clock.now - handoverBefore, end: l.clock.now + handoverAfter})
 }
 
-// overlaps counts the pairs of two faults that lasted at the same time.
+// overlaps counts the pairs of a fault named first and a fault named second that lasted at the
+// same time.
 func (l *faultLog) overlaps(first, second string) int {
 	count := 0
 	for _, one := range l.spans {
@@ -71,7 +72,7 @@
 }
 
 func (l *faultLog) endOf(span faultSpan) time.Duration {
-	if span.end == stillLasting {
+	if span.end == faultOngoing {
 		return l.clock.now
 	}
 	return span.end
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// TestPartitionEndsByAnyName: a controller that was cut off under one name and healed
-// under another counts as partitioned exactly until then.
-func TestPartitionEndsByAnyName(t *testing.T) {
-	sim, _ := idleWorld()
+// TestPartitionHealedUnderAnotherName: a controller that is partitioned under one name, such as
+// leader, and healed under another, such as all, counts as partitioned until the last part of its
+// network is healed, and no longer.
+func TestPartitionHealedUnderAnotherName(t *testing.T) {
+	sim, _ := newIdleSimulation()
 	sim.hosts = []*host{{sim: sim, name: "a"}, {sim: sim, name: "b"}}
-	play := func(at time.Duration, verb, what string) {
+	execute := func(at time.Duration, verb, arguments string) {
 		t.Helper()
-		line := parseStatement(verb + " " + what)
+		line := parseStatement(verb + " " + arguments)
 		do := actions[verb](sim, line)
 		if line.err != nil {
 			t.Fatal(line.err)
@@ -20,33 +21,33 @@
 		sim.now = at
 		do()
 	}
-	play(10*time.Second, "partition", "leader store")
-	play(11*time.Second, "partition", "a peers")
-	play(20*time.Second, "heal", "all store")
+	execute(10*time.Second, "partition", "leader store")
+	execute(11*time.Second, "partition", "a peers")
+	execute(20*time.Second, "heal", "all store")
 	sim.now = 21 * time.Second
-	sim.faults.note("while one part is cut", 0)
-	play(22*time.Second, "heal", "all peers")
+	sim.faults.note("one part left", 0)
+	execute(22*time.Second, "heal", "all peers")
 	sim.now = 23 * time.Second
-	sim.faults.note("after it", 0)
-	if sim.faults.overlaps("partition", "while one part is cut") != 1 || sim.faults.overlaps("partition", "after it") != 0 {
+	sim.faults.note("all healed", 0)
+	if sim.faults.overlaps("partition", "one part left") != 1 || sim.faults.overlaps("partition", "all healed") != 0 {
 		t.Errorf("spans: %+v", sim.faults.spans)
 	}
 }
 
-// TestFaultsOverlap: two faults overlap when one lasts as the other begins, also while
-// their ends are not known, and each key is a fault of its own.
+// TestFaultsOverlap: two faults overlap if one begins while the other lasts, even if their ends are
+// not known yet. Faults with different keys are counted separately.
 func TestFaultsOverlap(t *testing.T) {
-	virtual := &clock{}
-	log := &faultLog{clock: virtual}
+	virtualClock := &clock{}
+	log := &faultLog{clock: virtualClock}
 	log.note("pause", 10)
-	virtual.now = 11
+	virtualClock.now = 11
 	log.begin("down", "a")
 	log.begin("down", "b")
-	virtual.now = 20
+	virtualClock.now = 20
 	log.end("down", "a")
-	virtual.now = 21
+	virtualClock.now = 21
 	log.note("election", 0)
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		first, second string
 		count         int
 	}{
@@ -57,8 +58,8 @@
 		{"down", "down", 2},
 		{"down", "outage", 0},
 	} {
-		if got := log.overlaps(c.first, c.second); got != c.count {
-			t.Errorf("%s and %s overlap %d times, want %d", c.first, c.second, got, c.count)
+		if got := log.overlaps(tc.first, tc.second); got != tc.count {
+			t.Errorf("%s and %s overlap %d times, want %d", tc.first, tc.second, got, tc.count)
 		}
 	}
 }
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -11,14 +11,15 @@
 	"golang.org/x/tools/txtar"
 )
 
-// TestRandomFaults plays days of faults drawn from fixed seeds. Nothing is
-// expected of them but that the rules hold and, as no fault comes in the last minutes,
-// that every accepted array completes.
+// TestRandomFaults runs scenarios with faults drawn from fixed seeds. No rule may be violated and,
+// as the last minutes are free of faults, every uncancelled array that fits beside its team's
+// services must complete.
 func TestRandomFaults(t *testing.T) {
 	world := worldOf(t, "testdata/quiet_day.txtar")
-	// The first four once found tasks on machines outside their job shard's shards, the
-	// others a cancelled job left out of the quota, a share rounded down, and tasks
-	// that take whole machines waiting for those that replicas never leave.
+	// Seeds that detected past faults. The first four: tasks on machines outside the shards of
+	// their job shard. The others: a cancelled job that was not counted in the quota, a quota
+	// share that was rounded down, and tasks that need whole machines waiting for machines that
+	// service replicas never leave.
 	seeds := []uint64{102, 220, 248, 252, 343, 422, 1123, 1181}
 	for seed := uint64(1); seed <= 25; seed++ {
 		seeds = append(seeds, seed)
@@ -30,14 +31,14 @@
 			if seed%2 == 0 {
 				world = append(world, "job-shards n=2\n"...)
 			}
-			day := &dayWriter{rand: rand.New(rand.NewPCG(seed, 1))}
-			day.drawFaultyDay()
-			day.play(t, world, seed)
+			generator := &scenarioGenerator{rand: rand.New(rand.NewPCG(seed, 1))}
+			generator.drawFaultScenario()
+			generator.play(t, world, seed)
 		})
 	}
 }
 
-// worldOf is the world of a scenario.
+// worldOf returns the world file of a scenario.
 func worldOf(t *testing.T, file string) []byte {
 	t.Helper()
 	archive, err := txtar.ParseFile(file)
@@ -46,23 +47,23 @@
 	}
 	i := slices.IndexFunc(archive.Files, func(f txtar.File) bool { return f.Name == fileWorld })
 	if i < 0 {
-		t.Fatalf("%s has no world", file)
+		t.Fatalf("%s has no world file", file)
 	}
 	return archive.Files[i].Data
 }
 
-// drawFaultyDay draws jobs and faults, of which the last is over after 285 s.
-func (d *dayWriter) drawFaultyDay() {
+// drawFaultScenario draws jobs and faults. All faults have ended after 285 s.
+func (d *scenarioGenerator) drawFaultScenario() {
 	d.drawJobs()
 	d.add(0, "store-lost-answers share=0.0%d late=0.5", d.rand.IntN(9))
 	d.add(0, "duplicate-commands share=0.%d", d.rand.IntN(6))
 	for range 10 {
 		d.drawFault()
 	}
-	// Of these each day has a few; they come last so that the days above stay the
-	// ones that once found something.
+	// These draws come last, so that the seeds above still draw the jobs and faults that detected
+	// past faults.
 	for range 3 {
-		d.drawLongFault()
+		d.drawLongOrWideFault()
 	}
 	const over = 285 * time.Second
 	for _, end := range []string{"heal a all", "heal b all", "heal c all", "start all", "store-lost-answers share=0"} {
@@ -71,23 +72,23 @@
 	d.add(700*time.Second, "end")
 }
 
-// drawnArray is an array that nobody cancels.
+// drawnArray is an array that is not cancelled.
 type drawnArray struct {
 	id, cpus int
 	team     string
 }
 
-// drawJobs draws the jobs of a day, and expects the arrays to be done that have room beside
-// the services.
-func (d *dayWriter) drawJobs() {
-	services := map[string]int{} // CPUs of each team's services that nobody cancels
+// drawJobs draws the jobs of a scenario. It expects those uncancelled arrays to complete that fit
+// within their team's maximum beside the team's services.
+func (d *scenarioGenerator) drawJobs() {
+	services := map[string]int{} // CPUs of each team's uncancelled services
 	var arrays []drawnArray
 	for id := 1; id <= 25; id++ {
 		at := 1 + d.rand.IntN(200)
 		team := d.oneOf("red", "blue")
 		if d.rand.IntN(4) == 0 {
 			services[team] += d.drawService(id, at, team)
-		} else if array, kept := d.drawArray(id, at, team); kept {
+		} else if array, uncancelled := d.drawArray(id, at, team); uncancelled {
 			arrays = append(arrays, array)
 		}
 	}
@@ -99,8 +100,9 @@
 	}
 }
 
-// drawService draws a service and returns the CPUs that it keeps, none if it is cancelled.
-func (d *dayWriter) drawService(id, at int, team string) int {
+// drawService draws a service and returns the CPUs that it occupies until the end, 0 if it is
+// cancelled.
+func (d *scenarioGenerator) drawService(id, at int, team string) int {
 	tasks := 1 + d.rand.IntN(3)
 	d.add(seconds(at), "submit run-%d team=%s kind=service priority=critical tasks=%d cpus=1 spread=1 image-gb=%d",
 		id, team, tasks, d.rand.IntN(3))
@@ -111,8 +113,8 @@
 	return tasks
 }
 
-// drawArray draws an array and reports whether nobody cancels it.
-func (d *dayWriter) drawArray(id, at int, team string) (array drawnArray, kept bool) {
+// drawArray draws an array and reports whether it is not cancelled.
+func (d *scenarioGenerator) drawArray(id, at int, team string) (array drawnArray, uncancelled bool) {
 	tasks, cpus := 1+d.rand.IntN(8), 1+d.rand.IntN(4)
 	d.add(seconds(at), "submit run-%d team=%s tasks=%d cpus=%d run=%d image-gb=%d spot=1 checkpoint=%d save=1 repeats=%d",
 		id, team, tasks, cpus, 1+d.rand.IntN(30), d.rand.IntN(4), 5*d.rand.IntN(2), d.rand.IntN(3))
@@ -123,8 +125,8 @@
 	return drawnArray{id: id, cpus: cpus, team: team}, true
 }
 
-// drawFault draws one fault and its end.
-func (d *dayWriter) drawFault() {
+// drawFault draws a fault and when it ends.
+func (d *scenarioGenerator) drawFault() {
 	at := seconds(10 + d.rand.IntN(220))
 	controller := d.oneOf("a", "b", "c")
 	machine := fmt.Sprintf("m-%06d", d.rand.IntN(12))
@@ -152,8 +154,9 @@
 	}
 }
 
-// drawLongFault draws one fault that may last for longer than leases, or meets many.
-func (d *dayWriter) drawLongFault() {
+// drawLongOrWideFault draws a fault that may last longer than a lease or affects many controllers or
+// machines.
+func (d *scenarioGenerator) drawLongOrWideFault() {
 	at := seconds(10 + d.rand.IntN(220))
 	controller := d.oneOf("a", "b", "c")
 	switch d.rand.IntN(4) {
--- a/internal/scenario/random_handovers_test.go
+++ b/internal/scenario/random_handovers_test.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// The soak of handovers is short in CI. A long one is started by hand:
+// The handover soak test is short in CI. A long run is started manually:
 //
 //	go test ./internal/scenario -run TestHandoverSoak -handover-days 20000 -handover-seed 100000 -timeout 0
 var (
-	handoverDays = flag.Uint64("handover-days", 300, "days that the soak of handovers plays")
-	handoverSeed = flag.Uint64("handover-seed", 1, "seed of its first day; the others follow")
+	handoverRuns      = flag.Uint64("handover-days", 300, "number of scenarios in the handover soak test")
+	firstHandoverSeed = flag.Uint64("handover-seed", 1, "seed of the first scenario of the handover soak test; the others use the seeds that follow")
 )
 
-// TestHandoverSoak plays days on which small fleets change hands while messages are lost and
-// late: machines are up within two seconds, holders stand still and come back to find their
-// shard with another, all controllers end within a second, and the cloud, the store and
-// machines are heard late or not at all. Whatever happens, no two machines may have an
-// attempt at a task that may run, and no other rule may be broken. A finding names the seed,
-// with which -handover-seed plays the day again.
+// TestHandoverSoak runs scenarios in which the shards of small fleets change holders while messages
+// are lost or delayed. Machines boot within two seconds, paused holders resume after their shard was
+// granted to another controller, all controllers crash within a second, and messages of the cloud,
+// the store and machines arrive late or not at all. At no time may two machines have an attempt at
+// the same task that may run, and no other rule may be violated. A failure names the seed of its
+// scenario; -handover-seed repeats it.
 func TestHandoverSoak(t *testing.T) {
-	for seed := *handoverSeed; seed < *handoverSeed+*handoverDays; seed++ {
+	for seed := *firstHandoverSeed; seed < *firstHandoverSeed+*handoverRuns; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			day := &dayWriter{rand: rand.New(rand.NewPCG(seed, 4))}
-			world := day.drawHandoverWorld()
-			day.drawHandoverDay()
-			day.playUnrecorded(t, world, seed)
+			generator := &scenarioGenerator{rand: rand.New(rand.NewPCG(seed, 4))}
+			world := generator.drawHandoverWorld()
+			generator.drawHandoverScenario()
+			generator.playUnrecorded(t, world, seed)
 		})
 	}
 }
 
-// drawHandoverWorld draws a small cluster whose machines boot within two seconds. In half of
-// them controllers begin without knowing the limits of the store to come, as the version
-// before does, and are upgraded during the day.
-func (d *dayWriter) drawHandoverWorld() []byte {
+// drawHandoverWorld draws a small cluster whose machines boot within two seconds. In half of the
+// clusters the controllers start without knowing the announced limits of the store, like a version
+// that lacks the setting, and are upgraded during the scenario.
+func (d *scenarioGenerator) drawHandoverWorld() []byte {
 	world := []byte(`team red cpus=24 max=48
 team blue cpus=8 max=24
 machine-type small cpus=4 mem=32 price=0.4 spot=0.1 boot=1 fetch=1
@@ -62,8 +62,8 @@
 	return world
 }
 
-// drawHandoverDay draws waves of work and, with each, faults that meet it.
-func (d *dayWriter) drawHandoverDay() {
+// drawHandoverScenario draws waves of jobs, and faults during each wave.
+func (d *scenarioGenerator) drawHandoverScenario() {
 	d.add(time.Second, "submit run-1 kind=service priority=critical tasks=3 cpus=2 image-gb=0")
 	for wave := range 8 {
 		at := seconds(8+18*wave) + d.millisecondsBelow(6000)
@@ -82,8 +82,8 @@
 	d.add(240*time.Second, "end")
 }
 
-// drawWave draws work of both kinds that needs new machines within a second or two.
-func (d *dayWriter) drawWave(wave int, at time.Duration) {
+// drawWave draws a service and arrays that need new machines within one or two seconds.
+func (d *scenarioGenerator) drawWave(wave int, at time.Duration) {
 	r := d.rand
 	d.add(at, "submit run-%d kind=service priority=critical tasks=%d cpus=%d image-gb=0", 10+wave, 1+r.IntN(3), 2+2*r.IntN(2))
 	for i := range 1 + r.IntN(3) {
@@ -95,11 +95,12 @@
 	}
 }
 
-// drawHandoverFault draws a fault that begins within four seconds of a time, and its end.
-func (d *dayWriter) drawHandoverFault(around time.Duration) {
+// drawHandoverFault draws a fault that begins within four seconds after the given time, and when it
+// ends.
+func (d *scenarioGenerator) drawHandoverFault(around time.Duration) {
 	at := around + d.millisecondsBelow(4000)
 	machine := fmt.Sprintf("m-%06d", d.rand.IntN(20))
-	lasting := seconds(2 + d.rand.IntN(25))
+	duration := seconds(2 + d.rand.IntN(25))
 	share := 2 + d.rand.IntN(8) // tenths
 	switch d.rand.IntN(16) {
 	case 0, 1:
@@ -114,28 +115,28 @@
 		d.add(at, "crash %s", d.someController())
 		d.add(at+200*time.Millisecond+d.millisecondsBelow(5000), "start all")
 	case 7:
-		d.add(at, "machine-partition %s %s", machine, lasting)
+		d.add(at, "machine-partition %s %s", machine, duration)
 	case 8:
-		d.add(at, "outbound-partition some %s share=0.%d", lasting, share)
+		d.add(at, "outbound-partition some %s share=0.%d", duration, share)
 	case 9:
-		d.add(at, "inbound-partition some %s share=0.%d", lasting, share)
+		d.add(at, "inbound-partition some %s share=0.%d", duration, share)
 	case 10:
-		d.add(at, "machine-pause some %s share=0.%d", lasting, share)
+		d.add(at, "machine-pause some %s share=0.%d", duration, share)
 	case 11:
 		d.add(at, "store-lost-answers share=0.%d late=0.8", share/2)
-		d.add(at+lasting, "store-lost-answers share=0")
+		d.add(at+duration, "store-lost-answers share=0")
 	case 12:
 		d.add(at, "duplicate-heartbeats share=0.%d least=2s most=70s", share)
-		d.add(at+lasting, "duplicate-heartbeats share=0")
+		d.add(at+duration, "duplicate-heartbeats share=0")
 	case 13:
 		d.add(at, "delayed-commands share=0.%d least=2s most=16s", share)
-		d.add(at+lasting, "delayed-commands share=0")
+		d.add(at+duration, "delayed-commands share=0")
 	case 14:
 		d.add(at, "store-latency share=0.%d most=2500ms", share)
-		d.add(at+lasting, "store-latency share=0")
+		d.add(at+duration, "store-latency share=0")
 	case 15:
 		controller := d.someController()
 		d.add(at, "partition %s %s", controller, d.oneOf(partAll, partStore, partPeers, partAgents))
-		d.add(at+lasting, "heal all all")
+		d.add(at+duration, "heal all all")
 	}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -12,19 +12,19 @@
 	"golang.org/x/tools/txtar"
 )
 
-// seedsOfScenarios is with how many seeds each scenario is played.
-const seedsOfScenarios = 3
+// seedsPerScenario is the number of seeds with which each scenario runs.
+const seedsPerScenario = 3
 
-// injecting begins the names of scenarios that break a rule on purpose, to show that the
-// checker sees it.
-const injecting = "checker_"
+// injectionPrefix is the file name prefix of scenarios that violate a rule on purpose, to test that
+// the checker detects it.
+const injectionPrefix = "checker_"
 
-// TestScenarios plays every scenario with a few seeds. No rule may be broken, unless the
-// scenario breaks it on purpose.
+// TestScenarios runs every scenario with a few seeds. No rule may be violated, unless the scenario
+// violates one on purpose.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scenarios: %v", err)
+		t.Fatalf("no scenario files in testdata: %v", err)
 	}
 	for _, file := range files {
 		archive, err := txtar.ParseFile(file)
@@ -32,17 +32,17 @@
 			t.Fatal(err)
 		}
 		name := strings.TrimSuffix(filepath.Base(file), ".txtar")
-		for seed := uint64(1); seed <= seedsOfScenarios; seed++ {
+		for seed := uint64(1); seed <= seedsPerScenario; seed++ {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				playScenario(t, archive, seed, strings.HasPrefix(name, injecting))
+				playScenario(t, archive, seed, strings.HasPrefix(name, injectionPrefix))
 			})
 		}
 	}
 }
 
-// playScenario plays a scenario once.
-func playScenario(t *testing.T, archive *txtar.Archive, seed uint64, violationsWanted bool) {
+// playScenario runs a scenario once.
+func playScenario(t *testing.T, archive *txtar.Archive, seed uint64, violationsExpected bool) {
 	t.Helper()
 	var log bytes.Buffer
 	result, err := Run(archive, seed, &log)
@@ -50,23 +50,23 @@
 		t.Fatal(err)
 	}
 	checkDigest(t, result)
-	if !violationsWanted {
+	if !violationsExpected {
 		for _, violation := range result.Violations {
-			t.Errorf("rule broken: %s", violation)
+			t.Errorf("rule violated: %s", violation)
 		}
 	}
 	for _, unmet := range result.UnmetExpectations {
-		t.Errorf("expected %s", unmet)
+		t.Errorf("expectation not met: %s", unmet)
 	}
 	if t.Failed() && testing.Verbose() {
 		t.Log(log.String())
 	}
 }
 
-// TestRunsRepeat: a scenario played again with the same seed makes the same decisions
-// at the same times, so that whatever a run finds can be looked at again. Failovers
-// once depended on the order in which a map was gone through.
-func TestRunsRepeat(t *testing.T) {
+// TestRunIsDeterministic: two runs of a scenario with the same seed make the same decisions at the
+// same times, so that every failure can be reproduced. A past fault made failovers depend on the
+// iteration order of a map.
+func TestRunIsDeterministic(t *testing.T) {
 	for _, name := range []string{"shards_rebalance", "zone_partition_failover", "combined_cancel_on_completion"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -84,15 +84,15 @@
 				t.Fatal("nothing was logged")
 			}
 			if !bytes.Equal(first.Bytes(), second.Bytes()) {
-				t.Error("the second run differs from the first")
+				t.Error("the log of the second run differs from that of the first")
 			}
 		})
 	}
 }
 
-// TestRunNamesTheLine: a line that can't be read is named, with its file and what is wrong.
-func TestRunNamesTheLine(t *testing.T) {
-	for name, c := range map[string]struct {
+// TestRunReportsInvalidLine: the error for an invalid line names the file, the line and the cause.
+func TestRunReportsInvalidLine(t *testing.T) {
+	for name, tc := range map[string]struct {
 		scenario string
 		file     string
 		unknown  bool
@@ -108,9 +108,9 @@
 		"no bound":            {"-- script --\n1s end\n-- expect --\nstarts most=few\n", fileExpect, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Run(txtar.Parse([]byte(c.scenario)), 1, io.Discard)
+			_, err := Run(txtar.Parse([]byte(tc.scenario)), 1, io.Discard)
 			var line *LineError
-			if !errors.As(err, &line) || line.File != c.file || errors.Is(err, ErrUnknownVerb) != c.unknown {
+			if !errors.As(err, &line) || line.File != tc.file || errors.Is(err, ErrUnknownVerb) != tc.unknown {
 				t.Errorf("got %v", err)
 			}
 		})
--- a/internal/scenario/simulation.go
+++ b/internal/scenario/simulation.go
@@ -9,8 +9,8 @@
 	"rockrun/internal/config"
 )
 
-// simulation is the world of a scenario: controllers, the fakes of all that is outside of
-// them, and the faults that they suffer.
+// simulation is the state of a running scenario: the controllers, the fakes of everything outside
+// of them, and the injected faults.
 type simulation struct {
 	clock
 	rand    *rand.Rand
@@ -30,10 +30,11 @@
 	network networkFaults
 }
 
-// wallClockStart is the time of day at which scenarios begin.
+// wallClockStart is the wall-clock time at which scenarios begin.
 var wallClockStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// randomStream tells the random numbers of simulations from others of the same seed.
+// randomStream is the second half of the PCG seed. It keeps the random numbers of simulations
+// independent of other generators with the same seed.
 const randomStream = 7
 
 func newSimulation(cluster config.Cluster, options config.Options, seed uint64, log io.Writer) *simulation {
@@ -43,7 +44,7 @@
 		options: options,
 		agents:  map[string]*fakeAgent{},
 	}
-	sim.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: sim.virtualTime}))
+	sim.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: sim.replaceTime}))
 	sim.faults = &faultLog{clock: &sim.clock}
 	sim.store = newStore(sim)
 	sim.cloud = &fakeCloud{sim: sim, requests: map[string][]string{}, capacity: map[machinePool]int{}}
@@ -53,20 +54,20 @@
 	return sim
 }
 
-// virtualTime lets log lines carry the time of the scenario.
-func (s *simulation) virtualTime(groups []string, a slog.Attr) slog.Attr {
-	if len(groups) == 0 && a.Key == slog.TimeKey {
+// replaceTime replaces the wall-clock time of log lines by the virtual time of the scenario.
+func (s *simulation) replaceTime(groups []string, attr slog.Attr) slog.Attr {
+	if len(groups) == 0 && attr.Key == slog.TimeKey {
 		return slog.Duration("at", s.now)
 	}
-	return a
+	return attr
 }
 
-// randomBelow draws a duration from zero to just below a bound.
+// randomBelow draws a random duration in [0, bound).
 func (s *simulation) randomBelow(bound time.Duration) time.Duration {
 	return time.Duration(s.rand.Int64N(int64(bound)))
 }
 
-// randomBetween draws a duration from least to most, both included.
+// randomBetween draws a random duration in [least, most].
 func (s *simulation) randomBetween(least, most time.Duration) time.Duration {
 	return least + s.randomBelow(most-least+1)
 }
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -13,16 +13,16 @@
 )
 
 // trace is a running digest of everything that controllers send: requests to the
-// key-value store and the cloud, commands, messages to other controllers and answers.
-// Log lines are no part of it, so rewording one does not change a digest, while any
-// other decision, or the same one at another time, does.
+// key-value store and the cloud, commands, messages to other controllers and answers. A
+// different decision, or the same decision at a different time, changes the digest. Log
+// lines are not included, so rewording one does not change it.
 type trace struct {
 	sim  *simulation
 	hash hash.Hash
 }
 
-// Kinds of what is sent to agents and users. Like all kinds they are part of the recorded
-// digests, so their texts stay as they were when these were made.
+// Kinds of messages to agents and users. All kinds are part of the recorded digests, so their
+// texts must not change.
 const (
 	kindHeartbeatAnswer = "report"
 	kindUserAnswer      = "user"
@@ -30,15 +30,15 @@
 
 func newTrace(sim *simulation) *trace { return &trace{sim: sim, hash: sha256.New()} }
 
-// digest identifies all that was sent so far.
+// digest identifies everything that was sent so far.
 func (t *trace) digest() string { return hex.EncodeToString(t.hash.Sum(nil)[:12]) }
 
-// sent takes in a message of a controller as its values, without the names of fields.
+// sent adds a message of a controller to the digest by its values, without field names.
 func (t *trace) sent(controller, kind string, values ...any) {
 	fmt.Fprintln(t.hash, t.sim.now.Nanoseconds(), controller, kind, values)
 }
 
-// sentJSON takes in a message of a controller in its form on the wire.
+// sentJSON adds a message of a controller to the digest in its JSON wire form.
 func (t *trace) sentJSON(controller, kind string, message any) {
 	data, err := json.Marshal(message)
 	if err != nil {
@@ -47,13 +47,14 @@
 	t.sent(controller, kind, string(data))
 }
 
-// answered takes in a controller's answer to an agent or a user.
+// answered adds a controller's answer to an agent or a user to the digest.
 func (t *trace) answered(controller, kind string, answer api.Answer) {
 	t.sentJSON(controller, kind, []any{answer.Status, answer.RetryAfter, answer.Body})
 }
 
-// asked takes in a request to another controller. The heartbeats that it passes on are
-// named only: they are the agents' words, not the controller's.
+// asked adds a request to another controller to the digest. Of the agent heartbeats that the
+// request forwards only the machine names are added: their content comes from the agents, not
+// from the controller.
 func (t *trace) asked(controller, receiver string, request protocol.PeerRequest) {
 	t.sent(controller, "cancelled", receiver, request.Cancelled)
 	heartbeat := request.Heartbeat
@@ -64,11 +65,12 @@
 	for i := range heartbeat.UnrecordedAgents {
 		unrecorded = append(unrecorded, heartbeat.UnrecordedAgents[i].Machine)
 	}
-	within := slices.Sorted(slices.Values(heartbeat.GrantsWithinQuota)) // a set
+	within := slices.Sorted(slices.Values(heartbeat.GrantsWithinQuota)) // a set, sorted for a stable order
 	t.sent(controller, "heartbeat", receiver, heartbeat.Controller, heartbeat.Incarnation, heartbeat.SentAt, heartbeat.Term, heartbeat.StoreStaleness, heartbeat.Leaving, heartbeat.Machines, unrecorded, heartbeat.QuotaSplitVersion, within, heartbeat.ShardHeardAgo)
 }
 
-// replied takes in an answer to another controller.
+// replied adds the heartbeat reply in an answer to another controller to the digest, if there is
+// one.
 func (t *trace) replied(controller string, answer protocol.PeerAnswer) {
 	if answer.Reply != nil {
 		t.sent(controller, "reply", *answer.Reply)
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -9,7 +9,7 @@
 	"rockrun/internal/protocol"
 )
 
-// world is what a scenario's first file describes.
+// world is the environment that the world file of a scenario describes.
 type world struct {
 	cluster                  config.Cluster
 	options                  config.Options
@@ -17,16 +17,16 @@
 	machineTypes             []protocol.MachineType
 	capacity                 map[machinePool]int
 	zones                    map[string]string // of controllers
-	unawareOfAnnouncedLimits bool              // controllers don't know the limits to come
+	unawareOfAnnouncedLimits bool              // the first controller processes don't know the announced limits
 }
 
-// Kinds of machines in capacity and machines.
+// Values of kind= in the capacity declaration and the machines expectation: on-demand or spot.
 const (
-	kindOrdinary = "ordinary"
+	kindOnDemand = "ordinary"
 	kindSpot     = "spot"
 )
 
-// declarations are the verbs of a world.
+// declarations maps the verbs of the world file to the functions that apply them.
 var declarations = map[string]func(w *world, line *statement){
 	"controllers":      declareControllers,
 	"agents":           declareAgents,
@@ -63,8 +63,8 @@
 	}
 }
 
-// declareStore: "store writes=20 value=4 ops=8", the limits in writes a second, KiB a value
-// and operations a transaction.
+// declareStore: "store writes=20 value=4 ops=8", the limits of the key-value store in writes per
+// second, KiB per value and operations per transaction.
 func declareStore(w *world, line *statement) {
 	w.cluster.KVStore = config.KVStore{
 		RequestsPerSecond:     200,
@@ -74,16 +74,16 @@
 	}
 }
 
-// declareAnnouncedLimits says what the store will allow later, as declareStore does. With
-// unaware=1 the controllers' first processes have not been told, like those of a version
-// that does not know the setting.
+// declareAnnouncedLimits: "announced-limits writes=10 value=1 ops=4 unaware=1", the limits that the
+// store will enforce later, in the units of declareStore. With unaware=1 the first process of each
+// controller does not know them, like a version that lacks the setting.
 func declareAnnouncedLimits(w *world, line *statement) {
 	writes, value, ops := line.number("writes", 80), line.number("value", 8), int(line.number("ops", 32))
 	w.cluster.KVStore.Announced = &config.AnnouncedLimits{WritesPerSecond: &writes, ValueKiB: &value, TransactionOperations: &ops}
 	w.unawareOfAnnouncedLimits = line.number("unaware", 0) == 1
 }
 
-// declareTeam: "team red cpus=16 max=32", guaranteed and maximum.
+// declareTeam: "team red cpus=16 max=32", the guaranteed and the maximum CPUs.
 func declareTeam(w *world, line *statement) {
 	w.cluster.Teams = append(w.cluster.Teams, config.Team{
 		Name:           line.arg(0),
@@ -93,7 +93,7 @@
 }
 
 // declareMachineType: "machine-type small cpus=4 mem=32 price=0.4 spot=0.1 boot=5 fetch=1",
-// the prices an hour, the time to boot in seconds and images fetched in GB a second.
+// with prices per hour, the boot time in seconds and the image fetch rate in GB per second.
 func declareMachineType(w *world, line *statement) {
 	w.machineTypes = append(w.machineTypes, protocol.MachineType{
 		Name:            line.arg(0),
@@ -107,9 +107,10 @@
 	})
 }
 
-// declareCapacity: "capacity small north kind=spot count=4", of a type of machine in a zone.
+// declareCapacity: "capacity small north kind=spot count=4", the number of machines of a type that
+// the cloud can provide in a zone.
 func declareCapacity(w *world, line *statement) {
-	pool := machinePool{machineType: line.arg(0), zone: line.arg(1), spot: line.text("kind", kindOrdinary) == kindSpot}
+	pool := machinePool{machineType: line.arg(0), zone: line.arg(1), spot: line.text("kind", kindOnDemand) == kindSpot}
 	w.capacity[pool] = int(line.number("count", 1))
 	for i := range w.machineTypes {
 		if t := &w.machineTypes[i]; t.Name == pool.machineType && !slices.Contains(t.Zones, pool.zone) {
@@ -118,7 +119,7 @@
 	}
 }
 
-// defaultWorld is what there is where a scenario does not say otherwise.
+// defaultWorld returns the values that apply unless a scenario declares others.
 func defaultWorld() *world {
 	return &world{
 		cluster: config.Cluster{
@@ -133,7 +134,7 @@
 	}
 }
 
-// buildWorld reads the world of a scenario and starts its controllers.
+// buildWorld parses the world file of a scenario and starts the simulation that it describes.
 func buildWorld(declared []string, seed uint64, log io.Writer) (*simulation, error) {
 	planned := defaultWorld()
 	for _, text := range declared {
@@ -150,7 +151,7 @@
 	return planned.start(seed, log), nil
 }
 
-// start makes the world and starts its controllers.
+// start creates the simulation and starts its controllers.
 func (w *world) start(seed uint64, log io.Writer) *simulation {
 	sim := newSimulation(w.cluster, w.options, seed, log)
 	sim.cloud.capacity, sim.cloud.types = w.capacity, w.machineTypes
