--- a/internal/scenario/checker.go
+++ b/internal/scenario/checker.go
@@ -56,7 +56,7 @@
 // some order of image fetches and task ends could run the task twice.
 func (c *checker) taskAccepted(agent *fakeAgent, task *agentTask) {
 	for _, other := range c.sim.agents {
-		if other != agent && other.mayRun(task.Task) {
+		if other != agent && other.hasUnfinishedAttempt(task.Task) {
 			c.recordViolation(ruleTwoAttempts, "%s is accepted by %s while %s has an attempt that has not ended", task.Task, agent.machine.Name, other.machine.Name)
 		}
 	}
--- a/internal/scenario/expect.go
+++ b/internal/scenario/expect.go
@@ -48,7 +48,7 @@
 	"unfinished":                expectCount(func(sim *simulation) int { return len(sim.store.keys(storage.JobKey(""))) }),
 	"rejected":                  expectCount(func(sim *simulation) int { return sim.store.rejected }),
 	"oversized":                 expectCount(func(sim *simulation) int { return sim.store.oversized() }),
-	"inherited-oversized":       expectCount(func(sim *simulation) int { return sim.store.inheritedOversize }),
+	"inherited-oversized":       expectCount(func(sim *simulation) int { return sim.store.oversizedOnLimitChange }),
 	"cloud-calls":               expectCount(func(sim *simulation) int { return sim.cloud.calls }),
 	"machines-created":          expectCount(func(sim *simulation) int { return len(sim.cloud.machines) }),
 }
--- a/internal/scenario/expect_cluster.go
+++ b/internal/scenario/expect_cluster.go
@@ -19,7 +19,7 @@
 
 // expectMachineDeleted: "machine-deleted m-000000".
 func expectMachineDeleted(sim *simulation, line *statement) string {
-	if machine := sim.cloud.find(line.arg(0)); machine == nil || !machine.deleted {
+	if machine := sim.cloud.findMachine(line.arg(0)); machine == nil || !machine.deleted {
 		return "the machine does not exist or is not deleted"
 	}
 	return ""
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -66,7 +66,7 @@
 		unrecorded = append(unrecorded, heartbeat.UnrecordedAgents[i].Machine)
 	}
 	within := slices.Sorted(slices.Values(heartbeat.GrantsWithinQuota)) // a set, sorted for a stable order
-	t.sent(controller, "heartbeat", receiver, heartbeat.Controller, heartbeat.Incarnation, heartbeat.SentAt, heartbeat.Term, heartbeat.StoreStaleness, heartbeat.Leaving, heartbeat.Machines, unrecorded, heartbeat.QuotaSplitVersion, within, heartbeat.ShardHeardAgo)
+	t.sent(controller, "heartbeat", receiver, heartbeat.Controller, heartbeat.Incarnation, heartbeat.SentAt, heartbeat.Term, heartbeat.StoreStaleness, heartbeat.Leaving, heartbeat.Machines, unrecorded, heartbeat.QuotaSplitVersion, within, heartbeat.ShardHeartbeatAges)
 }
 
 // replied adds the heartbeat reply in an answer to another controller to the digest, if there is
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -158,10 +158,10 @@
 	for i := range w.controllers {
 		name := string(rune('a' + i))
 		sim.hosts = append(sim.hosts, &host{
-			sim:                      sim,
-			name:                     name,
-			zone:                     w.zones[name],
-			unawareOfAnnouncedLimits: w.unawareOfAnnouncedLimits,
+			sim:                    sim,
+			name:                   name,
+			zone:                   w.zones[name],
+			ignoresAnnouncedLimits: w.unawareOfAnnouncedLimits,
 		})
 	}
 	for _, h := range sim.hosts {
