--- a/internal/scenario/actions_controllers.go
+++ b/internal/scenario/actions_controllers.go
@@ -22,7 +22,7 @@
 	name, lasting := line.arg(0), line.duration(line.arg(1))
 	sim.requireHost(line, name)
 	return func() {
-		sim.faults.note("pause", lasting)
+		sim.faults.record("pause", lasting)
 		sim.hostNow(name).pausedUntil = sim.now + lasting
 	}
 }
@@ -74,7 +74,7 @@
 	h := sim.hostNamed(line, line.arg(0))
 	down := line.duration(line.text("down", "3s"))
 	return func() {
-		sim.faults.note("upgrade", down)
+		sim.faults.record("upgrade", down)
 		h.crash()
 		h.ignoresAnnouncedLimits = false
 		sim.after(down, h.startIfDown)
--- a/internal/scenario/actions_machines.go
+++ b/internal/scenario/actions_machines.go
@@ -8,7 +8,7 @@
 	pick, lasting := sim.machinesOf(line), line.duration(line.arg(1))
 	return func() {
 		for _, agent := range pick() {
-			sim.faults.note("machine-pause", lasting)
+			sim.faults.record("machine-pause", lasting)
 			agent.pause(lasting)
 		}
 	}
@@ -20,7 +20,7 @@
 	pick, lasting, outbound := sim.machinesOf(line), line.duration(line.arg(1)), line.verb == "outbound-partition"
 	return func() {
 		for _, agent := range pick() {
-			sim.faults.note(line.verb, lasting)
+			sim.faults.record(line.verb, lasting)
 			cut := &agent.inboundPartition
 			if outbound {
 				cut = &agent.outboundPartition
@@ -65,7 +65,7 @@
 	pick, lasting := sim.machinesOf(line), line.duration(line.arg(1))
 	return func() {
 		for _, agent := range pick() {
-			sim.faults.note("machine-partition", lasting)
+			sim.faults.record("machine-partition", lasting)
 			agent.partitioned = true
 			sim.after(lasting, agent.heal)
 		}
--- a/internal/scenario/actions_services.go
+++ b/internal/scenario/actions_services.go
@@ -8,7 +8,7 @@
 func actStoreOutage(sim *simulation, line *statement) func() {
 	lasting := line.duration(line.arg(0))
 	return func() {
-		sim.faults.note("store-outage", lasting)
+		sim.faults.record("store-outage", lasting)
 		sim.store.setOutage(true)
 		sim.after(lasting, func() { sim.store.setOutage(false) })
 	}
@@ -38,7 +38,7 @@
 // actStoreLowerLimits: "store-lower-limits" puts the announced limits in force.
 func actStoreLowerLimits(sim *simulation, _ *statement) func() {
 	return func() {
-		sim.faults.note("store-lower-limits", time.Second)
+		sim.faults.record("store-lower-limits", time.Second)
 		sim.store.applyAnnouncedLimits()
 	}
 }
--- a/internal/scenario/actions_users.go
+++ b/internal/scenario/actions_users.go
@@ -106,7 +106,7 @@
 	lasting := line.duration(line.arg(0))
 	cancelled := line.number("cancelled", 0)
 	return func() {
-		sim.faults.note("read-your-writes", lasting)
+		sim.faults.record("read-your-writes", lasting)
 		sim.users.probeUntil, sim.users.cancelOnAcceptShare = sim.now+lasting, cancelled
 	}
 }
@@ -115,7 +115,7 @@
 func actInvalidRequests(sim *simulation, line *statement) func() {
 	lasting := line.duration(line.arg(0))
 	return func() {
-		sim.faults.note("invalid-requests", lasting)
+		sim.faults.record("invalid-requests", lasting)
 		sim.users.sendInvalid(sim.now + lasting)
 	}
 }
--- a/internal/scenario/agent.go
+++ b/internal/scenario/agent.go
@@ -98,7 +98,7 @@
 
 func (a *fakeAgent) removeAllTasks() {
 	for _, task := range a.tasks {
-		a.sim.checker.taskLeft(a, task)
+		a.sim.checker.taskRemoved(a, task)
 	}
 	a.tasks = nil
 }
--- a/internal/scenario/agent_heartbeat.go
+++ b/internal/scenario/agent_heartbeat.go
@@ -93,7 +93,7 @@
 	}
 	process.guard(func() {
 		process.controller.OnAgentHeartbeat(heartbeat, func(answer api.Answer) {
-			sim.trace.answered(process.host.name, kindHeartbeatAnswer, answer)
+			sim.trace.recordAnswer(process.host.name, kindHeartbeatAnswer, answer)
 			sim.after(sim.latency(), func() {
 				if !agent.partitioned && !agent.inboundPartition && sim.reachable(process.host, agent) {
 					x.handleAnswer(answer)
--- a/internal/scenario/agent_link.go
+++ b/internal/scenario/agent_link.go
@@ -31,7 +31,7 @@
 // Execute implements coordination.Agents.
 func (l agentLink) Execute(address string, request protocol.CommandRequest, done func(*protocol.AgentHeartbeat, bool, error)) {
 	sim := l.process.host.sim
-	sim.trace.sentJSON(l.process.host.name, "command "+address, request)
+	sim.trace.recordJSON(l.process.host.name, "command "+address, request)
 	delivery := &commandDelivery{sim: sim, sender: l.process, request: request, done: done}
 	agent := sim.agentAt(address)
 	switch {
@@ -81,7 +81,7 @@
 // token and epoch.
 func (d *commandDelivery) deliverLate(agent *fakeAgent) {
 	delay := d.sim.randomBetween(d.sim.network.commands.minDelay, d.sim.network.commands.maxDelay)
-	d.sim.faults.note("delayed-command", delay)
+	d.sim.faults.record("delayed-command", delay)
 	d.sim.after(delay, func() {
 		if !agent.dead && !agent.isPaused() {
 			agent.execute(d.request)
@@ -95,7 +95,7 @@
 	sim := d.sim
 	requestDelay, answerDelay := sim.latency(), time.Duration(0)
 	if sim.network.commands.latencyShare > 0 && sim.rand.Float64() < sim.network.commands.latencyShare {
-		sim.faults.note("command-latency", sim.network.commands.maxLatency)
+		sim.faults.record("command-latency", sim.network.commands.maxLatency)
 		delay := sim.randomBelow(sim.network.commands.maxLatency)
 		if sim.rand.IntN(2) == 0 {
 			requestDelay += delay
--- a/internal/scenario/agent_tasks.go
+++ b/internal/scenario/agent_tasks.go
@@ -111,7 +111,7 @@
 func (a *fakeAgent) complete(task *agentTask, job *userJob) {
 	a.sim.checker.completedTasks[task.Task] = true
 	a.end(task, protocol.CauseDone)
-	if a.sim.checker.complete(job) {
+	if a.sim.checker.isComplete(job) {
 		job.completedAt = a.sim.now
 		a.sim.users.completed(job)
 	}
@@ -136,7 +136,7 @@
 // end moves an attempt to the ended state with a cause.
 func (a *fakeAgent) end(task *agentTask, cause string) {
 	if task.active() {
-		a.sim.checker.taskLeft(a, task)
+		a.sim.checker.taskRemoved(a, task)
 	}
 	task.timerGeneration++
 	task.Cause = cause
--- a/internal/scenario/checker.go
+++ b/internal/scenario/checker.go
@@ -151,16 +151,16 @@
 	return err == nil && id == job
 }
 
-// taskLeft is called when a task no longer runs on its machine.
-func (c *checker) taskLeft(agent *fakeAgent, task *agentTask) {
+// taskRemoved is called when a task no longer runs on its machine.
+func (c *checker) taskRemoved(agent *fakeAgent, task *agentTask) {
 	c.runningOn[task.Task] = slices.DeleteFunc(c.runningOn[task.Task], func(other *fakeAgent) bool { return other == agent })
 	if len(c.runningOn[task.Task]) == 0 {
 		delete(c.runningOn, task.Task)
 	}
 }
 
-// machinesOf lists the agents that run tasks of a job, in the order of the task names.
-func (c *checker) machinesOf(job string) []*fakeAgent {
+// agentsOf lists the agents that run tasks of a job, in the order of the task names.
+func (c *checker) agentsOf(job string) []*fakeAgent {
 	var tasks []string
 	for task := range c.runningOn {
 		if isTaskOf(task, job) {
@@ -175,8 +175,8 @@
 	return agents
 }
 
-// complete reports whether all tasks of a job have actually completed.
-func (c *checker) complete(job *userJob) bool {
+// isComplete reports whether all tasks of a job have actually completed.
+func (c *checker) isComplete(job *userJob) bool {
 	for task := range job.spec.Tasks {
 		if !c.completedTasks[protocol.TaskName(job.spec.ID, task)] {
 			return false
@@ -188,8 +188,8 @@
 // maxUnansweredAtEnd is how long polls of a job may have been unanswered when the scenario ends.
 const maxUnansweredAtEnd = 90 * time.Second
 
-// end checks the rules that can be decided only at the end of the scenario.
-func (c *checker) end() {
+// checkFinalState checks the rules that can be decided only at the end of the scenario.
+func (c *checker) checkFinalState() {
 	if c.starts == 0 {
 		c.recordViolation(ruleNothingRan, "no task was started")
 	}
@@ -211,9 +211,9 @@
 	}
 }
 
-// invalidAnswered is called with the answer to a submission that is malformed or describes a job
+// invalidSubmissionAnswered is called with the answer to a submission that is malformed or describes a job
 // that can never run.
-func (c *checker) invalidAnswered(body string, status int) {
+func (c *checker) invalidSubmissionAnswered(body string, status int) {
 	if status == http.StatusOK || status == http.StatusCreated {
 		c.recordViolation(ruleInvalidAccepted, "invalid submission %.60q is answered with status %d", body, status)
 	}
--- a/internal/scenario/checker_dependencies.go
+++ b/internal/scenario/checker_dependencies.go
@@ -20,7 +20,7 @@
 // completed.
 func (c *checker) dependencyIncomplete(id string) bool {
 	job := c.sim.users.jobs[id]
-	return job == nil || !c.complete(job)
+	return job == nil || !c.isComplete(job)
 }
 
 // checkDependencies checks that all dependencies of a job have completed when one of its tasks
--- a/internal/scenario/checker_liveness.go
+++ b/internal/scenario/checker_liveness.go
@@ -69,7 +69,7 @@
 	if !job.accepted || job.cancelRequested || job.outcome != "" || job.failsEverywhere {
 		return false
 	}
-	return len(c.machinesOf(job.spec.ID)) == 0 && c.dependenciesComplete(job) && c.withinMaximum(job) && c.hasCapacityFor(job)
+	return len(c.agentsOf(job.spec.ID)) == 0 && c.dependenciesComplete(job) && c.withinMaximum(job) && c.hasCapacityFor(job)
 }
 
 // withinMaximum reports whether one more task of a job would stay within its team's maximum.
--- a/internal/scenario/checker_outcomes.go
+++ b/internal/scenario/checker_outcomes.go
@@ -33,7 +33,7 @@
 
 // checkDoneAnswer checks that all tasks of a job that is reported done have completed.
 func (c *checker) checkDoneAnswer(job *userJob) {
-	if !c.complete(job) {
+	if !c.isComplete(job) {
 		c.recordViolation(ruleNotDone, "%s is reported done, but not all of its tasks are", job.spec.ID)
 	}
 }
@@ -49,7 +49,7 @@
 		return
 	}
 	job.cancelledAt = c.sim.now
-	c.sim.faults.note("cancel-confirmed", 0)
+	c.sim.faults.record("cancel-confirmed", 0)
 	c.sim.after(c.sim.cluster.Agents.CancelTimeout(), func() { c.checkNotRunning(job.spec.ID) })
 }
 
--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -96,7 +96,7 @@
 func TestCheckerDetectsInvalidAccepted(t *testing.T) {
 	for status, seen := range map[int]bool{200: true, 201: true, 400: false, 422: false, 503: false, 0: false} {
 		sim, _ := newIdleSimulation()
-		sim.checker.invalidAnswered(`{"id":"run-1"}`, status)
+		sim.checker.invalidSubmissionAnswered(`{"id":"run-1"}`, status)
 		if got := len(sim.checker.violations) == 1 && firstViolationIs(sim, ruleInvalidAccepted); got != seen {
 			t.Errorf("status %d: detected %t", status, got)
 		}
--- a/internal/scenario/cloud_link.go
+++ b/internal/scenario/cloud_link.go
@@ -17,7 +17,7 @@
 type cloudLink struct{ process *process }
 
 func (l cloudLink) traceSent(kind string, message any) {
-	l.process.host.sim.trace.sentJSON(l.process.host.name, kind, message)
+	l.process.host.sim.trace.recordJSON(l.process.host.name, kind, message)
 }
 
 // call sends a request. serve executes the request and returns the callback for the arrival
--- a/internal/scenario/expect_jobs.go
+++ b/internal/scenario/expect_jobs.go
@@ -81,7 +81,7 @@
 func expectRunning(sim *simulation, line *statement) string {
 	count := 0
 	if job := sim.users.jobs[line.arg(0)]; job != nil {
-		count = len(sim.checker.machinesOf(job.spec.ID))
+		count = len(sim.checker.agentsOf(job.spec.ID))
 	}
 	if strconv.Itoa(count) != line.arg(1) {
 		return fmt.Sprintf("%d tasks are running", count)
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -21,8 +21,8 @@
 // faultOngoing marks the end of a fault that has not ended.
 const faultOngoing = -1
 
-// note records a fault that begins now and lasts for the given duration.
-func (l *faultLog) note(name string, duration time.Duration) {
+// record records a fault that begins now and lasts for the given duration.
+func (l *faultLog) record(name string, duration time.Duration) {
 	l.spans = append(l.spans, faultSpan{name: name, begin: l.clock.now, end: l.clock.now + duration})
 }
 
@@ -48,8 +48,8 @@
 	handoverAfter  = 3 * time.Second
 )
 
-// noteHandover records that a shard is granted to another holder now.
-func (l *faultLog) noteHandover() {
+// recordHandover records that a shard is granted to another holder now.
+func (l *faultLog) recordHandover() {
 	l.spans = append(l.spans, faultSpan{name: "handover", begin: l.clock.now - handoverBefore, end: l.clock.now + handoverAfter})
 }
 
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -25,10 +25,10 @@
 	execute(11*time.Second, "partition", "a peers")
 	execute(20*time.Second, "heal", "all store")
 	sim.now = 21 * time.Second
-	sim.faults.note("one part left", 0)
+	sim.faults.record("one part left", 0)
 	execute(22*time.Second, "heal", "all peers")
 	sim.now = 23 * time.Second
-	sim.faults.note("all healed", 0)
+	sim.faults.record("all healed", 0)
 	if sim.faults.overlaps("partition", "one part left") != 1 || sim.faults.overlaps("partition", "all healed") != 0 {
 		t.Errorf("spans: %+v", sim.faults.spans)
 	}
@@ -39,14 +39,14 @@
 func TestFaultsOverlap(t *testing.T) {
 	virtualClock := &clock{}
 	log := &faultLog{clock: virtualClock}
-	log.note("pause", 10)
+	log.record("pause", 10)
 	virtualClock.now = 11
 	log.begin("down", "a")
 	log.begin("down", "b")
 	virtualClock.now = 20
 	log.end("down", "a")
 	virtualClock.now = 21
-	log.note("election", 0)
+	log.record("election", 0)
 	for _, tc := range []struct {
 		first, second string
 		count         int
--- a/internal/scenario/heartbeat_faults.go
+++ b/internal/scenario/heartbeat_faults.go
@@ -40,7 +40,7 @@
 // elected.
 func (s *simulation) replayHeartbeats() {
 	if len(s.network.heartbeats.recorded) > 0 {
-		s.faults.note("replayed-heartbeats", time.Second)
+		s.faults.record("replayed-heartbeats", time.Second)
 	}
 	for _, heartbeat := range s.network.heartbeats.recorded {
 		for _, receiver := range s.hosts {
@@ -59,7 +59,7 @@
 	}
 	p.guard(func() {
 		p.controller.OnAgentHeartbeat(heartbeat, func(answer api.Answer) {
-			h.sim.trace.answered(h.name, kindHeartbeatAnswer, answer)
+			h.sim.trace.recordAnswer(h.name, kindHeartbeatAnswer, answer)
 		})
 	})()
 }
--- a/internal/scenario/network.go
+++ b/internal/scenario/network.go
@@ -30,7 +30,7 @@
 // controllers inside the zone still reach each other; the controllers lose all their peers.
 // Heartbeats in transit and their answers are lost.
 func (s *simulation) partitionZone(zone string, duration time.Duration) {
-	s.faults.note("zone-partition", duration)
+	s.faults.record("zone-partition", duration)
 	s.network.partitionedZone = zone
 	s.setHostsPartitioned(zone, true)
 	s.after(duration, func() {
--- a/internal/scenario/peer_link.go
+++ b/internal/scenario/peer_link.go
@@ -16,7 +16,7 @@
 func (l peerLink) SendRequest(peer string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	from := l.process.host
 	sim := from.sim
-	sim.trace.asked(from.name, peer, request)
+	sim.trace.recordPeerRequest(from.name, peer, request)
 	to := sim.findHost(peer)
 	if to == nil || to.process == nil || to.peersPartitioned || from.peersPartitioned {
 		l.fail(done)
@@ -41,7 +41,7 @@
 	}
 	receiver.guard(func() {
 		receiver.controller.OnPeer(request, func(answer protocol.PeerAnswer) {
-			sim.trace.replied(receiver.host.name, answer)
+			sim.trace.recordPeerReply(receiver.host.name, answer)
 			sim.after(sim.latency(), l.process.guard(func() { done(answer, nil) }))
 		})
 	})()
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	sim.run(end)
-	sim.checker.end()
+	sim.checker.checkFinalState()
 	unmet, err := sim.unmetExpectations(files[fileExpect])
 	if err != nil {
 		return nil, err
--- a/internal/scenario/select.go
+++ b/internal/scenario/select.go
@@ -100,7 +100,7 @@
 	return s.hosts[0]
 }
 
-// machinesOf picks machines that are up: the one that a line names, or a share of them
+// agentsOf picks machines that are up: the one that a line names, or a share of them
 // all, of a zone where one is given.
 func (s *simulation) machinesOf(line *statement) func() []*fakeAgent {
 	name, zone, share := line.arg(0), line.text("zone", ""), line.number("share", 1)
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -202,14 +202,14 @@
 	key := operation.Put
 	if key == storage.KeyLeader {
 		s.sim.faults.end("leaderless", "")
-		s.sim.faults.note("election", 0)
+		s.sim.faults.record("election", 0)
 		s.sim.replayHeartbeats()
 	}
 	s.items[key] = &protocol.KeyValue{Key: key, Value: operation.Value, Version: s.revision, Lease: operation.Lease}
 	s.recordChange(protocol.Event{Put: key, Value: operation.Value, Version: s.revision})
 	if path.Dir(key) == path.Dir(storage.GrantKey(0)) {
 		s.grantWrites++
-		s.sim.faults.noteHandover()
+		s.sim.faults.recordHandover()
 	}
 }
 
--- a/internal/scenario/store_link.go
+++ b/internal/scenario/store_link.go
@@ -23,7 +23,7 @@
 type storeLink struct{ process *process }
 
 func (l storeLink) traceSent(kind string, values ...any) {
-	l.process.host.sim.trace.sent(l.process.host.name, kind, values...)
+	l.process.host.sim.trace.record(l.process.host.name, kind, values...)
 }
 
 // call sends a request. serve executes the request on arrival and returns the callback for
@@ -92,11 +92,11 @@
 // Commit implements kv.Store.
 func (l storeLink) Commit(transaction protocol.Transaction, done func(uint64, error)) {
 	sim := l.process.host.sim
-	sim.trace.sentJSON(l.process.host.name, "transaction", transaction)
+	sim.trace.recordJSON(l.process.host.name, "transaction", transaction)
 	l.call(func(store *fakeStore) func() {
 		if sim.rand.Float64() < store.lostAnswerShare {
 			store.commitUnanswered(transaction)
-			sim.faults.note("lost-answer", transactionTimeout)
+			sim.faults.record("lost-answer", transactionTimeout)
 			sim.after(transactionTimeout, l.process.guard(func() { done(0, protocol.ErrOutcomeUnknown) }))
 			return nil
 		}
@@ -114,7 +114,7 @@
 		return
 	}
 	delay := sim.randomBelow(maxTransactionDelay)
-	sim.faults.note("delayed-write", delay)
+	sim.faults.record("delayed-write", delay)
 	sim.after(delay, func() {
 		if !s.outage {
 			_, _ = s.commit(transaction)
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -33,30 +33,30 @@
 // digest identifies everything that was sent so far.
 func (t *trace) digest() string { return hex.EncodeToString(t.hash.Sum(nil)[:12]) }
 
-// sent adds a message of a controller to the digest by its values, without field names.
-func (t *trace) sent(controller, kind string, values ...any) {
+// record adds a message of a controller to the digest by its values, without field names.
+func (t *trace) record(controller, kind string, values ...any) {
 	fmt.Fprintln(t.hash, t.sim.now.Nanoseconds(), controller, kind, values)
 }
 
-// sentJSON adds a message of a controller to the digest in its JSON wire form.
-func (t *trace) sentJSON(controller, kind string, message any) {
+// recordJSON adds a message of a controller to the digest in its JSON wire form.
+func (t *trace) recordJSON(controller, kind string, message any) {
 	data, err := json.Marshal(message)
 	if err != nil {
 		panic(fmt.Sprintf("scenario: encode %T: %v", message, err))
 	}
-	t.sent(controller, kind, string(data))
+	t.record(controller, kind, string(data))
 }
 
-// answered adds a controller's answer to an agent or a user to the digest.
-func (t *trace) answered(controller, kind string, answer api.Answer) {
-	t.sentJSON(controller, kind, []any{answer.Status, answer.RetryAfter, answer.Body})
+// recordAnswer adds a controller's answer to an agent or a user to the digest.
+func (t *trace) recordAnswer(controller, kind string, answer api.Answer) {
+	t.recordJSON(controller, kind, []any{answer.Status, answer.RetryAfter, answer.Body})
 }
 
-// asked adds a request to another controller to the digest. Of the agent heartbeats that the
+// recordPeerRequest adds a request to another controller to the digest. Of the agent heartbeats that the
 // request forwards only the machine names are added: their content comes from the agents, not
 // from the controller.
-func (t *trace) asked(controller, receiver string, request protocol.PeerRequest) {
-	t.sent(controller, "cancelled", receiver, request.Cancelled)
+func (t *trace) recordPeerRequest(controller, receiver string, request protocol.PeerRequest) {
+	t.record(controller, "cancelled", receiver, request.Cancelled)
 	heartbeat := request.Heartbeat
 	if heartbeat == nil {
 		return
@@ -66,13 +66,13 @@
 		unrecorded = append(unrecorded, heartbeat.UnrecordedAgents[i].Machine)
 	}
 	within := slices.Sorted(slices.Values(heartbeat.GrantsWithinQuota)) // a set, sorted for a stable order
-	t.sent(controller, "heartbeat", receiver, heartbeat.Controller, heartbeat.Incarnation, heartbeat.SentAt, heartbeat.Term, heartbeat.StoreStaleness, heartbeat.Leaving, heartbeat.Machines, unrecorded, heartbeat.QuotaSplitVersion, within, heartbeat.ShardHeartbeatAges)
+	t.record(controller, "heartbeat", receiver, heartbeat.Controller, heartbeat.Incarnation, heartbeat.SentAt, heartbeat.Term, heartbeat.StoreStaleness, heartbeat.Leaving, heartbeat.Machines, unrecorded, heartbeat.QuotaSplitVersion, within, heartbeat.ShardHeartbeatAges)
 }
 
-// replied adds the heartbeat reply in an answer to another controller to the digest, if there is
+// recordPeerReply adds the heartbeat reply in an answer to another controller to the digest, if there is
 // one.
-func (t *trace) replied(controller string, answer protocol.PeerAnswer) {
+func (t *trace) recordPeerReply(controller string, answer protocol.PeerAnswer) {
 	if answer.Reply != nil {
-		t.sent(controller, "reply", *answer.Reply)
+		t.record(controller, "reply", *answer.Reply)
 	}
 }
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -83,7 +83,7 @@
 	sim.after(userTimeout, func() { once(api.Answer{}) })
 	sim.after(sim.latency(), process.guard(func() {
 		call(process.controller, func(answer api.Answer) {
-			sim.trace.answered(process.host.name, kindUserAnswer, answer)
+			sim.trace.recordAnswer(process.host.name, kindUserAnswer, answer)
 			sim.after(sim.latency(), func() { once(answer) })
 		})
 	}))
@@ -239,7 +239,7 @@
 // repeat its submission at that very moment.
 func (u *fakeUsers) completed(job *userJob) {
 	if u.cancelOnCompletionShare > 0 && u.sim.rand.Float64() < u.cancelOnCompletionShare && !job.cancelRequested {
-		u.sim.faults.note("cancel-on-completion", time.Second)
+		u.sim.faults.record("cancel-on-completion", time.Second)
 		u.cancel(job)
 		u.submit(job)
 	}
