--- a/internal/scenario/actions.go
+++ b/internal/scenario/actions.go
@@ -1,12 +1,11 @@
 package scenario
 
-// action reads the arguments of a line of the script and returns what the line
-// does. What is named only at that time (a machine, "leader") is looked up when
-// it happens.
-type action func(sim *simulation, line *statement) func()
+// actionParser parses the arguments of a script line and returns the function that performs
+// the action. Names such as "leader" and machine names are resolved when that function runs.
+type actionParser func(sim *simulation, line *statement) func()
 
-// actions are the verbs of a script.
-var actions = map[string]action{
+// actions maps the verbs of a script to their parsers.
+var actions = map[string]actionParser{
 	// Users
 	"submit":                   actSubmit,
 	"stream":                   actStream,
@@ -56,7 +55,7 @@
 	"cloud-lost-answers": actCloudLostAnswers,
 	"boot-failures":      actBootFailures,
 
-	// Violations on purpose
+	// Injected rule violations
 	"inject-start":        actInjectStart,
 	"inject-answer":       actInjectAnswer,
 	"inject-refusal":      actInjectRefusal,
--- a/internal/scenario/actions_controllers.go
+++ b/internal/scenario/actions_controllers.go
@@ -1,8 +1,9 @@
 package scenario
 
-// Actions on controllers: processes end, stand still and lose parts of the network.
+// Actions on controllers: crash, stop, start, pause and upgrade processes, and cut and
+// restore parts of their network.
 
-// actCrash: "crash leader" ends a process without notice; "crash all" ends all.
+// actCrash: "crash leader" kills a process without a shutdown; "crash all" kills all.
 func actCrash(sim *simulation, line *statement) func() {
 	name := line.arg(0)
 	if name == nameAll {
@@ -13,23 +14,23 @@
 			}
 		}
 	}
-	sim.requireHost(line, name)
+	sim.validateHostName(line, name)
 	return func() { sim.hostNow(name).crash() }
 }
 
-// actPause: "pause holder:0 40s" lets a process stand still.
+// actPause: "pause holder:0 40s" pauses a process.
 func actPause(sim *simulation, line *statement) func() {
-	name, lasting := line.arg(0), line.duration(line.arg(1))
-	sim.requireHost(line, name)
+	name, duration := line.arg(0), line.duration(line.arg(1))
+	sim.validateHostName(line, name)
 	return func() {
-		sim.faults.note("pause", lasting)
-		sim.hostNow(name).pausedUntil = sim.now + lasting
+		sim.faults.note("pause", duration)
+		sim.hostNow(name).pausedUntil = sim.now + duration
 	}
 }
 
-// actStop: "stop a" tells a process to end.
+// actStop: "stop a" shuts a controller down gracefully.
 func actStop(sim *simulation, line *statement) func() {
-	h := sim.hostNamed(line, line.arg(0))
+	h := sim.requireHost(line, line.arg(0))
 	return func() {
 		if p := h.process; p != nil && p.started {
 			p.controller.Stop(h.crash)
@@ -37,7 +38,7 @@
 	}
 }
 
-// actStart: "start a" or "start all" starts processes where none runs.
+// actStart: "start a" or "start all" starts a process on each host that has none.
 func actStart(sim *simulation, line *statement) func() {
 	if line.arg(0) == nameAll {
 		return func() {
@@ -47,16 +48,16 @@
 			}
 		}
 	}
-	return sim.hostNamed(line, line.arg(0)).startIfDown
+	return sim.requireHost(line, line.arg(0)).startIfDown
 }
 
-// actPartition: "partition leader store" takes a part of the network away (store, peers,
-// agents or all), and "heal all store" gives it back.
+// actPartition: "partition leader store" cuts a part of a controller's network (store, peers,
+// agents or all), and "heal all store" restores that part.
 func actPartition(sim *simulation, line *statement) func() {
 	name, part, cut := line.arg(0), line.arg(1), line.verb == "partition"
-	sim.requireHost(line, name)
+	sim.validateHostName(line, name)
 	return func() {
-		for _, h := range sim.hostsNow(name) {
+		for _, h := range sim.resolveHosts(name) {
 			h.setPartition(part, cut)
 		}
 	}
@@ -64,14 +65,14 @@
 
 // actZonePartition: "zone-partition north 60s" cuts a zone off from everything else.
 func actZonePartition(sim *simulation, line *statement) func() {
-	zone, lasting := line.arg(0), line.duration(line.arg(1))
-	return func() { sim.partitionZone(zone, lasting) }
+	zone, duration := line.arg(0), line.duration(line.arg(1))
+	return func() { sim.partitionZone(zone, duration) }
 }
 
-// actUpgrade: "upgrade a down=3s" ends a controller's process; the next one is of the new
-// version, which knows the limits to come.
+// actUpgrade: "upgrade a down=3s" kills a controller's process and starts one of the new
+// version, which knows the announced limits, after the down time.
 func actUpgrade(sim *simulation, line *statement) func() {
-	h := sim.hostNamed(line, line.arg(0))
+	h := sim.requireHost(line, line.arg(0))
 	down := line.duration(line.text("down", "3s"))
 	return func() {
 		sim.faults.note("upgrade", down)
--- a/internal/scenario/actions_injections.go
+++ b/internal/scenario/actions_injections.go
@@ -7,13 +7,13 @@
 	"rockrun/internal/protocol"
 )
 
-// Actions that break a rule on purpose, to show that the checker sees it.
+// Actions that deliberately break a rule to show that the checker detects it.
 
-// injectedAttempt is an attempt number that no controller gives.
+// injectedAttempt is an attempt number that no controller assigns.
 const injectedAttempt = math.MaxUint32
 
-// actInjectStart: "inject-start m-000000 run-1/0" starts a task on a machine behind the
-// controllers' back.
+// actInjectStart: "inject-start m-000000 run-1/0" starts a task on a machine without the
+// knowledge of the controllers.
 func actInjectStart(sim *simulation, line *statement) func() {
 	machine, task := line.arg(0), line.arg(1)
 	return func() {
@@ -23,7 +23,8 @@
 	}
 }
 
-// actInjectAnswer: "inject-answer run-1 done" tells a user of a stage, in the wire's words.
+// actInjectAnswer: "inject-answer run-1 done" reports a job stage to the job's user. The
+// stage is a wire value.
 func actInjectAnswer(sim *simulation, line *statement) func() {
 	id, stage := line.arg(0), line.arg(1)
 	return func() {
@@ -36,14 +37,14 @@
 	}
 }
 
-// actInjectRefusal: "inject-refusal run-1" tells a user that its job is unknown.
+// actInjectRefusal: "inject-refusal run-1" reports to a user that its job is unknown.
 func actInjectRefusal(sim *simulation, line *statement) func() {
 	id := line.arg(0)
 	return func() { sim.checker.jobDenied(sim.users.jobs[id], id, http.StatusNotFound) }
 }
 
-// actInjectLostAnswers: "inject-lost-answers run-1" loses the answers to all polls of a job.
+// actInjectLostAnswers: "inject-lost-answers run-1" drops the answers to all polls of a job.
 func actInjectLostAnswers(sim *simulation, line *statement) func() {
 	id := line.arg(0)
-	return func() { sim.users.jobs[id].answersLost = true }
+	return func() { sim.users.jobs[id].pollAnswersLost = true }
 }
--- a/internal/scenario/actions_machines.go
+++ b/internal/scenario/actions_machines.go
@@ -1,53 +1,56 @@
 package scenario
 
-// Actions on machines. Those that begin with a machine take "some" for a share of them all,
-// as in "machine-pause some 20s share=0.3 zone=north".
+// Actions on machines. The actions that use agentSelector accept "some" instead of a machine
+// name and then apply to a random share of the machines, for example
+// "machine-pause some 20s share=0.3 zone=north".
 
-// actMachinePause: "machine-pause m-000000 20s" lets machines stand still.
+// actMachinePause: "machine-pause m-000000 20s" pauses machines.
 func actMachinePause(sim *simulation, line *statement) func() {
-	pick, lasting := sim.machinesOf(line), line.duration(line.arg(1))
+	selectAgents, duration := sim.agentSelector(line), line.duration(line.arg(1))
 	return func() {
-		for _, agent := range pick() {
-			sim.faults.note("machine-pause", lasting)
-			agent.pause(lasting)
+		for _, agent := range selectAgents() {
+			sim.faults.note("machine-pause", duration)
+			agent.pause(duration)
 		}
 	}
 }
 
-// actOneWayPartition: "inbound-partition m-000000 60s" keeps messages from reaching
-// machines, "outbound-partition m-000000 60s" those that they send from reaching others.
+// actOneWayPartition: "inbound-partition m-000000 60s" drops messages to machines;
+// "outbound-partition m-000000 60s" drops messages from machines.
 func actOneWayPartition(sim *simulation, line *statement) func() {
-	pick, lasting, outbound := sim.machinesOf(line), line.duration(line.arg(1)), line.verb == "outbound-partition"
+	selectAgents, duration, outbound := sim.agentSelector(line), line.duration(line.arg(1)), line.verb == "outbound-partition"
 	return func() {
-		for _, agent := range pick() {
-			sim.faults.note(line.verb, lasting)
-			cut := &agent.inboundPartition
+		for _, agent := range selectAgents() {
+			sim.faults.note(line.verb, duration)
+			partitioned := &agent.inboundPartition
 			if outbound {
-				cut = &agent.outboundPartition
+				partitioned = &agent.outboundPartition
 			}
-			*cut = true
-			sim.after(lasting, func() { *cut = false })
+			*partitioned = true
+			sim.after(duration, func() { *partitioned = false })
 		}
 	}
 }
 
-// actMachineRestart: "machine-restart m-000000" ends everything on a machine, which is back
-// at once.
+// actMachineRestart: "machine-restart m-000000" ends everything that runs on a machine. The
+// machine is up again immediately.
 func actMachineRestart(sim *simulation, line *statement) func() {
 	return sim.withAgent(line.arg(0), (*fakeAgent).restart)
 }
 
-// actMachineCrash: "machine-crash m-000000" ends machines; the cloud notices later.
+// actMachineCrash: "machine-crash m-000000" crashes machines. The cloud detects the crash
+// later.
 func actMachineCrash(sim *simulation, line *statement) func() {
-	pick := sim.machinesOf(line)
+	selectAgents := sim.agentSelector(line)
 	return func() {
-		for _, agent := range pick() {
+		for _, agent := range selectAgents() {
 			sim.cloud.crash(agent.machine.Name)
 		}
 	}
 }
 
-// actReclaim: "reclaim m-000000 notice=8s" lets the cloud take a machine back.
+// actReclaim: "reclaim m-000000 notice=8s" makes the cloud reclaim a machine after a notice
+// period.
 func actReclaim(sim *simulation, line *statement) func() {
 	machine, notice := line.arg(0), line.duration(line.text("notice", "0s"))
 	return func() {
@@ -59,35 +62,37 @@
 	}
 }
 
-// actMachinePartition: "machine-partition m-000000 25s" cuts machines off; what is sent
-// meanwhile arrives afterwards.
+// actMachinePartition: "machine-partition m-000000 25s" cuts machines off from the network.
+// Messages sent during the partition are delivered when it ends.
 func actMachinePartition(sim *simulation, line *statement) func() {
-	pick, lasting := sim.machinesOf(line), line.duration(line.arg(1))
+	selectAgents, duration := sim.agentSelector(line), line.duration(line.arg(1))
 	return func() {
-		for _, agent := range pick() {
-			sim.faults.note("machine-partition", lasting)
+		for _, agent := range selectAgents() {
+			sim.faults.note("machine-partition", duration)
 			agent.partitioned = true
-			sim.after(lasting, agent.heal)
+			sim.after(duration, agent.heal)
 		}
 	}
 }
 
-// actMachineFaulty: "machine-faulty m-000000" lets all tasks fail that run there.
+// actMachineFaulty: "machine-faulty m-000000" makes every task on a machine fail.
 func actMachineFaulty(sim *simulation, line *statement) func() {
 	return sim.withAgent(line.arg(0), func(agent *fakeAgent) { agent.faulty = true })
 }
 
-// actMachineSlow: "machine-slow m-000000 factor=4" lets tasks take longer there.
+// actMachineSlow: "machine-slow m-000000 factor=4" multiplies the run time of tasks on a
+// machine.
 func actMachineSlow(sim *simulation, line *statement) func() {
 	factor := line.number("factor", 3)
 	return sim.withAgent(line.arg(0), func(agent *fakeAgent) { agent.slowdown = factor })
 }
 
-// withAgent returns what does something with a machine's agent, if it is up by then.
-func (s *simulation) withAgent(machine string, do func(*fakeAgent)) func() {
+// withAgent returns a function that passes a machine's agent to the callback if the machine
+// is up at that time.
+func (s *simulation) withAgent(machine string, callback func(*fakeAgent)) func() {
 	return func() {
 		if agent := s.agents[machine]; agent != nil {
-			do(agent)
+			callback(agent)
 		}
 	}
 }
--- a/internal/scenario/actions_messages.go
+++ b/internal/scenario/actions_messages.go
@@ -1,17 +1,16 @@
 package scenario
 
-// Actions on the messages between controllers and agents. Each holds until it is set anew;
-// share=0 ends it.
+// Actions on the messages between controllers and agents. Each setting applies until it is
+// changed; share=0 disables the fault.
 
-// actCommandLatency: "command-latency share=0.3 most=10s" holds commands or their answers
-// up.
+// actCommandLatency: "command-latency share=0.3 most=10s" delays commands or their answers.
 func actCommandLatency(sim *simulation, line *statement) func() {
 	share, most := line.number("share", 0.3), line.duration(line.text("most", "10s"))
 	return func() { sim.network.commands.latencyShare, sim.network.commands.maxLatency = share, most }
 }
 
-// actDelayedCommands: "delayed-commands share=0.3 least=2s most=16s" lets commands be
-// carried out late, unanswered.
+// actDelayedCommands: "delayed-commands share=0.3 least=2s most=16s" delays the execution of
+// commands and drops their answers.
 func actDelayedCommands(sim *simulation, line *statement) func() {
 	share := line.number("share", 0.3)
 	least, most := line.duration(line.text("least", "2s")), line.duration(line.text("most", "16s"))
@@ -20,15 +19,15 @@
 	}
 }
 
-// actDuplicateCommands: "duplicate-commands share=0.3" lets a second copy of commands
-// arrive late.
+// actDuplicateCommands: "duplicate-commands share=0.3" delivers a second copy of commands
+// later.
 func actDuplicateCommands(sim *simulation, line *statement) func() {
 	share := line.number("share", 0.3)
 	return func() { sim.network.commands.duplicateShare = share }
 }
 
-// actDuplicateHeartbeats: "duplicate-heartbeats share=0.3 least=1s most=90s" lets a second
-// copy of heartbeats arrive late, at any controller.
+// actDuplicateHeartbeats: "duplicate-heartbeats share=0.3 least=1s most=90s" delivers a second
+// copy of heartbeats later, to a random controller.
 func actDuplicateHeartbeats(sim *simulation, line *statement) func() {
 	share := line.number("share", 0.3)
 	least, most := line.duration(line.text("least", "1s")), line.duration(line.text("most", "90s"))
@@ -37,8 +36,8 @@
 	}
 }
 
-// actReplayHeartbeats: "replay-heartbeats share=0.5" keeps copies of heartbeats, which
-// arrive at every controller when a new leader begins.
+// actReplayHeartbeats: "replay-heartbeats share=0.5" stores copies of heartbeats and delivers
+// them to every controller when a new leader is elected.
 func actReplayHeartbeats(sim *simulation, line *statement) func() {
 	share := line.number("share", 0.5)
 	return func() { sim.network.heartbeats.replayShare = share }
--- a/internal/scenario/actions_users.go
+++ b/internal/scenario/actions_users.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -9,31 +11,32 @@
 	"rockrun/internal/protocol"
 )
 
-// Actions of the users: jobs come, are cancelled, and are asked about.
+// Actions of the users: submit, cancel and query jobs.
 
-// When a job is submitted.
+// Values of when=, the condition for the submission of a job.
 const (
 	whenNow      = "now"
-	whenAccepted = "accepted" // its dependencies are accepted
-	whenOver     = "over"     // its dependencies are over
+	whenAccepted = "accepted" // once its dependencies are accepted
+	whenEnded    = "over"     // once the outcomes of its dependencies are known
 )
 
-// actSubmit: "submit run-1 when=accepted" and the arguments of a job, see parseJob.
+// actSubmit: "submit run-1 when=accepted" and the arguments of parseJob submits a job.
 func actSubmit(sim *simulation, line *statement) func() {
 	job := parseJob(line)
 	switch when := line.text("when", whenNow); when {
-	case whenAccepted, whenOver:
-		return func() { sim.users.submitWhen(job, when == whenOver) }
+	case whenAccepted, whenEnded:
+		return func() { sim.users.submitWhen(job, when == whenEnded) }
 	case whenNow:
 	default:
-		line.fail("submit: when %s", when)
+		line.fail("submit: unknown when=%s (allowed: %s, %s, %s)", when, whenNow, whenAccepted, whenEnded)
 	}
-	return func() { sim.users.submitFirst(job) }
+	return func() { sim.users.submitNew(job) }
 }
 
 // actStream: "stream run-100 every=1s count=10 cancelled=0.2 after=5s behind=200" submits
-// like jobs, one every so often, with ids that count up. A share is cancelled soon after;
-// with behind each depends on one of as many jobs, of which that is the first.
+// identical jobs at an interval, with consecutive IDs. A share of the jobs is cancelled
+// within the after= time. With behind=200, the first job depends on run-200, the second on
+// run-201, and so on.
 func actStream(sim *simulation, line *statement) func() {
 	every := line.duration(line.text("every", "1s"))
 	cancelled, cancelWithin := line.number("cancelled", 0), line.duration(line.text("after", "5s"))
@@ -41,7 +44,7 @@
 	return func() {
 		for i, job := range jobs {
 			sim.after(time.Duration(i)*every, func() {
-				sim.users.submitFirst(job)
+				sim.users.submitNew(job)
 				if sim.rand.Float64() < cancelled {
 					sim.after(sim.randomBelow(cancelWithin), func() { sim.users.cancel(job) })
 				}
@@ -50,12 +53,12 @@
 	}
 }
 
-// parseStream reads the description of a stream of jobs.
+// parseStream parses the description of a stream of jobs.
 func parseStream(line *statement) (jobs []*userJob) {
 	prefix, number, _ := strings.Cut(line.arg(0), "-")
 	first, err := strconv.Atoi(number)
 	if err != nil {
-		line.fail("stream: %v", err)
+		line.fail("stream: job ID %q is not of the form run-100: %v", line.arg(0), err)
 	}
 	behind := int(line.number("behind", -1))
 	for i := range int(line.number("count", 10)) {
@@ -69,7 +72,7 @@
 	return jobs
 }
 
-// actCancel: "cancel run-1".
+// actCancel: "cancel run-1" cancels a job if it has been submitted.
 func actCancel(sim *simulation, line *statement) func() {
 	id := line.arg(0)
 	return func() {
@@ -79,62 +82,63 @@
 	}
 }
 
-// actCancelRunning: "cancel-running count=10 pause=20s" cancels arrays that run, while
-// some of their machines pause.
+// actCancelRunning: "cancel-running count=10 pause=20s" cancels running arrays and pauses
+// some of their machines.
 func actCancelRunning(sim *simulation, line *statement) func() {
 	count, pause := int(line.number("count", 10)), line.duration(line.text("pause", "0s"))
 	return func() { sim.users.cancelRunning(count, pause) }
 }
 
-// actCancelOnCompletion: "cancel-on-completion share=0.5" cancels jobs at the moment when
-// their last task completes; share=0 ends it.
+// actCancelOnCompletion: "cancel-on-completion share=0.5" cancels a share of the jobs at the
+// moment when their last task completes; share=0 disables the fault.
 func actCancelOnCompletion(sim *simulation, line *statement) func() {
 	share := line.number("share", 0.5)
 	return func() { sim.users.cancelOnCompletionShare = share }
 }
 
-// actHealthyControllersOnly: "healthy-controllers-only on" sends users to controllers that
-// the store serves; off ends it.
+// actHealthyControllersOnly: "healthy-controllers-only on" makes users send requests only to
+// controllers that the store serves; off makes them use every controller again.
 func actHealthyControllersOnly(sim *simulation, line *statement) func() {
 	on := line.arg(0) == "on"
 	return func() { sim.users.healthyControllersOnly = on }
 }
 
-// actReadYourWrites: "read-your-writes 60s cancelled=0.1" lets users ask every controller
-// right after each answer, and cancel a share of the jobs as soon as they are accepted.
+// actReadYourWrites: "read-your-writes 60s cancelled=0.1" makes users query every controller
+// right after each acceptance, outcome or cancellation, and cancel a share of the jobs as
+// soon as they are accepted.
 func actReadYourWrites(sim *simulation, line *statement) func() {
-	lasting := line.duration(line.arg(0))
+	duration := line.duration(line.arg(0))
 	cancelled := line.number("cancelled", 0)
 	return func() {
-		sim.faults.note("read-your-writes", lasting)
-		sim.users.probeUntil, sim.users.cancelOnAcceptShare = sim.now+lasting, cancelled
+		sim.faults.note("read-your-writes", duration)
+		sim.users.probeUntil, sim.users.cancelOnAcceptShare = sim.now+duration, cancelled
 	}
 }
 
-// actInvalidRequests: "invalid-requests 60s" lets users make requests that they should not.
+// actInvalidRequests: "invalid-requests 60s" makes users send invalid requests.
 func actInvalidRequests(sim *simulation, line *statement) func() {
-	lasting := line.duration(line.arg(0))
+	duration := line.duration(line.arg(0))
 	return func() {
-		sim.faults.note("invalid-requests", lasting)
-		sim.users.sendInvalid(sim.now + lasting)
+		sim.faults.note("invalid-requests", duration)
+		sim.users.sendInvalidRequests(sim.now + duration)
 	}
 }
 
-// actCheckLiveness: "check-liveness" says that all faults are over.
+// actCheckLiveness: "check-liveness" starts the liveness checks. All faults must have ended.
 func actCheckLiveness(sim *simulation, _ *statement) func() { return sim.checker.checkLiveness }
 
-// jobKinds are the kinds of jobs by their name in a script.
+// jobKinds maps the kinds of jobs in a script to their wire values.
 var jobKinds = map[string]string{
 	"array":   protocol.KindArray,
 	"service": protocol.KindService,
 	"gang":    protocol.KindGang,
 }
 
-// parseJob reads the description of a job. What controllers are told: class, team,
-// priority, kind, tasks, cpus, mem, image, image-gb, types, zone, one-zone=1, spread=1,
-// spot=1, dependencies, estimate, checkpoint, save and deadline (in seconds). What really
-// happens: run and runs (seconds that tasks take, of all and of the first ones), broken=1
-// (it fails everywhere) and repeats (further submissions).
+// parseJob parses the description of a job. The submission contains class, team, priority,
+// kind, tasks, cpus, mem, image, image-gb, types, zone, one-zone=1, spread=1, spot=1,
+// dependencies, and estimate, checkpoint, save and deadline in seconds. The actual behaviour
+// is set by run (run time of a task in seconds), runs (run times of the first tasks),
+// broken=1 (the tasks fail on every machine) and repeats (number of resubmissions).
 func parseJob(line *statement) *userJob {
 	spec := protocol.JobSpec{
 		ID:                line.arg(0),
@@ -159,7 +163,7 @@
 	}
 	kind, known := jobKinds[line.text("kind", "array")]
 	if !known {
-		line.fail("kind %s", line.pairs["kind"])
+		line.fail("%s: unknown kind=%s (allowed: %s)", line.verb, line.pairs["kind"], strings.Join(slices.Sorted(maps.Keys(jobKinds)), ", "))
 	}
 	spec.Kind = kind
 	return &userJob{spec: spec, jobBehaviour: jobBehaviour{
--- a/internal/scenario/job.go
+++ b/internal/scenario/job.go
@@ -6,47 +6,48 @@
 	"rockrun/internal/protocol"
 )
 
-// userJob is a job with what its user knows of it.
+// userJob is a job as submitted, with its actual behaviour and progress and its user's
+// state.
 type userJob struct {
 	spec protocol.JobSpec
 	jobBehaviour
-	jobKnowledge
+	jobUserState
 	jobProgress
 }
 
-// jobBehaviour is how a job really behaves, which controllers are not told.
+// jobBehaviour is the actual behaviour of a job, which controllers do not know.
 type jobBehaviour struct {
-	runSeconds      float64   // what a task really takes
-	taskRunSeconds  []float64 // of the first tasks, where they differ
+	runSeconds      float64   // actual run time of a task
+	taskRunSeconds  []float64 // overrides runSeconds for the first tasks
 	failsEverywhere bool
-	resubmissions   int // times that its user will submit it again
+	resubmissions   int // resubmissions still to be sent by the user
 }
 
-// jobKnowledge is what the user of a job has asked for and been told.
-type jobKnowledge struct {
+// jobUserState is what the user of a job has requested and what the answers told the user.
+type jobUserState struct {
 	submittedAt time.Duration
-	status      int // last answer to the submission
+	status      int // HTTP status of the last answer to the submission
 	accepted    bool
 	acceptedAt  time.Duration
 
 	cancelRequested bool
-	cancelledAt     time.Duration // when that was first confirmed; 0: not yet
-	outcome         string        // protocol.StageDone or StageCancelled once it was told so
+	cancelledAt     time.Duration // first answer with StageCancelled; 0: none yet
+	outcome         string        // protocol.StageDone or StageCancelled as answered; "": none yet
 	outcomeAt       time.Duration
 
-	unansweredSince time.Duration // since when no poll was answered; 0: the last one was
+	unansweredSince time.Duration // first unanswered poll since the last answer; 0: none
 	answeredAt      time.Duration // last answered poll
-	answersLost     bool          // on purpose
+	pollAnswersLost bool          // injected: no poll gets its answer
 }
 
-// jobProgress is what really becomes of a job; times are 0 until they are known.
+// jobProgress is the actual progress of a job; a time is 0 until its event occurs.
 type jobProgress struct {
-	startedAt    time.Duration // first task
-	completedAt  time.Duration // last task
-	waitingSince time.Duration // though there is room
+	startedAt    time.Duration // first start of a task
+	completedAt  time.Duration // completion of the last task
+	waitingSince time.Duration // unplaced since then although it could run
 }
 
-// runSecondsOf is how long a task of the job really runs.
+// runSecondsOf returns the actual run time of a task of the job.
 func (j *userJob) runSecondsOf(name string) float64 {
 	if _, task, err := protocol.ParseTaskName(name); err == nil && task < len(j.taskRunSeconds) {
 		return j.taskRunSeconds[task]
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -12,29 +12,29 @@
 	"rockrun/internal/protocol"
 )
 
-// Result is what came of a scenario.
+// Result is the outcome of a scenario run.
 type Result struct {
-	Violations        []string // of rules, with when and how
+	Violations        []string // broken rules, each with its time and details
 	UnmetExpectations []string
 
-	Digest  string              // of everything that controllers sent
-	Records []protocol.KeyValue // what lies in the key-value store at the end, by key
+	Digest  string              // digest of everything that controllers sent
+	Records []protocol.KeyValue // final contents of the key-value store, sorted by key
 }
 
-// The files of a scenario.
+// Names of the files in a scenario archive.
 const (
 	fileWorld  = "world"
 	fileScript = "script"
 	fileExpect = "expect"
 )
 
-// verbEnd ends a scenario.
+// verbEnd is the script verb that ends a scenario.
 const verbEnd = "end"
 
-// defaultEnd is when a scenario ends whose script doesn't say.
+// defaultEnd is the end time of a scenario whose script has no end statement.
 const defaultEnd = 5 * time.Minute
 
-// LineError is a line of a scenario that can't be read.
+// LineError reports a line of a scenario that can't be parsed.
 type LineError struct {
 	File string // world, script or expect
 	Line string
@@ -44,18 +44,20 @@
 // Error implements error.
 func (e *LineError) Error() string { return fmt.Sprintf("%s: %q: %v", e.File, e.Line, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// ErrUnknownVerb is a line that begins with no declaration, action or expectation.
+// ErrUnknownVerb reports a line whose verb is not a known declaration, action or
+// expectation.
 var ErrUnknownVerb = errors.New("unknown verb")
 
-// Run plays a scenario with a seed and writes what the controllers log. The same seed
-// gives the same run. It returns a *LineError for a scenario that can't be read.
+// Run runs a scenario with a seed and writes the controllers' logs to log. Running
+// the same scenario with the same seed again repeats the run exactly. Run returns a
+// *LineError if a line of the scenario can't be parsed.
 func Run(archive *txtar.Archive, seed uint64, log io.Writer) (*Result, error) {
 	files := map[string][]string{}
 	for _, file := range archive.Files {
-		files[file.Name] = statements(file.Data)
+		files[file.Name] = statementLines(file.Data)
 	}
 	sim, err := buildWorld(files[fileWorld], seed, log)
 	if err != nil {
@@ -79,32 +81,33 @@
 	}, nil
 }
 
-// schedule reads the script: lines of a time, an action and its arguments. It returns when
-// the scenario ends.
+// schedule parses the script and schedules its actions. Each line holds a time, an action
+// and its arguments. schedule returns the end time of the scenario.
 func (s *simulation) schedule(script []string) (end time.Duration, err error) {
 	end = defaultEnd
 	for _, text := range script {
-		at, rest, _ := strings.Cut(text, " ")
+		timeText, rest, _ := strings.Cut(text, " ")
 		line := parseStatement(rest)
-		when := line.duration(at)
+		eventTime := line.duration(timeText)
 		if line.verb == verbEnd {
-			end = when
+			end = eventTime
 			continue
 		}
-		read, ok := actions[line.verb]
+		parse, ok := actions[line.verb]
 		if !ok {
 			return 0, &LineError{File: fileScript, Line: text, Err: ErrUnknownVerb}
 		}
-		do := read(s, line)
+		apply := parse(s, line)
 		if line.err != nil {
 			return 0, &LineError{File: fileScript, Line: text, Err: line.err}
 		}
-		s.after(when, do)
+		s.after(eventTime, apply)
 	}
 	return end, nil
 }
 
-// unmetExpectations checks what must be true at the end.
+// unmetExpectations checks the expectations at the end of the scenario and returns the
+// failed expectations.
 func (s *simulation) unmetExpectations(expect []string) (unmet []string, err error) {
 	for _, text := range expect {
 		line := parseStatement(text)
@@ -112,12 +115,12 @@
 		if !ok {
 			return nil, &LineError{File: fileExpect, Line: text, Err: ErrUnknownVerb}
 		}
-		why := check(s, line)
+		problem := check(s, line)
 		if line.err != nil {
 			return nil, &LineError{File: fileExpect, Line: text, Err: line.err}
 		}
-		if why != "" {
-			unmet = append(unmet, fmt.Sprintf("%s: %s", text, why))
+		if problem != "" {
+			unmet = append(unmet, fmt.Sprintf("%s: %s", text, problem))
 		}
 	}
 	return unmet, nil
--- a/internal/scenario/select.go
+++ b/internal/scenario/select.go
@@ -9,18 +9,18 @@
 	"rockrun/internal/storage"
 )
 
-// Names that mean controllers other than by their own name.
+// Names in a script that select controllers by role rather than by name.
 const (
 	nameAll      = "all"
-	nameHealthy  = "healthy" // those that the store serves
+	nameHealthy  = "healthy" // controllers that the store serves
 	nameLeader   = "leader"
-	holderPrefix = "holder:" // and a shard
+	holderPrefix = "holder:" // followed by a shard number
 )
 
-// nameSome means a share of the machines.
+// nameSome selects a random share of the machines.
 const nameSome = "some"
 
-// findHost looks a host up by its name, or returns nil.
+// findHost returns the host with a name, or nil.
 func (s *simulation) findHost(name string) *host {
 	i := slices.IndexFunc(s.hosts, func(h *host) bool { return h.name == name })
 	if i < 0 {
@@ -29,32 +29,33 @@
 	return s.hosts[i]
 }
 
-// hostNamed looks up a host that a line names.
-func (s *simulation) hostNamed(line *statement, name string) *host {
+// requireHost returns the host with a name. If there is none, it fails the line and returns
+// a placeholder.
+func (s *simulation) requireHost(line *statement, name string) *host {
 	if found := s.findHost(name); found != nil {
 		return found
 	}
-	line.fail("no controller %s", name)
+	line.fail("%s: unknown controller %q", line.verb, name)
 	return &host{sim: s}
 }
 
-// requireHost fails a line unless a name means one or more hosts.
-func (s *simulation) requireHost(line *statement, name string) {
+// validateHostName fails a line unless the name is that of a host or selects hosts by role.
+func (s *simulation) validateHostName(line *statement, name string) {
 	switch {
 	case name == nameAll, name == nameHealthy, name == nameLeader, strings.HasPrefix(name, holderPrefix):
 	default:
-		s.hostNamed(line, name)
+		s.requireHost(line, name)
 	}
 }
 
-// hostNow looks a host up when something happens to it: by name, as the leader, or as the
-// holder of a shard. It is the first one where there is none such.
+// hostNow resolves a host name, leader or holder:N at the time of the call. It returns the
+// first host if no host matches.
 func (s *simulation) hostNow(name string) *host {
 	if name == nameLeader {
 		return s.leaderHost()
 	}
 	if shard, ok := strings.CutPrefix(name, holderPrefix); ok {
-		name = s.holderOf(shard)
+		name = s.shardHolder(shard)
 	}
 	if found := s.findHost(name); found != nil {
 		return found
@@ -62,10 +63,11 @@
 	return s.hosts[0]
 }
 
-// holderOf is the controller that the store names as the holder of a shard.
-func (s *simulation) holderOf(shard string) string {
-	number, err := strconv.Atoi(shard)
-	item := s.store.items[storage.GrantKey(number)]
+// shardHolder returns the holder of a shard according to the grant in the store, or an empty
+// string.
+func (s *simulation) shardHolder(shard string) string {
+	shardNumber, err := strconv.Atoi(shard)
+	item := s.store.items[storage.GrantKey(shardNumber)]
 	if err != nil || item == nil {
 		return ""
 	}
@@ -76,8 +78,8 @@
 	return grant.Controller
 }
 
-// hostsNow is hostNow with the names that mean several.
-func (s *simulation) hostsNow(name string) []*host {
+// resolveHosts is like hostNow, but also accepts the names that select several hosts.
+func (s *simulation) resolveHosts(name string) []*host {
 	switch name {
 	case nameAll:
 		return s.hosts
@@ -87,7 +89,8 @@
 	return []*host{s.hostNow(name)}
 }
 
-// leaderHost is the host whose process leads now, or the first.
+// leaderHost returns the host whose controller is the leader, or the first host if there is
+// none.
 func (s *simulation) leaderHost() *host {
 	for _, h := range s.hosts {
 		if h.process == nil || !h.process.started {
@@ -100,17 +103,18 @@
 	return s.hosts[0]
 }
 
-// machinesOf picks machines that are up: the one that a line names, or a share of them
-// all, of a zone where one is given.
-func (s *simulation) machinesOf(line *statement) func() []*fakeAgent {
+// agentSelector returns a function that selects the agents of running machines: the machine
+// that the line names, or a random share of all machines, restricted to a zone if the line
+// names one.
+func (s *simulation) agentSelector(line *statement) func() []*fakeAgent {
 	name, zone, share := line.arg(0), line.text("zone", ""), line.number("share", 1)
-	picked := func(machine *fakeMachine) bool {
+	selected := func(machine *fakeMachine) bool {
 		return machine.Name == name || name == nameSome && (zone == "" || zone == machine.Zone) && s.rand.Float64() < share
 	}
 	return func() []*fakeAgent {
 		var agents []*fakeAgent
 		for _, machine := range s.cloud.machines {
-			if agent := s.agents[machine.Name]; agent != nil && picked(machine) {
+			if agent := s.agents[machine.Name]; agent != nil && selected(machine) {
 				agents = append(agents, agent)
 			}
 		}
--- a/internal/scenario/statement.go
+++ b/internal/scenario/statement.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// statement is one line of a scenario: a verb, positional arguments, and
-// name=value pairs. The first argument that can't be read is kept as err.
+// statement is one parsed line of a scenario: a verb, positional arguments and name=value
+// pairs. err is the first error found in an argument.
 type statement struct {
 	verb  string
 	args  []string
@@ -32,7 +32,7 @@
 	return line
 }
 
-// arg is a positional argument, which must be there.
+// arg returns the positional argument with index i. A missing argument is an error.
 func (line *statement) arg(i int) string {
 	if i >= len(line.args) {
 		line.fail("%s: argument %d is missing", line.verb, i+1)
@@ -41,7 +41,7 @@
 	return line.args[i]
 }
 
-// text is the value of a pair, or the fallback.
+// text returns the value of a pair, or the fallback if the pair is missing.
 func (line *statement) text(name, fallback string) string {
 	if value, ok := line.pairs[name]; ok {
 		return value
@@ -49,10 +49,10 @@
 	return fallback
 }
 
-// flag reports whether a pair is there and says anything.
+// flag reports whether a pair is present and its value is not empty.
 func (line *statement) flag(name string) bool { return line.text(name, "") != "" }
 
-// list is the value of a pair, taken apart at commas; nil if it is empty.
+// list returns the comma-separated values of a pair, or nil if the pair is missing or empty.
 func (line *statement) list(name string) []string {
 	value := line.text(name, "")
 	if value == "" {
@@ -61,7 +61,7 @@
 	return strings.Split(value, ",")
 }
 
-// number is the value of a pair as a number, or the fallback.
+// number returns the value of a pair as a number, or the fallback if the pair is missing.
 func (line *statement) number(name string, fallback float64) float64 {
 	value, ok := line.pairs[name]
 	if !ok {
@@ -70,7 +70,8 @@
 	return line.parseNumber(value)
 }
 
-// numbers is the value of a pair as a list of numbers; nil if it is empty.
+// numbers returns the comma-separated numbers of a pair, or nil if the pair is missing or
+// empty.
 func (line *statement) numbers(name string) (numbers []float64) {
 	for _, value := range line.list(name) {
 		numbers = append(numbers, line.parseNumber(value))
@@ -86,7 +87,7 @@
 	return number
 }
 
-// duration reads a duration such as 20s.
+// duration parses a duration such as 20s.
 func (line *statement) duration(value string) time.Duration {
 	duration, err := time.ParseDuration(value)
 	if err != nil {
@@ -95,15 +96,15 @@
 	return duration
 }
 
-// fail notes what is wrong with the line, unless something is already.
+// fail records an error of the line, unless an earlier error is recorded.
 func (line *statement) fail(format string, args ...any) {
 	if line.err == nil {
 		line.err = fmt.Errorf(format, args...)
 	}
 }
 
-// statements are a file's lines without comments and empty lines.
-func statements(data []byte) []string {
+// statementLines returns the lines of a file without comments and empty lines.
+func statementLines(data []byte) []string {
 	var lines []string
 	for text := range strings.Lines(string(data)) {
 		text, _, _ = strings.Cut(text, "#")
--- a/internal/scenario/statement_test.go
+++ b/internal/scenario/statement_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestStatement: a line is taken apart into its verb, arguments and pairs.
-func TestStatement(t *testing.T) {
+// TestParseStatement checks that a line is split into its verb, positional arguments and
+// pairs, and that a missing argument is recorded as an error.
+func TestParseStatement(t *testing.T) {
 	line := parseStatement("submit run-1 20s tasks=3 types=a,b runs=1,2.5 spot=1 zone=")
 	switch {
 	case line.verb != "submit", line.arg(0) != "run-1", line.duration(line.arg(1)) != 20*time.Second:
@@ -22,13 +23,13 @@
 		t.Error(line.err)
 	}
 	if line.arg(2) != "" || line.err == nil {
-		t.Error("a missing argument is no error")
+		t.Error("missing argument: want an empty string and an error")
 	}
 }
 
-// TestStatements: comments and empty lines are left out.
-func TestStatements(t *testing.T) {
-	got := statements([]byte("# a comment\n\n 1s crash a # and why\n2s start a"))
+// TestStatementLines checks that comments and empty lines are removed.
+func TestStatementLines(t *testing.T) {
+	got := statementLines([]byte("# a comment\n\n 1s crash a # and why\n2s start a"))
 	if want := []string{"1s crash a", "2s start a"}; !slices.Equal(got, want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -11,51 +11,51 @@
 	"rockrun/internal/protocol"
 )
 
-// fakeUsers are the stand-in for the users: they submit jobs, poll them and cancel some.
+// fakeUsers simulates the users, who submit jobs, poll their status and cancel some of them.
 type fakeUsers struct {
 	sim  *simulation
-	jobs map[string]*userJob // by id, those that were submitted
+	jobs map[string]*userJob // submitted jobs by ID
 
-	healthyControllersOnly  bool    // users come to controllers that the store serves
-	cancelOnCompletionShare float64 // of jobs that are cancelled at the moment of their end
-	invalidRequests         int     // so far
+	healthyControllersOnly  bool    // send requests only to controllers that the store serves
+	cancelOnCompletionShare float64 // share of jobs cancelled when their last task completes
+	invalidRequests         int     // invalid submissions sent so far
 
-	probeUntil          time.Duration // until then users probe, see probe
-	cancelOnAcceptShare float64       // of them that cancel an accepted job at once
-	probeAnswers        int           // so far
+	probeUntil          time.Duration // end of the read-your-writes probes, see scheduleProbes
+	cancelOnAcceptShare float64       // share of jobs cancelled on acceptance while probes run
+	probeAnswers        int           // answers to probes so far, including timeouts
 }
 
-// Times of the users.
+// Timeouts, delays and intervals of the users.
 const (
-	userTimeout           = 5 * time.Second
-	submitPatience        = time.Minute // for how long an undecided submission is repeated
-	retryPause            = time.Second
-	maxResubmissionPause  = 30 * time.Second
-	pollPause             = 5 * time.Second
-	pollPauseAfterOutcome = 40 * time.Second
+	userTimeout              = 5 * time.Second
+	submitTimeout            = time.Minute // limit for retries of an undecided submission
+	retryDelay               = time.Second
+	maxResubmissionDelay     = 30 * time.Second
+	pollInterval             = 5 * time.Second
+	pollIntervalAfterOutcome = 40 * time.Second
 )
 
-// request is a call of a controller by a user.
-type request func(controller *coordination.Controller, reply func(api.Answer))
+// userRequest sends a user's request to a controller.
+type userRequest func(controller *coordination.Controller, reply func(api.Answer))
 
-// submission is the request to accept a job.
-func submission(body []byte) request {
+// submitRequest returns the request to submit a job.
+func submitRequest(body []byte) userRequest {
 	return func(controller *coordination.Controller, reply func(api.Answer)) { controller.Submit(body, reply) }
 }
 
-// statusOf is the request for the status of a job.
-func statusOf(id string) request {
+// statusRequest returns the request for the status of a job.
+func statusRequest(id string) userRequest {
 	return func(controller *coordination.Controller, reply func(api.Answer)) { controller.Status(id, reply) }
 }
 
-// cancellation is the request to cancel a job.
-func cancellation(id string) request {
+// cancelRequest returns the request to cancel a job.
+func cancelRequest(id string) userRequest {
 	return func(controller *coordination.Controller, reply func(api.Answer)) { controller.Cancel(id, reply) }
 }
 
-// ask makes a request to some controller that is up; done is called once, with status 0
-// when no answer came.
-func (u *fakeUsers) ask(call request, done func(api.Answer)) {
+// sendRequest sends a request to a random running controller. It calls done exactly once,
+// with status 0 if there was no answer.
+func (u *fakeUsers) sendRequest(call userRequest, done func(api.Answer)) {
 	sim := u.sim
 	var serving []*host
 	for _, h := range sim.hosts {
@@ -67,35 +67,35 @@
 		sim.after(time.Millisecond, func() { done(api.Answer{}) })
 		return
 	}
-	u.askAt(serving[sim.rand.IntN(len(serving))].process, call, done)
+	u.sendRequestTo(serving[sim.rand.IntN(len(serving))].process, call, done)
 }
 
-// askAt is ask at a certain controller.
-func (u *fakeUsers) askAt(process *process, call request, done func(api.Answer)) {
+// sendRequestTo is like sendRequest, but sends the request to a given process.
+func (u *fakeUsers) sendRequestTo(process *process, call userRequest, done func(api.Answer)) {
 	sim := u.sim
-	over := false
-	once := func(answer api.Answer) {
-		if !over {
-			over = true
+	finished := false
+	finish := func(answer api.Answer) {
+		if !finished {
+			finished = true
 			done(answer)
 		}
 	}
-	sim.after(userTimeout, func() { once(api.Answer{}) })
+	sim.after(userTimeout, func() { finish(api.Answer{}) })
 	sim.after(sim.latency(), process.guard(func() {
 		call(process.controller, func(answer api.Answer) {
 			sim.trace.answered(process.host.name, kindUserAnswer, answer)
-			sim.after(sim.latency(), func() { once(answer) })
+			sim.after(sim.latency(), func() { finish(answer) })
 		})
 	}))
 }
 
-// body is a submission with all fields that must be there, also those that the type leaves
-// out when they are zero.
-func (u *fakeUsers) body(job *userJob) []byte {
+// submissionBody encodes a submission with all required fields, including those that
+// protocol.JobSpec omits when they are zero.
+func (u *fakeUsers) submissionBody(job *userJob) []byte {
 	data := mustMarshal(job.spec)
 	fields := map[string]any{}
 	if err := json.Unmarshal(data, &fields); err != nil {
-		panic(fmt.Sprintf("scenario: decode a job of our own: %v", err))
+		panic(fmt.Sprintf("scenario: decode submission of %s: %v", job.spec.ID, err))
 	}
 	for _, name := range []string{"together", "spread", "loaner"} {
 		if fields[name] == nil {
@@ -110,7 +110,7 @@
 	return mustMarshal(fields)
 }
 
-// mustMarshal encodes what can always be encoded.
+// mustMarshal encodes a value as JSON and panics if that fails.
 func mustMarshal(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -119,81 +119,83 @@
 	return data
 }
 
-// submitFirst submits a job for the first time.
-func (u *fakeUsers) submitFirst(job *userJob) {
+// submitNew submits a job for the first time.
+func (u *fakeUsers) submitNew(job *userJob) {
 	job.submittedAt = u.sim.now
 	u.jobs[job.spec.ID] = job
 	u.submit(job)
 }
 
-// submit repeats a submission until it is decided, for a minute.
+// submit sends a submission and retries it until it is decided, for at most submitTimeout
+// after the first submission.
 func (u *fakeUsers) submit(job *userJob) {
 	sim := u.sim
-	accepted, outcome := job.accepted, job.outcome // what the user knew when it asked
+	accepted, outcome := job.accepted, job.outcome // known to the user before the request
 	allAccepted := u.dependenciesAccepted(job)
-	u.ask(submission(u.body(job)), func(answer api.Answer) {
+	u.sendRequest(submitRequest(u.submissionBody(job)), func(answer api.Answer) {
 		if answer.Status != 0 {
 			job.status = answer.Status
 		}
 		sim.checker.checkDependencyAnswer(job, answer.Status, allAccepted)
 		switch answer.Status {
 		case http.StatusOK, http.StatusCreated:
-			u.accepted(job)
+			u.onAccepted(job)
 			sim.checker.jobAnswered(job.spec.ID, job, outcome, answer.Body.(protocol.JobReceipt).Stage)
-			u.resubmit(job)
+			u.scheduleResubmission(job)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			if accepted {
 				sim.checker.jobDenied(job, job.spec.ID, answer.Status)
 			}
 		default:
-			if sim.now-job.submittedAt < submitPatience {
-				sim.after(max(retryPause, answer.RetryAfter), func() { u.submit(job) })
+			if sim.now-job.submittedAt < submitTimeout {
+				sim.after(max(retryDelay, answer.RetryAfter), func() { u.submit(job) })
 			}
 		}
 	})
 }
 
-// accepted is called when a user is told that its job is accepted; the first time it
-// begins to poll.
-func (u *fakeUsers) accepted(job *userJob) {
+// onAccepted handles the acceptance of a job. Polling starts at the first acceptance.
+func (u *fakeUsers) onAccepted(job *userJob) {
 	sim := u.sim
 	if job.accepted {
 		return
 	}
 	job.accepted, job.acceptedAt = true, sim.now
 	u.poll(job)
-	u.probe(job)
+	u.scheduleProbes(job)
 	if sim.now < u.probeUntil && sim.rand.Float64() < u.cancelOnAcceptShare {
 		u.cancel(job)
 	}
 }
 
-// resubmit submits an accepted job again after a while, if its user does that.
-func (u *fakeUsers) resubmit(job *userJob) {
+// scheduleResubmission schedules the next resubmission of an accepted job, if any remain.
+func (u *fakeUsers) scheduleResubmission(job *userJob) {
 	if job.resubmissions > 0 {
 		job.resubmissions--
-		u.sim.after(u.sim.randomBelow(maxResubmissionPause), func() { u.submit(job) })
+		u.sim.after(u.sim.randomBelow(maxResubmissionDelay), func() { u.submit(job) })
 	}
 }
 
-// poll asks about a job again and again, seldom after its end.
+// poll queries the status of a job periodically, at a longer interval once its outcome is
+// known.
 func (u *fakeUsers) poll(job *userJob) {
 	outcome := job.outcome
-	u.ask(statusOf(job.spec.ID), func(answer api.Answer) {
-		if job.answersLost {
+	u.sendRequest(statusRequest(job.spec.ID), func(answer api.Answer) {
+		if job.pollAnswersLost {
 			answer = api.Answer{}
 		}
-		u.polled(job, outcome, answer)
-		pause := pollPause
+		u.onPollAnswer(job, outcome, answer)
+		interval := pollInterval
 		if job.outcome != "" {
-			pause = pollPauseAfterOutcome
+			interval = pollIntervalAfterOutcome
 		}
-		u.sim.after(pause, func() { u.poll(job) })
+		u.sim.after(interval, func() { u.poll(job) })
 	})
 }
 
-// polled takes in the answer to a poll; outcome is what the user knew when it asked.
-func (u *fakeUsers) polled(job *userJob, outcome string, answer api.Answer) {
+// onPollAnswer handles the answer to a poll. outcome is the outcome that the user knew when
+// it sent the poll.
+func (u *fakeUsers) onPollAnswer(job *userJob, outcome string, answer api.Answer) {
 	sim := u.sim
 	switch answer.Status {
 	case http.StatusOK:
@@ -202,7 +204,7 @@
 		sim.checker.jobAnswered(job.spec.ID, job, outcome, answer.Body.(*protocol.JobStatus).Stage)
 		if before == "" && job.outcome != "" {
 			job.outcomeAt = sim.now
-			u.probe(job)
+			u.scheduleProbes(job)
 		}
 	case http.StatusNotFound:
 		sim.checker.jobDenied(job, job.spec.ID, answer.Status)
@@ -213,30 +215,30 @@
 	}
 }
 
-// cancel repeats a cancellation until it is answered.
+// cancel sends a cancellation and retries it until it is answered.
 func (u *fakeUsers) cancel(job *userJob) {
 	sim := u.sim
 	job.cancelRequested = true
 	accepted, outcome := job.accepted, job.outcome
-	u.ask(cancellation(job.spec.ID), func(answer api.Answer) {
+	u.sendRequest(cancelRequest(job.spec.ID), func(answer api.Answer) {
 		switch answer.Status {
 		case http.StatusOK:
 			sim.checker.jobAnswered(job.spec.ID, job, outcome, answer.Body.(protocol.JobReceipt).Stage)
 			if outcome == "" {
-				u.probe(job)
+				u.scheduleProbes(job)
 			}
 		case http.StatusNotFound:
 			if accepted {
 				sim.checker.jobDenied(job, job.spec.ID, answer.Status)
 			}
 		default:
-			sim.after(retryPause, func() { u.cancel(job) })
+			sim.after(retryDelay, func() { u.cancel(job) })
 		}
 	})
 }
 
-// completed is called when the last task of a job completes: some users cancel the job and
-// repeat its submission at that very moment.
+// completed is called when the last task of a job completes. A share of the users cancels
+// and resubmits the job at that moment.
 func (u *fakeUsers) completed(job *userJob) {
 	if u.cancelOnCompletionShare > 0 && u.sim.rand.Float64() < u.cancelOnCompletionShare && !job.cancelRequested {
 		u.sim.faults.note("cancel-on-completion", time.Second)
--- a/internal/scenario/users_faults.go
+++ b/internal/scenario/users_faults.go
@@ -12,43 +12,43 @@
 	"rockrun/internal/protocol"
 )
 
-// Users who cancel many jobs at once, and users who make requests that they should not.
+// Users that cancel many jobs at once, and users that send invalid requests.
 
 const (
-	// maxPausedMachines bounds the machines that are paused when many jobs are cancelled.
+	// maxPausedMachines limits the machines paused by one cancelRunning.
 	maxPausedMachines = 8
-	// cancelSpread is the time within which these jobs are cancelled.
-	cancelSpread = 200 * time.Millisecond
-	// invalidRequestPause is how often users make invalid requests.
-	invalidRequestPause = 500 * time.Millisecond
+	// cancelWindow is the time within which cancelRunning sends its cancellations.
+	cancelWindow = 200 * time.Millisecond
+	// invalidRequestInterval is the time between invalid requests.
+	invalidRequestInterval = 500 * time.Millisecond
 )
 
-// cancelRunning lets users cancel so many arrays that run, the last started first, and
-// some of their machines pause for a while.
-func (u *fakeUsers) cancelRunning(count int, pause time.Duration) {
+// cancelRunning cancels up to count running arrays, the most recently started first, and
+// pauses some of their machines.
+func (u *fakeUsers) cancelRunning(count int, pauseDuration time.Duration) {
 	sim := u.sim
 	running := u.runningArrays()
 	paused := 0
 	for _, job := range running[:min(count, len(running))] {
 		for _, agent := range sim.checker.machinesOf(job.spec.ID) {
-			if pause > 0 && paused < maxPausedMachines && !agent.isPaused() {
+			if pauseDuration > 0 && paused < maxPausedMachines && !agent.isPaused() {
 				paused++
-				sim.faults.note("machine-pause", pause)
-				agent.pause(pause)
+				sim.faults.note("machine-pause", pauseDuration)
+				agent.pause(pauseDuration)
 			}
 		}
-		sim.after(sim.randomBelow(cancelSpread), func() { u.cancel(job) })
+		sim.after(sim.randomBelow(cancelWindow), func() { u.cancel(job) })
 	}
 }
 
-// runningArrays are the arrays that run and that nobody has cancelled, the last started
-// first.
+// runningArrays returns the running arrays without a cancellation request, the most recently
+// started first.
 func (u *fakeUsers) runningArrays() []*userJob {
 	var running []*userJob
 	for _, id := range slices.Sorted(maps.Keys(u.jobs)) {
 		job := u.jobs[id]
-		open := job.spec.Kind == protocol.KindArray && job.accepted && !job.cancelRequested && job.outcome == ""
-		if open && len(u.sim.checker.machinesOf(id)) > 0 {
+		active := job.spec.Kind == protocol.KindArray && job.accepted && !job.cancelRequested && job.outcome == ""
+		if active && len(u.sim.checker.machinesOf(id)) > 0 {
 			running = append(running, job)
 		}
 	}
@@ -56,15 +56,15 @@
 	return running
 }
 
-// sendInvalid makes requests that users should not make, until a time: they repeat
-// submissions of unfinished jobs, cancel what is done, and send what fits no machine, lacks
-// a field or is malformed.
-func (u *fakeUsers) sendInvalid(until time.Duration) {
+// sendInvalidRequests sends invalid requests periodically until a given time. It resubmits
+// unfinished jobs, cancels ended jobs, and submits jobs that fit no machine, lack a field or
+// are malformed.
+func (u *fakeUsers) sendInvalidRequests(until time.Duration) {
 	sim := u.sim
 	if sim.now > until {
 		return
 	}
-	sim.after(invalidRequestPause, func() { u.sendInvalid(until) })
+	sim.after(invalidRequestInterval, func() { u.sendInvalidRequests(until) })
 	ids := slices.Sorted(maps.Keys(u.jobs))
 	if len(ids) == 0 {
 		return
@@ -75,17 +75,18 @@
 	case job.outcome == "":
 		u.submit(job)
 	default:
-		u.cancelEnded(job)
+		u.cancelEndedJob(job)
 	}
 	u.invalidRequests++
 	body := u.invalidBody(job.spec, u.invalidRequests)
-	u.ask(submission([]byte(body)), func(answer api.Answer) { sim.checker.invalidAnswered(body, answer.Status) })
+	u.sendRequest(submitRequest([]byte(body)), func(answer api.Answer) { sim.checker.invalidAnswered(body, answer.Status) })
 }
 
-// invalidBody is a submission like that of a job, but invalid in one of several ways.
+// invalidBody returns the submission of a job, made invalid in one of several ways that
+// number selects.
 func (u *fakeUsers) invalidBody(spec protocol.JobSpec, number int) string {
 	spec.ID = fmt.Sprintf("run-9%06d", number)
-	valid := string(u.body(&userJob{spec: spec}))
+	valid := string(u.submissionBody(&userJob{spec: spec}))
 	invalid := []string{
 		strings.Replace(valid, `"vcpus":`, `"vcpus":9000,"x":`, 1),
 		strings.Replace(valid, `"rank":`, `"rang":`, 1),
@@ -99,10 +100,10 @@
 	return invalid[number%len(invalid)]
 }
 
-// cancelEnded cancels a job that is over.
-func (u *fakeUsers) cancelEnded(job *userJob) {
+// cancelEndedJob sends a cancellation of an ended job, without retries.
+func (u *fakeUsers) cancelEndedJob(job *userJob) {
 	outcome := job.outcome
-	u.ask(cancellation(job.spec.ID), func(answer api.Answer) {
+	u.sendRequest(cancelRequest(job.spec.ID), func(answer api.Answer) {
 		switch answer.Status {
 		case http.StatusOK:
 			u.sim.checker.jobAnswered(job.spec.ID, job, outcome, answer.Body.(protocol.JobReceipt).Stage)
--- a/internal/scenario/users_pipelines.go
+++ b/internal/scenario/users_pipelines.go
@@ -2,30 +2,32 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// Jobs that depend on others, as users submit them: each as soon as those that it depends
-// on are accepted, or only once these are over.
+// Pipelines of dependent jobs. A user submits each job as soon as its dependencies are
+// accepted, or once the outcomes of its dependencies are known.
 
-// dependencyPollPause is how often a user looks whether the next job can be submitted: its
-// dependencies were accepted this little ago.
-const dependencyPollPause = time.Millisecond
+// dependencyPollInterval is how often a user checks whether the next job can be submitted. It
+// is the longest time between the acceptance of the dependencies and the submission.
+const dependencyPollInterval = time.Millisecond
 
-// submitWhen submits a job once all of its dependencies are accepted, or over.
-func (u *fakeUsers) submitWhen(job *userJob, over bool) {
-	ready := u.dependenciesAccepted(job) && (!over || u.dependenciesOver(job))
+// submitWhen submits a job once all of its dependencies are accepted and, with afterEnd,
+// their outcomes are known.
+func (u *fakeUsers) submitWhen(job *userJob, afterEnd bool) {
+	ready := u.dependenciesAccepted(job) && (!afterEnd || u.dependenciesEnded(job))
 	if !ready {
-		u.sim.after(dependencyPollPause, func() { u.submitWhen(job, over) })
+		u.sim.after(dependencyPollInterval, func() { u.submitWhen(job, afterEnd) })
 		return
 	}
-	u.submitFirst(job)
+	u.submitNew(job)
 }
 
-// dependenciesAccepted reports whether all jobs that a job names are accepted.
+// dependenciesAccepted reports whether all dependencies of a job are accepted.
 func (u *fakeUsers) dependenciesAccepted(job *userJob) bool {
 	return !slices.ContainsFunc(job.spec.Dependencies, func(id string) bool {
 		dependency := u.jobs[id]
@@ -33,14 +35,14 @@
 	})
 }
 
-// dependenciesOver reports whether the users know the outcomes of all jobs that a job
-// names, which were submitted.
-func (u *fakeUsers) dependenciesOver(job *userJob) bool {
+// dependenciesEnded reports whether the users know the outcomes of all dependencies of a
+// job. The dependencies must have been submitted.
+func (u *fakeUsers) dependenciesEnded(job *userJob) bool {
 	return !slices.ContainsFunc(job.spec.Dependencies, func(id string) bool { return u.jobs[id].outcome == "" })
 }
 
-// pipelineShapes are the jobs of pipelines: for each the numbers of those that it
-// depends on.
+// pipelineShapes lists, for each shape and job of a pipeline, the indexes of the jobs that
+// the job depends on.
 var pipelineShapes = map[string][][]int{
 	"chain":   {{}, {0}, {1}, {2}},
 	"diamond": {{}, {0}, {0}, {1, 2}, {3}},
@@ -49,18 +51,20 @@
 	"ten":     {{}, {0}, {1}, {2}, {3}, {4}, {5}, {6}, {7}, {8}},
 }
 
-// actPipeline lets users submit pipelines, one every so often: "pipeline run-100
-// shape=chain every=3s count=8 cancelled=0.1 after=20s late=0.3" and the arguments of a
-// job, which all of its jobs are like; priority and deadline are the last one's. A share
-// has one job cancelled, and a share gets its last job only when the others are over.
+// actPipeline: "pipeline run-100 shape=chain every=3s count=8 cancelled=0.1 after=20s
+// late=0.3" and the arguments of parseJob submits pipelines at an interval. The arguments
+// apply to all jobs of a pipeline, except that priority and deadline apply to its last job
+// only. In the cancelled= share of the pipelines, one job before the last is cancelled within
+// the after= time. In the late= share, the last job is submitted only once the outcomes of its
+// dependencies are known.
 func actPipeline(sim *simulation, line *statement) func() {
 	first, err := strconv.Atoi(strings.TrimPrefix(line.arg(0), "run-"))
 	if err != nil {
-		line.fail("pipeline: %v", err)
+		line.fail("pipeline: job ID %q is not of the form run-100: %v", line.arg(0), err)
 	}
 	shape, known := pipelineShapes[line.text("shape", "chain")]
 	if !known {
-		line.fail("pipeline: shape %s", line.pairs["shape"])
+		line.fail("pipeline: unknown shape=%s (allowed: %s)", line.pairs["shape"], strings.Join(slices.Sorted(maps.Keys(pipelineShapes)), ", "))
 		return nil
 	}
 	every := line.duration(line.text("every", "1s"))
@@ -72,24 +76,24 @@
 	}
 	return func() {
 		for i, jobs := range pipelines {
-			begin := time.Duration(i) * every
-			sim.after(begin, func() { sim.users.submitPipeline(jobs, sim.rand.Float64() < late) })
+			startDelay := time.Duration(i) * every
+			sim.after(startDelay, func() { sim.users.submitPipeline(jobs, sim.rand.Float64() < late) })
 			if sim.rand.Float64() < cancelled {
-				victim := jobs[sim.rand.IntN(len(jobs)-1)]
-				sim.after(begin+sim.randomBelow(cancelWithin), func() { sim.users.cancelAccepted(victim) })
+				cancelledJob := jobs[sim.rand.IntN(len(jobs)-1)]
+				sim.after(startDelay+sim.randomBelow(cancelWithin), func() { sim.users.cancelIfAccepted(cancelledJob) })
 			}
 		}
 	}
 }
 
-// cancelAccepted cancels a job if it is accepted.
-func (u *fakeUsers) cancelAccepted(job *userJob) {
+// cancelIfAccepted cancels a job if its user knows that it is accepted.
+func (u *fakeUsers) cancelIfAccepted(job *userJob) {
 	if job.accepted {
 		u.cancel(job)
 	}
 }
 
-// parsePipeline reads the description of one pipeline.
+// parsePipeline parses the description of one pipeline whose first job is run-<first>.
 func parsePipeline(line *statement, first int, shape [][]int) []*userJob {
 	jobs := make([]*userJob, len(shape))
 	for i, dependencies := range shape {
@@ -107,10 +111,10 @@
 	return jobs
 }
 
-// submitPipeline submits the jobs of a pipeline; late is for the last one to come only
-// when the others are over.
-func (u *fakeUsers) submitPipeline(jobs []*userJob, late bool) {
+// submitPipeline submits the jobs of a pipeline. With delayLast, the last job is
+// submitted only once the outcomes of its dependencies are known.
+func (u *fakeUsers) submitPipeline(jobs []*userJob, delayLast bool) {
 	for i, job := range jobs {
-		u.submitWhen(job, late && i == len(jobs)-1)
+		u.submitWhen(job, delayLast && i == len(jobs)-1)
 	}
 }
--- a/internal/scenario/users_probes.go
+++ b/internal/scenario/users_probes.go
@@ -10,32 +10,32 @@
 	"rockrun/internal/protocol"
 )
 
-// Read-your-writes probes: users ask every controller right after an answer.
+// Read-your-writes probes: users query every controller right after an answer.
 
-// Of the probes after an answer: how many rounds there are, and within what time.
+// Number of probe rounds after an answer, and the time within which they are sent.
 const (
 	probeRounds   = 4
-	maxProbePause = 30 * time.Millisecond
+	maxProbeDelay = 30 * time.Millisecond
 )
 
-// probe lets the user of a job that was just accepted, ended or cancelled ask
-// at every controller, again and again within milliseconds, and repeat the
-// submission. No answer may be older than what the user knows.
-func (u *fakeUsers) probe(job *userJob) {
+// scheduleProbes schedules several rounds of status queries and resubmissions to every
+// controller within milliseconds. It is called when a job has just been accepted, ended or
+// cancelled. No answer may be older than the state that the user already knows.
+func (u *fakeUsers) scheduleProbes(job *userJob) {
 	sim := u.sim
 	if sim.now >= u.probeUntil {
 		return
 	}
 	for range probeRounds {
 		for _, h := range sim.hosts {
-			sim.after(sim.randomBelow(maxProbePause), func() { u.probeAt(h.process, job) })
+			sim.after(sim.randomBelow(maxProbeDelay), func() { u.probeController(h.process, job) })
 		}
 	}
 }
 
-// probeAt asks a process about a job, and about those that depend on it once it is
-// cancelled; without one it does nothing.
-func (u *fakeUsers) probeAt(p *process, job *userJob) {
+// probeController sends the probes for a job to one process. If the job is cancelled, it also
+// queries the job's dependents. It does nothing if p is nil.
+func (u *fakeUsers) probeController(p *process, job *userJob) {
 	if p == nil {
 		return
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-// probeDependents asks a process about the jobs that depend on one that is cancelled.
+// probeDependents queries the status of the dependents of a cancelled job.
 func (u *fakeUsers) probeDependents(p *process, job *userJob) {
 	for _, id := range slices.Sorted(maps.Keys(u.jobs)) {
 		if dependent := u.jobs[id]; dependent.accepted && slices.Contains(u.sim.checker.dependenciesOf(dependent), job) {
@@ -55,10 +55,10 @@
 	}
 }
 
-// probeStatus asks a process about a job once.
+// probeStatus queries the status of a job once.
 func (u *fakeUsers) probeStatus(p *process, job *userJob) {
 	id, outcome := job.spec.ID, job.outcome
-	u.askAt(p, statusOf(id), func(answer api.Answer) {
+	u.sendRequestTo(p, statusRequest(id), func(answer api.Answer) {
 		u.probeAnswers++
 		switch answer.Status {
 		case http.StatusOK:
@@ -69,10 +69,10 @@
 	})
 }
 
-// probeResubmission submits a job again, at a certain process.
+// probeResubmission resubmits a job once.
 func (u *fakeUsers) probeResubmission(p *process, job *userJob) {
 	id, outcome := job.spec.ID, job.outcome
-	u.askAt(p, submission(u.body(job)), func(answer api.Answer) {
+	u.sendRequestTo(p, submitRequest(u.submissionBody(job)), func(answer api.Answer) {
 		u.probeAnswers++
 		switch answer.Status {
 		case http.StatusOK, http.StatusCreated:
