--- a/internal/scenario/actions_controllers.go
+++ b/internal/scenario/actions_controllers.go
@@ -23,7 +23,7 @@
 	name, duration := line.arg(0), line.duration(line.arg(1))
 	sim.validateHostName(line, name)
 	return func() {
-		sim.faults.note("pause", duration)
+		sim.faults.record("pause", duration)
 		sim.hostNow(name).pausedUntil = sim.now + duration
 	}
 }
@@ -75,9 +75,9 @@
 	h := sim.requireHost(line, line.arg(0))
 	down := line.duration(line.text("down", "3s"))
 	return func() {
-		sim.faults.note("upgrade", down)
+		sim.faults.record("upgrade", down)
 		h.crash()
-		h.unawareOfAnnouncedLimits = false
+		h.ignoresAnnouncedLimits = false
 		sim.after(down, h.startIfDown)
 	}
 }
--- a/internal/scenario/actions_machines.go
+++ b/internal/scenario/actions_machines.go
@@ -9,7 +9,7 @@
 	selectAgents, duration := sim.agentSelector(line), line.duration(line.arg(1))
 	return func() {
 		for _, agent := range selectAgents() {
-			sim.faults.note("machine-pause", duration)
+			sim.faults.record("machine-pause", duration)
 			agent.pause(duration)
 		}
 	}
@@ -21,7 +21,7 @@
 	selectAgents, duration, outbound := sim.agentSelector(line), line.duration(line.arg(1)), line.verb == "outbound-partition"
 	return func() {
 		for _, agent := range selectAgents() {
-			sim.faults.note(line.verb, duration)
+			sim.faults.record(line.verb, duration)
 			partitioned := &agent.inboundPartition
 			if outbound {
 				partitioned = &agent.outboundPartition
@@ -56,7 +56,7 @@
 	return func() {
 		if agent := sim.agents[machine]; agent != nil && notice > 0 {
 			agent.terminatedAt = sim.now + notice
-			agent.wantHeartbeat()
+			agent.requestHeartbeat()
 		}
 		sim.after(notice, func() { sim.cloud.delete([]string{machine}) })
 	}
@@ -68,7 +68,7 @@
 	selectAgents, duration := sim.agentSelector(line), line.duration(line.arg(1))
 	return func() {
 		for _, agent := range selectAgents() {
-			sim.faults.note("machine-partition", duration)
+			sim.faults.record("machine-partition", duration)
 			agent.partitioned = true
 			sim.after(duration, agent.heal)
 		}
--- a/internal/scenario/actions_messages.go
+++ b/internal/scenario/actions_messages.go
@@ -15,7 +15,7 @@
 	share := line.number("share", 0.3)
 	least, most := line.duration(line.text("least", "2s")), line.duration(line.text("most", "16s"))
 	return func() {
-		sim.network.commands.delayedShare, sim.network.commands.least, sim.network.commands.most = share, least, most
+		sim.network.commands.delayedShare, sim.network.commands.minDelay, sim.network.commands.maxDelay = share, least, most
 	}
 }
 
@@ -32,7 +32,7 @@
 	share := line.number("share", 0.3)
 	least, most := line.duration(line.text("least", "1s")), line.duration(line.text("most", "90s"))
 	return func() {
-		sim.network.heartbeats.duplicateShare, sim.network.heartbeats.least, sim.network.heartbeats.most = share, least, most
+		sim.network.heartbeats.duplicateShare, sim.network.heartbeats.minDelay, sim.network.heartbeats.maxDelay = share, least, most
 	}
 }
 
--- a/internal/scenario/actions_services.go
+++ b/internal/scenario/actions_services.go
@@ -8,7 +8,7 @@
 func actStoreOutage(sim *simulation, line *statement) func() {
 	duration := line.duration(line.arg(0))
 	return func() {
-		sim.faults.note("store-outage", duration)
+		sim.faults.record("store-outage", duration)
 		sim.store.setOutage(true)
 		sim.after(duration, func() { sim.store.setOutage(false) })
 	}
@@ -39,8 +39,8 @@
 // actStoreLowerLimits: "store-lower-limits" makes the store enforce the announced limits.
 func actStoreLowerLimits(sim *simulation, _ *statement) func() {
 	return func() {
-		sim.faults.note("store-lower-limits", time.Second)
-		sim.store.lowerLimits()
+		sim.faults.record("store-lower-limits", time.Second)
+		sim.store.applyAnnouncedLimits()
 	}
 }
 
--- a/internal/scenario/actions_users.go
+++ b/internal/scenario/actions_users.go
@@ -110,7 +110,7 @@
 	duration := line.duration(line.arg(0))
 	cancelled := line.number("cancelled", 0)
 	return func() {
-		sim.faults.note("read-your-writes", duration)
+		sim.faults.record("read-your-writes", duration)
 		sim.users.probeUntil, sim.users.cancelOnAcceptShare = sim.now+duration, cancelled
 	}
 }
@@ -119,7 +119,7 @@
 func actInvalidRequests(sim *simulation, line *statement) func() {
 	duration := line.duration(line.arg(0))
 	return func() {
-		sim.faults.note("invalid-requests", duration)
+		sim.faults.record("invalid-requests", duration)
 		sim.users.sendInvalidRequests(sim.now + duration)
 	}
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	sim.run(end)
-	sim.checker.end()
+	sim.checker.checkFinalState()
 	unmet, err := sim.unmetExpectations(files[fileExpect])
 	if err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 		Violations:        sim.checker.violations,
 		UnmetExpectations: unmet,
 		Digest:            sim.trace.digest(),
-		Records:           sim.store.list(),
+		Records:           sim.store.allItems(),
 	}, nil
 }
 
--- a/internal/scenario/select.go
+++ b/internal/scenario/select.go
@@ -84,7 +84,7 @@
 	case nameAll:
 		return s.hosts
 	case nameHealthy:
-		return slices.DeleteFunc(slices.Clone(s.hosts), s.store.refuses)
+		return slices.DeleteFunc(slices.Clone(s.hosts), s.store.isUnavailableTo)
 	}
 	return []*host{s.hostNow(name)}
 }
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -59,7 +59,7 @@
 	sim := u.sim
 	var serving []*host
 	for _, h := range sim.hosts {
-		if h.process != nil && (!u.healthyControllersOnly || !sim.store.refuses(h)) {
+		if h.process != nil && (!u.healthyControllersOnly || !sim.store.isUnavailableTo(h)) {
 			serving = append(serving, h)
 		}
 	}
@@ -83,7 +83,7 @@
 	sim.after(userTimeout, func() { finish(api.Answer{}) })
 	sim.after(sim.latency(), process.guard(func() {
 		call(process.controller, func(answer api.Answer) {
-			sim.trace.answered(process.host.name, kindUserAnswer, answer)
+			sim.trace.recordAnswer(process.host.name, kindUserAnswer, answer)
 			sim.after(sim.latency(), func() { finish(answer) })
 		})
 	}))
@@ -241,7 +241,7 @@
 // and resubmits the job at that moment.
 func (u *fakeUsers) completed(job *userJob) {
 	if u.cancelOnCompletionShare > 0 && u.sim.rand.Float64() < u.cancelOnCompletionShare && !job.cancelRequested {
-		u.sim.faults.note("cancel-on-completion", time.Second)
+		u.sim.faults.record("cancel-on-completion", time.Second)
 		u.cancel(job)
 		u.submit(job)
 	}
--- a/internal/scenario/users_faults.go
+++ b/internal/scenario/users_faults.go
@@ -30,10 +30,10 @@
 	running := u.runningArrays()
 	paused := 0
 	for _, job := range running[:min(count, len(running))] {
-		for _, agent := range sim.checker.machinesOf(job.spec.ID) {
+		for _, agent := range sim.checker.agentsOf(job.spec.ID) {
 			if pauseDuration > 0 && paused < maxPausedMachines && !agent.isPaused() {
 				paused++
-				sim.faults.note("machine-pause", pauseDuration)
+				sim.faults.record("machine-pause", pauseDuration)
 				agent.pause(pauseDuration)
 			}
 		}
@@ -48,7 +48,7 @@
 	for _, id := range slices.Sorted(maps.Keys(u.jobs)) {
 		job := u.jobs[id]
 		active := job.spec.Kind == protocol.KindArray && job.accepted && !job.cancelRequested && job.outcome == ""
-		if active && len(u.sim.checker.machinesOf(id)) > 0 {
+		if active && len(u.sim.checker.agentsOf(id)) > 0 {
 			running = append(running, job)
 		}
 	}
@@ -79,7 +79,7 @@
 	}
 	u.invalidRequests++
 	body := u.invalidBody(job.spec, u.invalidRequests)
-	u.sendRequest(submitRequest([]byte(body)), func(answer api.Answer) { sim.checker.invalidAnswered(body, answer.Status) })
+	u.sendRequest(submitRequest([]byte(body)), func(answer api.Answer) { sim.checker.invalidSubmissionAnswered(body, answer.Status) })
 }
 
 // invalidBody returns the submission of a job, made invalid in one of several ways that
