--- a/internal/scenario/actions_controllers.go
+++ b/internal/scenario/actions_controllers.go
@@ -15,7 +15,7 @@
 		}
 	}
 	sim.validateHostName(line, name)
-	return func() { sim.hostNow(name).crash() }
+	return func() { sim.resolveHost(name).crash() }
 }
 
 // actPause: "pause holder:0 40s" pauses a process.
@@ -24,7 +24,7 @@
 	sim.validateHostName(line, name)
 	return func() {
 		sim.faults.record("pause", duration)
-		sim.hostNow(name).pausedUntil = sim.now + duration
+		sim.resolveHost(name).pausedUntil = sim.now + duration
 	}
 }
 
--- a/internal/scenario/agent_tasks.go
+++ b/internal/scenario/agent_tasks.go
@@ -113,7 +113,7 @@
 	a.end(task, protocol.CauseDone)
 	if a.sim.checker.isComplete(job) {
 		job.completedAt = a.sim.now
-		a.sim.users.completed(job)
+		a.sim.users.onJobCompleted(job)
 	}
 }
 
--- a/internal/scenario/checker_liveness.go
+++ b/internal/scenario/checker_liveness.go
@@ -51,15 +51,15 @@
 	for _, id := range slices.Sorted(maps.Keys(c.sim.users.jobs)) {
 		job := c.sim.users.jobs[id]
 		if !c.isStarved(job) {
-			job.waitingSince = 0
+			job.unplacedSince = 0
 			continue
 		}
-		if job.waitingSince == 0 {
-			job.waitingSince = max(now, 1)
+		if job.unplacedSince == 0 {
+			job.unplacedSince = max(now, 1)
 		}
-		if now-job.waitingSince > maxRunnableWait {
-			c.recordViolation(ruleStarved, "%s has been waiting since %s while a machine has capacity for it", id, job.waitingSince)
-			job.waitingSince = 0
+		if now-job.unplacedSince > maxRunnableWait {
+			c.recordViolation(ruleStarved, "%s has been waiting since %s while a machine has capacity for it", id, job.unplacedSince)
+			job.unplacedSince = 0
 		}
 	}
 }
--- a/internal/scenario/expect_cluster.go
+++ b/internal/scenario/expect_cluster.go
@@ -27,7 +27,7 @@
 
 // expectJobShardsApart: "job-shards-apart", no controller holds both job shards.
 func expectJobShardsApart(sim *simulation, _ *statement) string {
-	if first := sim.hostNow(holderPrefix + "0"); first == sim.hostNow(holderPrefix+"1") {
+	if first := sim.resolveHost(holderPrefix + "0"); first == sim.resolveHost(holderPrefix+"1") {
 		return first.name + " holds both job shards"
 	}
 	return ""
--- a/internal/scenario/expect_jobs.go
+++ b/internal/scenario/expect_jobs.go
@@ -19,7 +19,7 @@
 		return noSuchJob
 	}
 	if !job.accepted {
-		return fmt.Sprintf("the last status is %d", job.status)
+		return fmt.Sprintf("the last status is %d", job.submissionStatus)
 	}
 	return checkWithin(line, job.acceptedAt-job.submittedAt)
 }
@@ -27,7 +27,7 @@
 // expectStatus: "status run-1 422", the status of the last answer to the submission.
 func expectStatus(sim *simulation, line *statement) string {
 	job := sim.users.jobs[line.arg(0)]
-	if job == nil || strconv.Itoa(job.status) != line.arg(1) {
+	if job == nil || strconv.Itoa(job.submissionStatus) != line.arg(1) {
 		return fmt.Sprintf("the job is %v", job)
 	}
 	return ""
--- a/internal/scenario/job.go
+++ b/internal/scenario/job.go
@@ -25,10 +25,10 @@
 
 // jobUserState is what the user of a job has requested and what the answers told the user.
 type jobUserState struct {
-	submittedAt time.Duration
-	status      int // HTTP status of the last answer to the submission
-	accepted    bool
-	acceptedAt  time.Duration
+	submittedAt      time.Duration
+	submissionStatus int // HTTP status of the last answer to the submission
+	accepted         bool
+	acceptedAt       time.Duration
 
 	cancelRequested bool
 	cancelledAt     time.Duration // first answer with StageCancelled; 0: none yet
@@ -42,9 +42,9 @@
 
 // jobProgress is the actual progress of a job; a time is 0 until its event occurs.
 type jobProgress struct {
-	startedAt    time.Duration // first start of a task
-	completedAt  time.Duration // completion of the last task
-	waitingSince time.Duration // unplaced since then although it could run
+	startedAt     time.Duration // first start of a task
+	completedAt   time.Duration // completion of the last task
+	unplacedSince time.Duration // unplaced since then although it could run
 }
 
 // runSecondsOf returns the actual run time of a task of the job.
--- a/internal/scenario/select.go
+++ b/internal/scenario/select.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// hostNow resolves a host name, leader or holder:N at the time of the call. It returns the
+// resolveHost resolves a host name, leader or holder:N at the time of the call. It returns the
 // first host if no host matches.
-func (s *simulation) hostNow(name string) *host {
+func (s *simulation) resolveHost(name string) *host {
 	if name == nameLeader {
 		return s.leaderHost()
 	}
@@ -78,7 +78,7 @@
 	return grant.Controller
 }
 
-// resolveHosts is like hostNow, but also accepts the names that select several hosts.
+// resolveHosts is like resolveHost, but also accepts the names that select several hosts.
 func (s *simulation) resolveHosts(name string) []*host {
 	switch name {
 	case nameAll:
@@ -86,7 +86,7 @@
 	case nameHealthy:
 		return slices.DeleteFunc(slices.Clone(s.hosts), s.store.isUnavailableTo)
 	}
-	return []*host{s.hostNow(name)}
+	return []*host{s.resolveHost(name)}
 }
 
 // leaderHost returns the host whose controller is the leader, or the first host if there is
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -134,7 +134,7 @@
 	allAccepted := u.dependenciesAccepted(job)
 	u.sendRequest(submitRequest(u.submissionBody(job)), func(answer api.Answer) {
 		if answer.Status != 0 {
-			job.status = answer.Status
+			job.submissionStatus = answer.Status
 		}
 		sim.checker.checkDependencyAnswer(job, answer.Status, allAccepted)
 		switch answer.Status {
@@ -237,9 +237,9 @@
 	})
 }
 
-// completed is called when the last task of a job completes. A share of the users cancels
+// onJobCompleted is called when the last task of a job completes. A share of the users cancels
 // and resubmits the job at that moment.
-func (u *fakeUsers) completed(job *userJob) {
+func (u *fakeUsers) onJobCompleted(job *userJob) {
 	if u.cancelOnCompletionShare > 0 && u.sim.rand.Float64() < u.cancelOnCompletionShare && !job.cancelRequested {
 		u.sim.faults.record("cancel-on-completion", time.Second)
 		u.cancel(job)
