--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// importGraph maps each package's directory to the directories of the module's packages that
-// its files import, tests included, whatever their build constraints.
+// importGraph maps the directory of each package to the directories of the module's packages that
+// its files import. It includes test files and ignores build constraints.
 type importGraph map[string][]string
 
 func readImports(t *testing.T) importGraph {
@@ -70,42 +70,44 @@
 	return dirs
 }
 
-// checkOrder says what is wrong with a graph if packages may import only those that stand
-// before them in an order: imports against it, packages that it lacks or that don't exist.
+// checkOrder returns the violations of the rule that a package may import only packages listed
+// before it: imports against the order, packages missing from the list, and listed packages that
+// do not exist or are listed twice.
 func checkOrder(order []string, graph importGraph) []string {
-	rank := map[string]int{}
-	var wrong []string
+	positions := map[string]int{}
+	var problems []string
 	for i, dir := range order {
-		if _, twice := rank[dir]; twice {
-			wrong = append(wrong, dir+" is on the page twice")
+		if _, duplicate := positions[dir]; duplicate {
+			problems = append(problems, dir+" is listed twice")
 		}
-		rank[dir] = i
+		positions[dir] = i
 		if _, exists := graph[dir]; !exists {
-			wrong = append(wrong, dir+" is on the page and doesn't exist")
+			problems = append(problems, dir+" is listed but does not exist")
 		}
 	}
 	for _, dir := range slices.Sorted(maps.Keys(graph)) {
-		own, listed := rank[dir]
+		position, listed := positions[dir]
 		if !listed {
-			wrong = append(wrong, dir+" isn't on the page")
+			problems = append(problems, dir+" is not listed")
 			continue
 		}
 		for _, imported := range slices.Compact(slices.Sorted(slices.Values(graph[dir]))) {
-			if at, known := rank[imported]; imported != dir && (!known || at >= own) {
-				wrong = append(wrong, fmt.Sprintf("%s imports %s, which doesn't stand above it", dir, imported))
+			if importedPosition, known := positions[imported]; imported != dir && (!known || importedPosition >= position) {
+				problems = append(problems, fmt.Sprintf("%s imports %s, which is not listed above it", dir, imported))
 			}
 		}
 	}
-	return wrong
+	return problems
 }
 
-func TestImportsFollowThePage(t *testing.T) {
+// TestImportsFollowDocumentedOrder checks all imports against the package list on the page.
+func TestImportsFollowDocumentedOrder(t *testing.T) {
 	order := readPage(t).packages()
 	if len(order) < 10 {
-		t.Fatalf("the page lists %d packages: %v", len(order), order)
+		t.Fatalf("%s lists %d packages, want at least 10: %v", pagePath, len(order), order)
 	}
-	for _, wrong := range checkOrder(order, readImports(t)) {
-		t.Error(wrong)
+	for _, problem := range checkOrder(order, readImports(t)) {
+		t.Errorf("%s: %s", pagePath, problem)
 	}
 }
 
@@ -115,24 +117,24 @@
 		graph importGraph
 		want  string
 	}{
-		"all upwards": {importGraph{"low": nil, "middle": {"low"}, "high": {"low", "middle"}}, ""},
-		"a test of the package itself": {
+		"imports in order": {importGraph{"low": nil, "middle": {"low"}, "high": {"low", "middle"}}, ""},
+		"import of the package itself": {
 			importGraph{"low": {"low"}, "middle": nil, "high": nil}, ""},
-		"downwards": {
-			importGraph{"low": {"high"}, "middle": nil, "high": nil}, "low imports high, which doesn't stand above it"},
-		"of an unlisted package": {
-			importGraph{"low": nil, "middle": {"other"}, "high": nil}, "middle imports other, which doesn't stand above it"},
-		"not listed":     {importGraph{"low": nil, "middle": nil, "high": nil, "other": nil}, "other isn't on the page"},
-		"does not exist": {importGraph{"low": nil, "high": nil}, "middle is on the page and doesn't exist"},
+		"import against the order": {
+			importGraph{"low": {"high"}, "middle": nil, "high": nil}, "low imports high, which is not listed above it"},
+		"import of an unlisted package": {
+			importGraph{"low": nil, "middle": {"other"}, "high": nil}, "middle imports other, which is not listed above it"},
+		"unlisted package": {importGraph{"low": nil, "middle": nil, "high": nil, "other": nil}, "other is not listed"},
+		"missing package":  {importGraph{"low": nil, "high": nil}, "middle is listed but does not exist"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if got := strings.Join(checkOrder(order, c.graph), "; "); got != c.want {
-				t.Errorf("%q instead of %q", got, c.want)
+				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
 	}
 	if got := checkOrder([]string{"low", "low"}, importGraph{"low": nil}); len(got) != 1 {
-		t.Errorf("a package listed twice: %v", got)
+		t.Errorf("package listed twice: got problems %v, want one", got)
 	}
 }
--- a/internal/architecture/log_test.go
+++ b/internal/architecture/log_test.go
@@ -15,11 +15,12 @@
 
 const operationsPage = "docs/operations.md"
 
-// A logEvent is a line of the log: its level, and the name of its event.
+// logEvent is the level and the event name of a log line.
 type logEvent struct{ level, name string }
 
-// listedEvents lists the rows of the table of log lines: | level | `event` | keys | meaning |.
-func listedEvents(text string) []logEvent {
+// documentedEvents lists the events in the table of log lines. Its rows have the form
+// | level | `event` | keys | meaning |.
+func documentedEvents(text string) []logEvent {
 	row := regexp.MustCompile("(?m)^\\| (error|warn|info|debug) \\| `([^`]+)` \\|")
 	var events []logEvent
 	for _, match := range row.FindAllStringSubmatch(text, -1) {
@@ -28,12 +29,12 @@
 	return events
 }
 
-// loggedEvents lists the events that a file logs: calls like x.Log.Info("event", ...).
+// loggedEvents lists the events that a file logs by calls like x.Log.Info("event", ...).
 func loggedEvents(file *ast.File) []logEvent {
 	var events []logEvent
 	ast.Inspect(file, func(node ast.Node) bool {
 		if call, ok := node.(*ast.CallExpr); ok {
-			if event, logs := loggedEvent(call); logs {
+			if event, isLogCall := loggedEvent(call); isLogCall {
 				events = append(events, event)
 			}
 		}
@@ -42,7 +43,8 @@
 	return events
 }
 
-func loggedEvent(call *ast.CallExpr) (event logEvent, logs bool) {
+// loggedEvent returns the event that a call logs, and whether the call is a log call.
+func loggedEvent(call *ast.CallExpr) (event logEvent, isLogCall bool) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || !isLogger(method.X) {
 		return logEvent{}, false
@@ -53,7 +55,7 @@
 	}
 	literal, ok := call.Args[0].(*ast.BasicLit)
 	if !ok {
-		return logEvent{level: level, name: "(no literal)"}, true
+		return logEvent{level: level, name: "(not a literal)"}, true
 	}
 	name, err := strconv.Unquote(literal.Value)
 	if err != nil {
@@ -62,7 +64,7 @@
 	return logEvent{level: level, name: name}, true
 }
 
-// isLogger reports whether an expression is named like a logger: log, Log or x.Log.
+// isLogger reports whether an expression has the name of a logger: log, Log or x.Log.
 func isLogger(expression ast.Expr) bool {
 	switch e := expression.(type) {
 	case *ast.Ident:
@@ -74,15 +76,16 @@
 	}
 }
 
-// The table of log lines in docs/operations.md lists what the program logs, no more and no less.
-func TestLogEventsAreListed(t *testing.T) {
+// TestLogEventsAreDocumented checks that the table of log lines in docs/operations.md lists exactly
+// the events that the program logs.
+func TestLogEventsAreDocumented(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, operationsPage))
 	if err != nil {
 		t.Fatal(err)
 	}
-	listed := map[logEvent]bool{}
-	for _, event := range listedEvents(string(text)) {
-		listed[event] = true
+	documented := map[logEvent]bool{}
+	for _, event := range documentedEvents(string(text)) {
+		documented[event] = true
 	}
 	logged := map[logEvent]bool{}
 	for _, file := range goFiles(t) {
@@ -95,41 +98,41 @@
 		}
 		for _, event := range loggedEvents(parsed) {
 			logged[event] = true
-			if !listed[event] {
-				t.Errorf("%s logs %q at level %s, which %s doesn't list", file, event.name, event.level, operationsPage)
+			if !documented[event] {
+				t.Errorf("%s logs %q at level %s, which %s does not list", file, event.name, event.level, operationsPage)
 			}
 		}
 	}
-	for event := range listed {
+	for event := range documented {
 		if !logged[event] {
-			t.Errorf("%s lists %q at level %s, which nothing logs", operationsPage, event.name, event.level)
+			t.Errorf("%s lists %q at level %s, which the program does not log", operationsPage, event.name, event.level)
 		}
 	}
 	if len(logged) < 10 {
-		t.Errorf("%d events found", len(logged))
+		t.Errorf("found %d log events in the sources, want at least 10", len(logged))
 	}
 }
 
 func TestLoggedEvents(t *testing.T) {
 	source := `package p
 func f() {
-	r.Log.Info("granted", "shard", 1)
-	log.Warn("accept")
+	r.Log.Info("shard granted", "shard", 1)
+	log.Warn("connection failed")
 	c.config.Log.Error(name)
-	fmt.Error("no log")
-	r.Log.With("x").Info("no name of a logger")
+	fmt.Error("not a logger")
+	r.Log.With("x").Info("receiver without the name of a logger")
 	r.Log.Enabled(ctx, 1)
 }`
 	file, err := parser.ParseFile(token.NewFileSet(), "p.go", source, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []logEvent{{"info", "granted"}, {"warn", "accept"}, {"error", "(no literal)"}}
+	want := []logEvent{{"info", "shard granted"}, {"warn", "connection failed"}, {"error", "(not a literal)"}}
 	if got := loggedEvents(file); !slices.Equal(got, want) {
-		t.Errorf("%v instead of %v", got, want)
+		t.Errorf("logged events: got %v, want %v", got, want)
 	}
-	table := "| level | event |\n| --- | --- |\n| info | `granted` | `shard` | a grant |\n| other | `x` | |\n"
-	if got := listedEvents(table); !slices.Equal(got, want[:1]) {
-		t.Errorf("%v instead of %v", got, want[:1])
+	table := "| level | event |\n| --- | --- |\n| info | `shard granted` | `shard` | a grant |\n| other | `x` | |\n"
+	if got := documentedEvents(table); !slices.Equal(got, want[:1]) {
+		t.Errorf("documented events: got %v, want %v", got, want[:1])
 	}
 }
--- a/internal/architecture/names_test.go
+++ b/internal/architecture/names_test.go
@@ -12,12 +12,12 @@
 	"testing"
 )
 
-// knownNames are the names that the page may put in backticks.
+// knownNames holds the names that may appear in backticks on the page.
 type knownNames struct {
 	packages map[string]bool // directories and their last elements
-	files    map[string]bool // Go files without their directories
-	declared map[string]bool // what files other than tests declare: X, and T.X for methods and fields
-	literals string          // their string literals: wire names, keys of records, settings
+	files    map[string]bool // names of Go files, without directories
+	declared map[string]bool // declarations outside tests: X, and T.X for methods and fields
+	literals string          // string literals outside tests: wire names, record keys, settings
 }
 
 func readNames(t *testing.T) *knownNames {
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		ast.Inspect(parsed, func(node ast.Node) bool {
-			names.declare(node)
+			names.addDeclaration(node)
 			if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
 				literals.WriteString(literal.Value + "\n")
 			}
@@ -51,8 +51,8 @@
 	k.packages[path.Base(path.Dir(file))] = true
 }
 
-// declare takes in what a node declares.
-func (k *knownNames) declare(node ast.Node) {
+// addDeclaration adds the names that a node declares, and HTTP header constants that it uses.
+func (k *knownNames) addDeclaration(node ast.Node) {
 	switch n := node.(type) {
 	case *ast.FuncDecl:
 		k.declared[n.Name.Name] = true
@@ -61,7 +61,7 @@
 		}
 	case *ast.TypeSpec:
 		k.declared[n.Name.Name] = true
-		for _, field := range fieldsOf(n.Type) {
+		for _, field := range memberNames(n.Type) {
 			k.declared[n.Name.Name+"."+field] = true
 			k.declared[field] = true
 		}
@@ -85,7 +85,7 @@
 	}
 }
 
-// typeName is the name of a type without its parameters.
+// typeName returns the name of a type without its type parameters.
 func typeName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.Ident:
@@ -99,8 +99,8 @@
 	}
 }
 
-// fieldsOf lists the fields of a struct or the methods of an interface.
-func fieldsOf(expression ast.Expr) []string {
+// memberNames lists the fields of a struct or the methods of an interface.
+func memberNames(expression ast.Expr) []string {
 	var list *ast.FieldList
 	switch e := expression.(type) {
 	case *ast.StructType:
@@ -120,35 +120,35 @@
 }
 
 var (
-	fileName   = regexp.MustCompile(`^[\w.-]+\.(go|md|toml|hcl|txt|json)$`)
-	identifier = regexp.MustCompile(`^(\w+\.)?(\w+)(\.\w+)?(\(\))?$`)
-	wireName   = regexp.MustCompile(`^[/\w .:-]+$`)
+	fileName    = regexp.MustCompile(`^[\w.-]+\.(go|md|toml|hcl|txt|json)$`)
+	identifier  = regexp.MustCompile(`^(\w+\.)?(\w+)(\.\w+)?(\(\))?$`)
+	literalName = regexp.MustCompile(`^[/\w .:-]+$`)
 )
 
-// has reports whether a name exists: a path from the module's root or within internal or
-// internal/coordination, a Go file, a package, something declared (X, T.X, package.X or
-// package.T.X), a command, a header, or part of a string literal.
+// has reports whether a name exists. The name may be a path relative to the module's root, to
+// internal or to internal/coordination; a file; a package; a declaration (X, T.X, package.X or
+// package.T.X); a command; a header; or whole words of a string literal.
 func (k *knownNames) has(name string) bool {
 	switch {
 	case strings.Contains(name, "/") && isPath(name):
 		return true
 	case fileName.MatchString(name):
-		return k.files[name] || exists(name)
+		return k.files[name] || pathExists(name)
 	case k.packages[name] || k.isDeclared(strings.TrimSuffix(name, "()")) || k.isCommand(name) || k.isHeader(name):
 		return true
 	default:
-		return k.isOnTheWire(routeOf(name))
+		return k.isInStringLiteral(routePattern(name))
 	}
 }
 
-// isCommand reports whether a name is a command of the program: "rockrun check".
+// isCommand reports whether a name is a command of the program, such as "rockrun check".
 func (k *knownNames) isCommand(name string) bool {
 	command, ok := strings.CutPrefix(name, modulePath+" ")
 	return ok && command != "" && k.declared["cli."+strings.ToUpper(command[:1])+command[1:]]
 }
 
-// isHeader reports whether a name is an HTTP header for which the sources use the constant:
-// "Retry-After", HeaderRetryAfter.
+// isHeader reports whether a name is an HTTP header whose constant the sources use: "Retry-After"
+// exists if HeaderRetryAfter is used.
 func (k *knownNames) isHeader(name string) bool {
 	return strings.Contains(name, "-") && k.declared["Header"+strings.ReplaceAll(name, "-", "")]
 }
@@ -158,8 +158,9 @@
 	pathParameter = regexp.MustCompile(`\{(\w+)\}`)
 )
 
-// routeOf is the route of a request as the sources write it: "GET /jobs/{id}" is /jobs/:id.
-func routeOf(name string) string {
+// routePattern returns the route of a request as written in the sources: /jobs/:id for
+// "GET /jobs/{id}".
+func routePattern(name string) string {
 	return pathParameter.ReplaceAllString(requestMethod.ReplaceAllString(name, ""), ":$1")
 }
 
@@ -174,49 +175,51 @@
 	return qualified && k.packages[packageName] && k.declared[rest]
 }
 
-// isOnTheWire reports whether a name stands as a whole word in a string literal. Names of paths
-// in the tree don't count as such: internal/x must exist.
-func (k *knownNames) isOnTheWire(name string) bool {
-	if !wireName.MatchString(name) || strings.HasPrefix(name, "internal/") || strings.HasPrefix(name, "cmd/") {
+// isInStringLiteral reports whether a string literal contains a name as whole words. Paths of
+// packages do not count, because internal/x must exist as a directory.
+func (k *knownNames) isInStringLiteral(name string) bool {
+	if !literalName.MatchString(name) || strings.HasPrefix(name, "internal/") || strings.HasPrefix(name, "cmd/") {
 		return false
 	}
-	word := regexp.MustCompile(`(^|[^\w])` + regexp.QuoteMeta(name) + `([^\w]|$)`)
-	return word.MatchString(k.literals)
+	wholeWord := regexp.MustCompile(`(^|[^\w])` + regexp.QuoteMeta(name) + `([^\w]|$)`)
+	return wholeWord.MatchString(k.literals)
 }
 
-func exists(file string) bool {
+func pathExists(file string) bool {
 	_, err := os.Stat(filepath.Join(root, file))
 	return err == nil
 }
 
 func isPath(name string) bool {
 	return !strings.HasPrefix(name, "/") &&
-		(exists(name) || exists("internal/"+name) || exists("internal/coordination/"+name))
+		(pathExists(name) || pathExists("internal/"+name) || pathExists("internal/coordination/"+name))
 }
 
-func TestNamesOnThePageExist(t *testing.T) {
+// TestArchitecturePageNamesExist checks that every name in backticks on the page exists.
+func TestArchitecturePageNamesExist(t *testing.T) {
 	page, names := readPage(t), readNames(t)
 	for _, name := range quotedNames(page.text) {
 		if !names.has(name) {
-			t.Errorf("%s names `%s`, which is no file, package, declaration or literal", pagePath, name)
+			t.Errorf("%s names `%s`, which is not a file, package, declaration or string literal", pagePath, name)
 		}
 	}
 }
 
-// The second column of the table of owners names packages, not just any word.
-func TestOwnersArePackages(t *testing.T) {
+// TestStateOwnersArePackages checks that the owners in the table of state are packages: a name that
+// only exists as a declaration or string literal is not sufficient.
+func TestStateOwnersArePackages(t *testing.T) {
 	owners, names := readPage(t).owners(), readNames(t)
 	if len(owners) < 5 {
-		t.Fatalf("the page names %d owners: %v", len(owners), owners)
+		t.Fatalf("%s names %d owners of state, want at least 5: %v", pagePath, len(owners), owners)
 	}
 	for _, name := range owners {
 		if !names.packages[name] {
-			t.Errorf("%s names `%s` as an owner, which is no package", pagePath, name)
+			t.Errorf("%s names `%s` as an owner of state, which is not a package", pagePath, name)
 		}
 	}
 }
 
-func TestHas(t *testing.T) {
+func TestKnownNames(t *testing.T) {
 	names := readNames(t)
 	cases := map[string]bool{
 		"internal/storage":                     true,
@@ -250,7 +253,7 @@
 	}
 	for name, want := range cases {
 		if got := names.has(name); got != want {
-			t.Errorf("%s exists: %t instead of %t", name, got, want)
+			t.Errorf("has(%q) = %t, want %t", name, got, want)
 		}
 	}
 }
--- a/internal/architecture/page_test.go
+++ b/internal/architecture/page_test.go
@@ -14,10 +14,10 @@
 	pagePath   = "docs/architecture.md"
 )
 
-// page is the text of docs/architecture.md by section.
+// page holds the text of docs/architecture.md and its sections.
 type page struct {
 	text     string
-	sections map[string]string // by title, without the line of the title
+	sections map[string]string // body by title, without the title line
 }
 
 func parsePage(text string) page {
@@ -38,8 +38,8 @@
 	return parsePage(string(text))
 }
 
-// packages lists the directories of the packages in the order of the page, from the indented
-// list of the section "Packages".
+// packages lists the package directories in the indented list of the section "Packages", in the
+// order of the page.
 func (p page) packages() []string {
 	var dirs []string
 	for line := range strings.Lines(p.sections["Packages"]) {
@@ -50,7 +50,7 @@
 	return dirs
 }
 
-// owners lists the names in the second column of the table "Who owns which state".
+// owners lists the names in the second column of the table in "Who owns which state".
 func (p page) owners() []string {
 	var names []string
 	for line := range strings.Lines(p.sections["Who owns which state"]) {
@@ -61,31 +61,31 @@
 	return names
 }
 
-var quoted = regexp.MustCompile("`([^`\n]+)`")
+var backticked = regexp.MustCompile("`([^`\n]+)`")
 
-// quotedNames lists what stands in backticks.
+// quotedNames lists the texts in backticks.
 func quotedNames(text string) []string {
 	var names []string
-	for _, match := range quoted.FindAllStringSubmatch(text, -1) {
+	for _, match := range backticked.FindAllStringSubmatch(text, -1) {
 		names = append(names, match[1])
 	}
 	return names
 }
 
-func TestPageIsParsed(t *testing.T) {
+func TestParsePage(t *testing.T) {
 	p := parsePage(strings.Join([]string{
 		"# Architecture", "`intro`", "## Packages", "Text with `a/b`.", "",
 		"    internal/low     first", "    internal/high    second", "",
 		"## Who owns which state", "| state | owner | others |", "| --- | --- | --- |",
-		"| records | `low`, by `high` | `neither` |", "| wishes | the user | |",
+		"| records | `low`, by `high` | `neither` |", "| requests | the user | |",
 	}, "\n"))
 	if got := strings.Join(p.packages(), " "); got != "internal/low internal/high" {
-		t.Errorf("packages: %s", got)
+		t.Errorf("packages: got %s", got)
 	}
 	if got := strings.Join(p.owners(), " "); got != "low high" {
-		t.Errorf("owners: %s", got)
+		t.Errorf("owners: got %s", got)
 	}
 	if got := strings.Join(quotedNames(p.text), " "); got != "intro a/b low high neither" {
-		t.Errorf("quoted: %s", got)
+		t.Errorf("names in backticks: got %s", got)
 	}
 }
--- a/internal/compatibility/doc.go
+++ b/internal/compatibility/doc.go
@@ -1,14 +1,15 @@
-// Package compatibility holds the tests that this version and the one in production,
-// named in deploy/service.toml, read each other's records and messages: while a cluster
-// is upgraded both run side by side.
+// Package compatibility tests that this version and the version in production, named in
+// deploy/service.toml, read each other's records and messages. Both versions run side by side
+// while a cluster is upgraded.
 //
-// The comparison builds reader, a program that prints what a version understands, in the
-// sources of both versions, and lets both read the same two folders: testdata/production,
-// which the version in production wrote, and what this version writes on the day in
-// testdata/ours.txtar. Any line that differs fails it, such as the one that a renamed
-// field leaves empty. Beside it a test of this version alone proves that no field of a
-// message is lost between the program's types and those of the link.
+// The tests build the program reader, which prints what a version decodes, in the sources of
+// both versions. Both readers read the same two data sets: testdata/production, which the version
+// in production wrote, and the data that this version writes during the test when it runs
+// testdata/current.txtar. The tests fail on any line that differs, for example because a renamed
+// field is left empty. A test of this version alone checks that no field of a message is lost
+// in the conversion between the program's types and the wire types.
 //
-// When another version goes to production, testdata/production is recorded anew as its
-// README says, and records.go.txt there is made to compile in that version's sources.
+// When another version becomes the one in production, record testdata/production again as its
+// README describes, and adapt records.go.txt there so that it compiles in the sources of that
+// version.
 package compatibility
--- a/internal/compatibility/reader/main.go
+++ b/internal/compatibility/reader/main.go
@@ -1,7 +1,7 @@
-// Command reader prints what a version of rockrun understands of records and of messages
-// between controllers. The compatibility tests build it in the sources of two versions
-// and compare what they print. This file is the same in both; records.go is the part
-// that names a version's own packages and fields, and the older version has its own.
+// Command reader prints what a version of rockrun decodes from records and from messages
+// between controllers. The compatibility tests build it in the sources of two versions and
+// compare the outputs. Both versions use this file; records.go refers to the packages and fields
+// of one version, so the version in production has its own records.go.
 package main
 
 import (
@@ -17,24 +17,24 @@
 	"strings"
 )
 
-// maxShards is more than the controllers of any recorded day.
+// maxShards exceeds the number of controllers in every recorded scenario.
 const maxShards = 16
 
-// item is a key of the key-value store with its value, as the test writes it down.
+// item is an item of the key-value store in the JSON form that the tests write.
 type item struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"data"`
 	Version uint64          `json:"stamp"`
 }
 
-// records are what a version makes of the items that it is given.
+// records holds the state that a version decodes from items.
 type records interface {
-	// apply takes in a record that every controller follows.
+	// apply applies a record that all controllers replicate.
 	apply(key string, value json.RawMessage, version uint64) error
-	// final describes the record of a job that has ended.
+	// final returns a description of a job's final record.
 	final(value json.RawMessage) string
-	// lines describe all that is known: those of the cluster in a fixed order, those of
-	// jobs and of machines in any.
+	// lines returns descriptions of the decoded state: those of the cluster in a fixed order,
+	// those of jobs and machines in any order.
 	lines() (cluster, jobs, machines []string)
 }
 
@@ -54,14 +54,15 @@
 	}
 }
 
-// printRecords applies records, a JSON item a line, and prints what is known then.
+// printRecords applies the records in a file with one JSON item per line, and prints the
+// resulting state.
 func printRecords(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	known := newRecords()
+	state := newRecords()
 	scanner := bufio.NewScanner(file)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
@@ -69,15 +70,15 @@
 		if err := json.Unmarshal(scanner.Bytes(), &entry); err != nil {
 			return err
 		}
-		if id, ended := strings.CutPrefix(entry.Key, "f/"); ended {
-			fmt.Println("final", id, known.final(entry.Value))
+		if id, isFinal := strings.CutPrefix(entry.Key, "f/"); isFinal {
+			fmt.Println("final", id, state.final(entry.Value))
 			continue
 		}
-		if err := known.apply(entry.Key, entry.Value, entry.Version); err != nil {
-			fmt.Println("not understood:", entry.Key, err)
+		if err := state.apply(entry.Key, entry.Value, entry.Version); err != nil {
+			fmt.Println("apply failed:", entry.Key, err)
 		}
 	}
-	cluster, jobs, machines := known.lines()
+	cluster, jobs, machines := state.lines()
 	slices.Sort(jobs)
 	slices.Sort(machines)
 	for _, line := range slices.Concat(cluster, jobs, machines) {
@@ -86,8 +87,8 @@
 	return scanner.Err()
 }
 
-// printMessages decodes messages as they come over one connection. decode returns one
-// as JSON under the names that it has on the link.
+// printMessages prints the messages in a file, encoded as sent over one connection. decode
+// reads one message and returns it as JSON with its wire names.
 func printMessages(path string, decode func(*gob.Decoder) ([]byte, error)) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -95,19 +96,19 @@
 	}
 	defer file.Close()
 	for decoder := gob.NewDecoder(file); ; {
-		text, err := decode(decoder)
+		message, err := decode(decoder)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("%s: %w", path, err)
+			return fmt.Errorf("decode message in %s: %w", path, err)
 		}
-		fmt.Println("message", string(text))
+		fmt.Println("message", string(message))
 	}
 }
 
-// sortedJSON encodes a message with its fields in the order of their names, so that the
-// order in which a version declares them does not matter.
+// sortedJSON encodes a message with its fields sorted by name, so that the output does not
+// depend on the order in which a version declares the fields.
 func sortedJSON(message any) ([]byte, error) {
 	data, err := json.Marshal(message)
 	if err != nil {
--- a/internal/compatibility/reader/records.go
+++ b/internal/compatibility/reader/records.go
@@ -11,7 +11,7 @@
 	"rockrun/internal/storage"
 )
 
-// viewRecords are the records as the replicated view understands them.
+// viewRecords implements records with the replicated view.
 type viewRecords struct{ view *storage.View }
 
 func newRecords() records {
@@ -55,7 +55,7 @@
 
 func (r viewRecords) jobs() (lines []string) {
 	r.view.Jobs.All(func(_ int, j *storage.Job) {
-		if knownByNameOnly(j) {
+		if isPlaceholder(j) {
 			return
 		}
 		lines = append(lines, fmt.Sprintln("job", j.ID, j.Class, j.Team, j.Kind, j.Priority, j.Tasks, j.CPUs, j.GPUs, j.MemoryGB,
@@ -65,11 +65,11 @@
 	return lines
 }
 
-// knownByNameOnly reports whether a row has no record, no task that an intent names and
-// no completed one behind it. This version keeps such rows for jobs that others depend
-// on, which the older one does not know of; nothing is lost by leaving them out, as a
-// job that one version has and the other has not is still printed by the first.
-func knownByNameOnly(j *storage.Job) bool {
+// isPlaceholder reports whether a row has no job record, no intent and no completed task. This
+// version retains such rows for jobs that others depend on; the version in production does not
+// know dependencies. Omitting these rows hides no difference: a job that only one version has
+// is still printed by that version.
+func isPlaceholder(j *storage.Job) bool {
 	return j.Ended() && len(j.IntentCounts) == 0 && j.CompletedCount == 0
 }
 
@@ -86,8 +86,8 @@
 	return lines
 }
 
-// decodeRequest returns a message as the program understands it, which leaves out what
-// it would lose between the link and its own types.
+// decodeRequest decodes a request and converts it to the program's type and back, so that the
+// result lacks every field that the conversion loses.
 func decodeRequest(decoder *gob.Decoder) ([]byte, error) {
 	var wire protocol.PeerRequestWire
 	if err := decoder.Decode(&wire); err != nil {
--- a/internal/compatibility/readers_test.go
+++ b/internal/compatibility/readers_test.go
@@ -12,45 +12,46 @@
 
 const (
 	root = "../.."
-	// readerPackage is where the reader is in the sources, from their root.
+	// readerPackage is the directory of the reader, relative to the root of the sources.
 	readerPackage = "internal/compatibility/reader"
 )
 
-// readers are the programs that print what each version understands.
-type readers struct{ ours, production string }
+// readers holds the paths of the programs that print what each version decodes.
+type readers struct{ current, production string }
 
-// buildReaders builds the reader in these sources and in those of the version in
-// production, taken from the repository's history. A test that needs it fails where
-// that can't be done: it must never pass over what it is there to check.
+// buildReaders builds the reader in these sources and in the sources of the version in
+// production, which it extracts from the repository's history. It fails the test if that is
+// not possible: a skipped test would leave the compatibility unchecked.
 func buildReaders(t *testing.T) readers {
 	t.Helper()
 	sources := extractProduction(t, productionCommit(t))
 	if err := os.CopyFS(filepath.Join(sources, readerPackage), os.DirFS(filepath.Join(root, readerPackage))); err != nil {
 		t.Fatal(err)
 	}
-	older, err := os.ReadFile("testdata/production/records.go.txt")
+	recordsSource, err := os.ReadFile("testdata/production/records.go.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, filepath.Join(sources, readerPackage), "records.go", older)
-	return readers{ours: buildReader(t, root), production: buildReader(t, sources)}
+	writeFile(t, filepath.Join(sources, readerPackage), "records.go", recordsSource)
+	return readers{current: buildReader(t, root), production: buildReader(t, sources)}
 }
 
-// productionCommit is the version in production, by deploy/service.toml.
+// productionCommit returns the commit of the version in production from deploy/service.toml.
 func productionCommit(t *testing.T) string {
 	t.Helper()
-	deploy, err := os.ReadFile(filepath.Join(root, "deploy/service.toml"))
+	settings, err := os.ReadFile(filepath.Join(root, "deploy/service.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	found := regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`).FindSubmatch(deploy)
-	if found == nil {
-		t.Fatal("deploy/service.toml names no version in production")
+	match := regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`).FindSubmatch(settings)
+	if match == nil {
+		t.Fatal(`deploy/service.toml: no line production = "COMMIT" with a commit of 40 hexadecimal digits`)
 	}
-	return string(found[1])
+	return string(match[1])
 }
 
-// extractProduction puts the sources of a commit into a folder of their own.
+// extractProduction extracts the sources of a commit into a temporary directory and returns
+// the directory.
 func extractProduction(t *testing.T, commit string) string {
 	t.Helper()
 	sources := filepath.Join(t.TempDir(), "production")
@@ -63,21 +64,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var complaints bytes.Buffer
-	extract.Stdin, archive.Stderr, extract.Stderr = pipe, &complaints, &complaints
+	var stderr bytes.Buffer
+	extract.Stdin, archive.Stderr, extract.Stderr = pipe, &stderr, &stderr
 	if err := extract.Start(); err != nil {
 		t.Fatal(err)
 	}
 	if err := archive.Run(); err != nil {
-		t.Fatalf("the sources in production: %v: %s", err, complaints.String())
+		t.Fatalf("archive the sources of the version in production: %v: %s", err, stderr.String())
 	}
 	if err := extract.Wait(); err != nil {
-		t.Fatalf("the sources in production: %v: %s", err, complaints.String())
+		t.Fatalf("extract the sources of the version in production: %v: %s", err, stderr.String())
 	}
 	return sources
 }
 
-// buildReader builds the reader in some sources and returns the program.
+// buildReader builds the reader in a source tree and returns the path of the program.
 func buildReader(t *testing.T, sources string) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "reader")
@@ -89,66 +90,67 @@
 	return program
 }
 
-// The files of a folder that a reader reads.
+// Files in a data directory. The reader reads all of them.
 const (
-	recordsFile  = "records.jsonl" // an item of the key-value store a line
-	requestsFile = "requests.gob"  // messages as they go over one connection
+	recordsFile  = "records.jsonl" // one item of the key-value store per line
+	requestsFile = "requests.gob"  // messages as sent over one connection
 	answersFile  = "answers.gob"
 )
 
-// read is what a reader prints of a folder with records and messages.
-func read(t *testing.T, program, folder string) string {
+// runReader returns what a reader prints for a directory with records and messages.
+func runReader(t *testing.T, program, dir string) string {
 	t.Helper()
-	reader := exec.Command(program, filepath.Join(folder, recordsFile), filepath.Join(folder, requestsFile), filepath.Join(folder, answersFile))
-	var complaints bytes.Buffer
-	reader.Stderr = &complaints
+	reader := exec.Command(program, filepath.Join(dir, recordsFile), filepath.Join(dir, requestsFile), filepath.Join(dir, answersFile))
+	var stderr bytes.Buffer
+	reader.Stderr = &stderr
 	out, err := reader.Output()
 	if err != nil {
-		t.Fatalf("%v: %s", err, complaints.String())
+		t.Fatalf("run %s on %s: %v: %s", program, dir, err, stderr.String())
 	}
 	return string(out)
 }
 
-func write(t *testing.T, folder, name string, data []byte) {
+func writeFile(t *testing.T, dir, name string, data []byte) {
 	t.Helper()
-	if err := os.WriteFile(filepath.Join(folder, name), data, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, name), data, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// notUnderstood begins what a reader prints of a record that it can't decode.
-var notUnderstood = regexp.MustCompile("(?m)^not understood.*$")
+// applyFailure matches the line that a reader prints for a record that it cannot apply.
+var applyFailure = regexp.MustCompile("(?m)^apply failed.*$")
 
-// mustBePrinted is what a day must hold, so that the comparison says something of each
-// kind of record and message.
-var mustBePrinted = []string{"final run-", "job run-", "machine m-", "grant 0", "liveness", "type ", `"Heartbeat":{`, `"Cancelled":["run-`, `"Reply":{`}
+// requiredOutput lists texts that the output of a reader must contain, so that the comparison
+// covers each kind of record and message.
+var requiredOutput = []string{"final run-", "job run-", "machine m-", "grant 0", "liveness", "type ", `"Heartbeat":{`, `"Cancelled":["run-`, `"Reply":{`}
 
-// compare fails unless both versions understand the same of a folder, and all of it.
-func (r readers) compare(t *testing.T, folder string) {
+// requireSameOutput fails the test unless both readers apply all records in a directory, print
+// the same output for it, and cover each kind of record and message.
+func (r readers) requireSameOutput(t *testing.T, dir string) {
 	t.Helper()
-	ours, theirs := read(t, r.ours, folder), read(t, r.production, folder)
-	if strings.Contains(ours+theirs, "not understood") {
-		t.Errorf("a record is not understood:\n%s", notUnderstood.FindAllString(ours+theirs, -1))
-	}
-	requireEqualLines(t, ours, theirs)
-	for _, kind := range mustBePrinted {
-		if !strings.Contains(ours, kind) {
-			t.Errorf("the recorded day has nothing of %q, so the test says nothing of it", kind)
+	current, production := runReader(t, r.current, dir), runReader(t, r.production, dir)
+	if strings.Contains(current+production, "apply failed") {
+		t.Errorf("records that a version cannot apply:\n%s", applyFailure.FindAllString(current+production, -1))
+	}
+	requireEqualLines(t, current, production)
+	for _, text := range requiredOutput {
+		if !strings.Contains(current, text) {
+			t.Errorf("reader output for %s lacks %q, so the comparison does not cover that kind of record or message", dir, text)
 		}
 	}
 }
 
-// requireEqualLines fails with the first line in which the versions differ.
-func requireEqualLines(t *testing.T, ours, theirs string) {
+// requireEqualLines fails the test with the first line in which the outputs differ.
+func requireEqualLines(t *testing.T, current, production string) {
 	t.Helper()
-	if ours == theirs {
+	if current == production {
 		return
 	}
-	ourLines, theirLines := strings.Split(ours, "\n"), strings.Split(theirs, "\n")
-	for i := range min(len(ourLines), len(theirLines)) {
-		if ourLines[i] != theirLines[i] {
-			t.Fatalf("this version understands\n%s\nproduction\n%s", ourLines[i], theirLines[i])
+	currentLines, productionLines := strings.Split(current, "\n"), strings.Split(production, "\n")
+	for i := range min(len(currentLines), len(productionLines)) {
+		if currentLines[i] != productionLines[i] {
+			t.Fatalf("this version prints\n%s\nproduction prints\n%s", currentLines[i], productionLines[i])
 		}
 	}
-	t.Fatalf("this version prints %d lines, production %d", len(ourLines), len(theirLines))
+	t.Fatalf("this version prints %d lines, production prints %d", len(currentLines), len(productionLines))
 }
--- a/internal/compatibility/versions_test.go
+++ b/internal/compatibility/versions_test.go
@@ -14,62 +14,63 @@
 	"rockrun/internal/scenario"
 )
 
-// TestVersionsReadEachOther: each version understands of the other's records and
-// messages what the other does.
-func TestVersionsReadEachOther(t *testing.T) {
+// TestVersionsReadEachOthersData guards against an upgrade in which one version misreads records
+// or messages of the other, for example because a renamed field is left empty. For the data that
+// either version writes, both versions must decode the same.
+func TestVersionsReadEachOthersData(t *testing.T) {
 	r := buildReaders(t)
-	t.Run("production's", func(t *testing.T) { r.compare(t, "testdata/production") })
-	t.Run("ours", func(t *testing.T) { r.compare(t, recordOurDay(t)) })
+	t.Run("written by production", func(t *testing.T) { r.requireSameOutput(t, "testdata/production") })
+	t.Run("written by this version", func(t *testing.T) { r.requireSameOutput(t, writeCurrentData(t)) })
 }
 
-// recordOurDay plays the day that production recorded with this version, with pipelines in
-// it and announced limits, and returns a folder with what lies in the store at its end and
-// with messages of every kind.
-func recordOurDay(t *testing.T) string {
+// writeCurrentData runs testdata/current.txtar with this version. It returns a directory with the
+// records that are in the key-value store at the end, and with messages of every kind. The
+// scenario is that of testdata/production with pipelines and announced lower limits added.
+func writeCurrentData(t *testing.T) string {
 	t.Helper()
-	day, err := txtar.ParseFile("testdata/ours.txtar")
+	archive, err := txtar.ParseFile("testdata/current.txtar")
 	if err != nil {
 		t.Fatal(err)
 	}
-	result, err := scenario.Run(day, 1, io.Discard)
+	result, err := scenario.Run(archive, 1, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	folder := t.TempDir()
-	write(t, folder, recordsFile, encodeRecords(t, result.Records))
-	write(t, folder, requestsFile, encodeMessages(t, wireRequests(t)...))
-	write(t, folder, answersFile, encodeMessages(t, wireAnswers()...))
-	return folder
+	dir := t.TempDir()
+	writeFile(t, dir, recordsFile, encodeRecords(t, result.Records))
+	writeFile(t, dir, requestsFile, encodeMessages(t, wireRequests(t)...))
+	writeFile(t, dir, answersFile, encodeMessages(t, wireAnswers()...))
+	return dir
 }
 
-// encodeRecords writes items a line each. One of them must be of a job that depends on
-// others, which the older version does not know of.
+// encodeRecords encodes items as JSON, one per line. It fails the test unless one of them is the
+// record of a job that depends on others: the version in production does not know dependencies.
 func encodeRecords(t *testing.T, items []protocol.KeyValue) []byte {
 	t.Helper()
-	var records bytes.Buffer
-	encoder := json.NewEncoder(&records)
-	dependent := false
+	var buffer bytes.Buffer
+	encoder := json.NewEncoder(&buffer)
+	hasDependent := false
 	for _, item := range items {
-		dependent = dependent || strings.Contains(string(item.Value), `"waitsOn":["run-`)
+		hasDependent = hasDependent || strings.Contains(string(item.Value), `"waitsOn":["run-`)
 		if err := encoder.Encode(item); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if !dependent {
-		t.Error("no job of the recorded day depends on others")
+	if !hasDependent {
+		t.Error("no record of a job with dependencies: the comparison does not cover them")
 	}
-	return records.Bytes()
+	return buffer.Bytes()
 }
 
-// encodeMessages encodes messages as they go over one connection.
+// encodeMessages encodes messages as they are sent over one connection.
 func encodeMessages[T any](t *testing.T, messages ...T) []byte {
 	t.Helper()
-	var link bytes.Buffer
-	encoder := gob.NewEncoder(&link)
+	var buffer bytes.Buffer
+	encoder := gob.NewEncoder(&buffer)
 	for _, message := range messages {
 		if err := encoder.Encode(message); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return link.Bytes()
+	return buffer.Bytes()
 }
--- a/internal/compatibility/link_test.go
+++ b/internal/compatibility/wire_test.go
@@ -8,7 +8,7 @@
 	"rockrun/internal/protocol"
 )
 
-// sampleRequests are messages with everything that they can say.
+// sampleRequests returns sample requests of each kind, and an empty one.
 func sampleRequests() []protocol.PeerRequest {
 	notice := 4.5
 	return []protocol.PeerRequest{
@@ -28,16 +28,16 @@
 	}
 }
 
-// wireRequests are the sample messages and one filled in every field, as they go over the link.
+// wireRequests returns the wire forms of the sample requests and of a request with all fields set.
 func wireRequests(t *testing.T) (wire []protocol.PeerRequestWire) {
 	t.Helper()
-	for _, request := range append(sampleRequests(), filledRequest(t)) {
+	for _, request := range append(sampleRequests(), nonZeroRequest(t)) {
 		wire = append(wire, request.Wire())
 	}
 	return wire
 }
 
-// wireAnswers are the sample answers as they go over the link.
+// wireAnswers returns the wire forms of the sample answers.
 func wireAnswers() (wire []protocol.PeerAnswerWire) {
 	for _, answer := range sampleAnswers() {
 		wire = append(wire, answer.Wire())
@@ -45,16 +45,16 @@
 	return wire
 }
 
-// filledRequest is a message without a single zero field, however many there are by now.
-func filledRequest(t *testing.T) protocol.PeerRequest {
+// nonZeroRequest returns a request in which every field is set, including fields added later.
+func nonZeroRequest(t *testing.T) protocol.PeerRequest {
 	t.Helper()
 	var request protocol.PeerRequest
-	fill(t, reflect.ValueOf(&request).Elem())
+	setNonZero(t, reflect.ValueOf(&request).Elem())
 	return request
 }
 
-// fill sets a value and everything in it to what is not its zero value.
-func fill(t *testing.T, v reflect.Value) {
+// setNonZero sets a value and all values that it contains to non-zero values.
+func setNonZero(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Bool:
@@ -69,53 +69,54 @@
 		v.SetString("run-14")
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem())
+		setNonZero(t, v.Elem())
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(t, v.Index(0))
+		setNonZero(t, v.Index(0))
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i))
+			setNonZero(t, v.Field(i))
 		}
 	default:
-		t.Fatalf("no way to fill a %s", v.Type())
+		t.Fatalf("cannot set a value of type %s", v.Type())
 	}
 }
 
-// TestLinkKeepsEveryField: what the program says in a message is what it reads from the
-// one on the link, and no field on the link is left unset by a message that is filled.
-func TestLinkKeepsEveryField(t *testing.T) {
-	request := filledRequest(t)
+// TestWireConversionPreservesEveryField guards against fields that are lost between the program's
+// types and the wire types. Conversion to the wire form and back must return an equal message, and
+// a message with all fields set must leave no wire field unset.
+func TestWireConversionPreservesEveryField(t *testing.T) {
+	request := nonZeroRequest(t)
 	if got := request.Wire().Request(); !reflect.DeepEqual(got, request) {
-		t.Errorf("%+v became %+v", request, got)
+		t.Errorf("converted to the wire form and back: %+v became %+v", request, got)
 	}
-	requireFilled(t, "PeerRequestWire", reflect.ValueOf(request.Wire()))
+	requireNonZero(t, "PeerRequestWire", reflect.ValueOf(request.Wire()))
 	var answer protocol.PeerAnswer
-	fill(t, reflect.ValueOf(&answer).Elem())
+	setNonZero(t, reflect.ValueOf(&answer).Elem())
 	if got := answer.Wire().Answer(); !reflect.DeepEqual(got, answer) {
-		t.Errorf("%+v became %+v", answer, got)
+		t.Errorf("converted to the wire form and back: %+v became %+v", answer, got)
 	}
-	requireFilled(t, "PeerAnswerWire", reflect.ValueOf(answer.Wire()))
+	requireNonZero(t, "PeerAnswerWire", reflect.ValueOf(answer.Wire()))
 }
 
-// requireFilled fails for every field of a value that is not set.
-func requireFilled(t *testing.T, name string, v reflect.Value) {
+// requireNonZero fails the test for every field of a value that is not set.
+func requireNonZero(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
 	switch {
 	case v.IsZero():
 		t.Errorf("%s is not set", name)
 	case v.Kind() == reflect.Pointer:
-		requireFilled(t, name, v.Elem())
+		requireNonZero(t, name, v.Elem())
 	case v.Kind() == reflect.Slice:
-		requireFilled(t, name, v.Index(0))
+		requireNonZero(t, name, v.Index(0))
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
-			requireFilled(t, name+"."+v.Type().Field(i).Name, v.Field(i))
+			requireNonZero(t, name+"."+v.Type().Field(i).Name, v.Field(i))
 		}
 	}
 }
 
-// sampleAnswers are answers with everything that they can say, and an empty one.
+// sampleAnswers returns an answer with all fields set, and an empty one.
 func sampleAnswers() []protocol.PeerAnswer {
 	return []protocol.PeerAnswer{
 		{Reply: &protocol.PeerHeartbeatReply{Leader: true, Term: 7, SentAt: time.Minute, Shards: []int{0, 3}, HealthyPeers: 2}},
