--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -72,23 +72,23 @@
 }
 
 // New creates a controller. Start must be called next.
-func New(parts Config) *Controller {
-	agents := parts.Settings.Cluster.Agents
-	peers := peerNames(parts.Settings)
+func New(c Config) *Controller {
+	agents := c.Settings.Cluster.Agents
+	peers := peerNames(c.Settings)
 	controller := &Controller{
-		Config:       parts,
-		controllers:  append(slices.Clone(peers), parts.Settings.Controller),
-		shardLease:   parts.Options.ShardLease(agents),
+		Config:       c,
+		controllers:  append(slices.Clone(peers), c.Settings.Controller),
+		shardLease:   c.Options.ShardLease(agents),
 		maxStaleness: agents.MaxStaleness(),
-		committer:    kv.NewCommitter(parts.Store, parts.Settings.Cluster.KVStore.Limits(), parts.Log),
+		committer:    kv.NewCommitter(c.Store, c.Settings.Cluster.KVStore.Limits(), c.Log),
 	}
 	slices.Sort(controller.controllers)
 	controller.jobs = jobs.New(jobs.Config{
-		Store:     parts.Store,
+		Store:     c.Store,
 		Committer: controller.committer,
-		Peers:     parts.Peers,
+		Peers:     c.Peers,
 		PeerNames: peers,
-		Log:       parts.Log,
+		Log:       c.Log,
 	})
 	return controller
 }
@@ -123,9 +123,9 @@
 	c.Clock.After(interval, next)
 }
 
-// Stop shuts the controller down. It stops acting for its shards and sends a last heartbeat to
-// the leader. If it is the leader, it revokes its leader lease instead. done is called after
-// shutdownDelay, or once the revocation has succeeded or failed.
+// Stop shuts the controller down. The controller stops acting for its shards. If it is the
+// leader, it then revokes its leader lease and calls done once the revocation has succeeded or
+// failed. Otherwise it sends a last heartbeat to the leader and calls done after shutdownDelay.
 func (c *Controller) Stop(done func()) {
 	c.generation.Stop()
 	lease, leading := c.elector.Stop()
@@ -159,8 +159,8 @@
 	c.reconciler.Tick()
 }
 
-// recordsChanged applies the consequences of a read of the store's changes. changed is false
-// if the read returned no change.
+// recordsChanged updates the components after the replica has processed the response to a watch
+// request. changed is false if the response contained no changes.
 func (c *Controller) recordsChanged(changed bool) {
 	c.elector.ObserveRecord()
 	if !changed {
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// TestBatchShardHolderAvoidsUserTraffic: the holder of the batch shard leaves users to its peers
+// TestBatchShardHolderAvoidsUserTraffic: the holder of the batch shard reports itself unhealthy
 // only while the leader reports two healthy peers. It serves users if it is the last healthy
 // controller, if the leader is gone, or if there is only one job shard.
 func TestBatchShardHolderAvoidsUserTraffic(t *testing.T) {
@@ -140,7 +140,7 @@
 func TestGauges(t *testing.T) {
 	f := newFixture(t)
 	f.becomeLeader()
-	f.limitStore(2048, math.MaxInt, math.MaxInt)
+	f.lowerStoreLimits(2048, math.MaxInt, math.MaxInt)
 	f.apply(storage.MachineGroupKey("large"), machineGroupRecord(60))
 	f.apply(storage.MachineGroupKey("small"), machineGroupRecord(2))
 	f.apply(storage.JobKey("run-2"), storage.JobRecord{Spec: protocol.JobSpec{ID: "run-2", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, Dependencies: []string{"run-1"}}})
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -39,7 +39,9 @@
 func (f *electorFixture) After(_ time.Duration, callback func()) {
 	f.timers = append(f.timers, callback)
 }
-func (f *electorFixture) RevokeLease(l uint64, _ func(error)) { f.revoked = append(f.revoked, l) }
+func (f *electorFixture) RevokeLease(lease uint64, _ func(error)) {
+	f.revoked = append(f.revoked, lease)
+}
 func (f *electorFixture) RenewLease(_ uint64, done func(error)) {
 	done(f.renewErr)
 }
@@ -117,12 +119,12 @@
 		t.Fatalf("%d transactions, want 1", len(f.committed))
 	}
 	transaction := f.committed[0]
-	conditions := map[string]uint64{}
-	for _, condition := range transaction.Preconditions {
-		conditions[condition.Key] = condition.Version
+	preconditions := map[string]uint64{}
+	for _, precondition := range transaction.Preconditions {
+		preconditions[precondition.Key] = precondition.Version
 	}
-	if len(conditions) != 2 || conditions[storage.KeyLeader] != 0 || conditions[storage.KeyTerm] != f.replica.View.TermVersion {
-		t.Errorf("conditions %v, want the leader record and the term", conditions)
+	if len(preconditions) != 2 || preconditions[storage.KeyLeader] != 0 || preconditions[storage.KeyTerm] != f.replica.View.TermVersion {
+		t.Errorf("preconditions %v, want the leader record and the term", preconditions)
 	}
 	var term storage.TermRecord
 	if err := protocol.Decode(transaction.Operations[1].Value, &term); err != nil || term.Term != 5 {
--- a/internal/coordination/election/elector.go
+++ b/internal/coordination/election/elector.go
@@ -137,11 +137,11 @@
 	}, func(_ uint64, err error) {
 		// If the outcome is unknown, the transaction may still be applied. Its record
 		// then appears in the view and is identified by the lease.
-		pause := e.Generation.Jitter(kv.RetryDelay)
+		delay := e.Generation.Jitter(kv.RetryDelay)
 		if errors.Is(err, protocol.ErrOutcomeUnknown) {
-			pause = e.Generation.Jitter(renewInterval)
+			delay = e.Generation.Jitter(renewInterval)
 		}
-		e.Generation.Later(pause, e.endCampaign)
+		e.Generation.Later(delay, e.endCampaign)
 	})
 }
 
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -63,7 +63,8 @@
 
 // Tick checks the conditions that depend on elapsed time and reports whether the leader may
 // start new actions. A leader whose lease may have expired starts none: another controller may
-// lead by now, and while no leader can be elected, no action could be recorded either.
+// lead by now. If none can be elected because the store is unavailable, the leader could not
+// record an action either.
 func (l *Leadership) Tick() bool {
 	now := l.generation.Now()
 	if l.replica.Staleness() > 2*replica.WatchTimeout {
--- a/internal/coordination/election/token.go
+++ b/internal/coordination/election/token.go
@@ -8,8 +8,8 @@
 	counterShift = 24
 )
 
-// DerivedNumbersPerGrant is the number of tokens, and of attempt numbers, that the holder of a grant may
-// derive from the grant's token.
+// DerivedNumbersPerGrant is the number of tokens, and of attempt numbers, that the holder of a
+// grant may derive from the grant's token.
 const DerivedNumbersPerGrant = 1 << counterShift
 
 // maxTokenCounter limits the leader's counter. The counter values left between the limit and
--- a/internal/coordination/fixture_test.go
+++ b/internal/coordination/fixture_test.go
@@ -126,12 +126,12 @@
 	f.controller.recordsChanged(true)
 }
 
-// limitStore lowers the store's limits to at most the given ones.
-func (f *fixture) limitStore(valueBytes, operations, conditions int) {
+// lowerStoreLimits lowers the store's limits to at most the given ones.
+func (f *fixture) lowerStoreLimits(valueBytes, operations, preconditions int) {
 	limits := f.controller.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
 	limits.Operations = min(limits.Operations, operations)
-	limits.Preconditions = min(limits.Preconditions, conditions)
+	limits.Preconditions = min(limits.Preconditions, preconditions)
 	f.controller.committer.SetLimits(limits)
 }
 
@@ -182,7 +182,7 @@
 	f.t.Helper()
 	limits := f.controller.committer.Limits()
 	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Preconditions) > limits.Preconditions {
-		f.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Preconditions))
+		f.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d preconditions", limits, largest, len(t.Operations), len(t.Preconditions))
 	}
 }
 
--- a/internal/coordination/generation.go
+++ b/internal/coordination/generation.go
@@ -17,17 +17,17 @@
 
 // beginGeneration starts a new generation with an empty view. It is called at the start, when
 // the store no longer has the changes that follow the view, and when the attempt numbers of
-// the grants are used up. Shards that the former generation held are granted again under
+// the grants are used up. Shards that the previous generation held are granted again under
 // higher fencing tokens, so agents reject its delayed commands.
 func (c *Controller) beginGeneration() {
-	former := &replica.Replica{}
+	previous := &replica.Replica{}
 	if c.replica != nil {
-		former = c.replica
+		previous = c.replica
 		c.generation.End()
 	}
 	c.generation = loop.NewGeneration(c.Clock, c.Rand)
 	c.committer.BeginGeneration(c.generation)
-	c.beginReplica(former)
+	c.beginReplica(previous)
 	c.leader = nil
 	c.leases = sharding.NewLeases(sharding.LeasesConfig{
 		Generation:   c.generation,
@@ -39,24 +39,24 @@
 	c.beginMembership()
 	c.beginElection()
 	c.beginJobs()
-	for _, done := range former.RemoveWaiters() {
+	for _, done := range previous.RemoveWaiters() {
 		done(protocol.ErrNotExecuted)
 	}
 	c.replica.Start()
 }
 
-// beginReplica creates the replica of the generation. Its incarnation is above the former
-// one's, and the pause after the former replica's last sync is preserved.
-func (c *Controller) beginReplica(former *replica.Replica) {
+// beginReplica creates the replica of the generation. Its incarnation is above the previous one,
+// and its first sync keeps the minimum interval to the last sync of the previous replica.
+func (c *Controller) beginReplica(previous *replica.Replica) {
 	limits := c.Settings.Cluster.KVStore.Limits()
 	c.replica = replica.New(replica.Config{
 		Generation:    c.generation,
 		Store:         c.Store,
 		View:          storage.NewView(c.teams(), len(c.controllers)),
 		Controller:    c.Settings.Controller,
-		Incarnation:   c.nextIncarnation(former.Incarnation),
-		WatchPause:    watchPause(len(c.controllers), limits),
-		SyncNotBefore: former.NextSyncAt(),
+		Incarnation:   c.nextIncarnation(previous.Incarnation),
+		WatchPause:    minWatchInterval(len(c.controllers), limits),
+		SyncNotBefore: previous.NextSyncAt(),
 		Log:           c.Log,
 		OnChange:      c.recordsChanged,
 		OnCompacted:   c.beginGeneration,
@@ -78,21 +78,22 @@
 	return teams
 }
 
-// watchPause returns the minimum time between two reads of the store's changes. With this pause
-// the reads of all controllers use at most a quarter of the store's request rate.
-func watchPause(controllers int, limits config.StoreLimits) time.Duration {
+// minWatchInterval returns the minimum time between two watch requests of a controller. At this
+// interval the watch requests of all controllers use at most a quarter of the store's request
+// rate.
+func minWatchInterval(controllers int, limits config.StoreLimits) time.Duration {
 	const (
 		shareDivisor = 4
-		minPause     = 20 * time.Millisecond
+		lowerBound   = 20 * time.Millisecond
 	)
-	return max(minPause, time.Duration(shareDivisor*float64(controllers)/limits.RequestRate*float64(time.Second)))
+	return max(lowerBound, time.Duration(shareDivisor*float64(controllers)/limits.RequestRate*float64(time.Second)))
 }
 
-// nextIncarnation returns an incarnation above the former one. Its high bits are the wall-clock
+// nextIncarnation returns an incarnation above the previous one. Its high bits are the wall-clock
 // time in milliseconds and its low bits are random.
-func (c *Controller) nextIncarnation(former uint64) uint64 {
+func (c *Controller) nextIncarnation(previous uint64) uint64 {
 	const randomBits = 20
-	return max(former+1, uint64(c.Clock.Wall().UnixMilli())<<randomBits|c.Rand.Uint64N(1<<randomBits))
+	return max(previous+1, uint64(c.Clock.Wall().UnixMilli())<<randomBits|c.Rand.Uint64N(1<<randomBits))
 }
 
 // beginReconciler creates the reconciler, which runs the tasks of the held shards.
--- a/internal/coordination/jobs/dependencies.go
+++ b/internal/coordination/jobs/dependencies.go
@@ -5,8 +5,8 @@
 	"rockrun/internal/storage"
 )
 
-// dependencyState is the state of a dependency of a submitted job. The highest state of all
-// dependencies decides the submission.
+// dependencyState is the state of a dependency of a submitted job. The states are ordered from
+// best to worst; the worst state of all dependencies decides the submission.
 type dependencyState int
 
 const (
@@ -20,7 +20,7 @@
 // one by one without a sync of the view first.
 const maxDirectDependencyReads = 8
 
-// checkDependencies determines the highest state of the dependencies of a submission. A
+// checkDependencies determines the worst state of the dependencies of a submission. A
 // dependency counts as never accepted only after reads that began after the submission
 // arrived.
 func (s *Service) checkDependencies(ids []string, done func(dependencyState)) {
@@ -33,7 +33,7 @@
 		s.readDependencies(unresolved, worst, done)
 		return
 	}
-	// One sync of the view brings all jobs that other controllers have accepted.
+	// After a sync, the view contains all jobs that other controllers have accepted.
 	s.Replica.Sync(func(err error) {
 		if err != nil {
 			done(dependencyUndecided)
@@ -44,7 +44,7 @@
 	})
 }
 
-// localDependencyStates returns the highest state of the jobs known to this controller and
+// localDependencyStates returns the worst state of the jobs known to this controller and
 // lists the other jobs.
 func (s *Service) localDependencyStates(ids []string) (worst dependencyState, unresolved []string) {
 	for _, id := range ids {
@@ -92,7 +92,7 @@
 	return dependencyAccepted
 }
 
-// readDependencies reads jobs from the store and passes the highest of their states and
+// readDependencies reads jobs from the store and passes the worst of their states and of
 // worst to done.
 func (s *Service) readDependencies(ids []string, worst dependencyState, done func(dependencyState)) {
 	remaining := len(ids)
--- a/internal/coordination/jobs/fixture_test.go
+++ b/internal/coordination/jobs/fixture_test.go
@@ -204,8 +204,8 @@
 	f.leases.Extend(0, f.now)
 }
 
-// applyAnnouncedLimits lowers the committer's limits to at most the given ones.
-func (f *fixture) lowerLimits(valueBytes, operations int) {
+// lowerStoreLimits lowers the committer's limits to at most the given ones.
+func (f *fixture) lowerStoreLimits(valueBytes, operations int) {
 	limits := f.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
 	limits.Operations = min(limits.Operations, operations)
@@ -219,7 +219,7 @@
 	limits := f.committer.Limits()
 	for _, transaction := range f.heldTransactions {
 		if largest := kv.LargestValue(transaction); largest > limits.ValueBytes || len(transaction.Operations) > limits.Operations || len(transaction.Preconditions) > limits.Preconditions {
-			f.t.Errorf("transaction over the limits %+v: largest value %d bytes, %d operations, %d conditions", limits, largest, len(transaction.Operations), len(transaction.Preconditions))
+			f.t.Errorf("transaction over the limits %+v: largest value %d bytes, %d operations, %d preconditions", limits, largest, len(transaction.Operations), len(transaction.Preconditions))
 		}
 		f.revision++
 		f.applyOperations(transaction)
--- a/internal/coordination/jobs/outcomes.go
+++ b/internal/coordination/jobs/outcomes.go
@@ -17,8 +17,8 @@
 
 // outcomeReadFraction is the largest fraction of the store's request rate that one
 // controller spends on final records. It allows hundreds of reads within seconds and leaves
-// enough requests for the changes, which take a quarter of the rate, and the leases, which
-// take a few requests.
+// enough requests for watching changes, which takes a quarter of the rate, and for renewing
+// leases, which takes a few requests.
 const outcomeReadFraction = 0.125
 
 // outcomeSource provides the outcomes of jobs to an outcomeReader. Both methods apply the
@@ -187,7 +187,7 @@
 	for _, job := range jobs {
 		if s.Leases.Holds(job.Shard) {
 			s.counters.cancelledByDependency.Add(1)
-			s.Log.Info("job cancelled with dependency", "job", job.ID, "dependency", job.CancelledBy().ID)
+			s.Log.Info("job cancelled by dependency", "job", job.ID, "dependency", job.CancelledBy().ID)
 		}
 	}
 	if len(jobs) > 0 {
--- a/internal/coordination/jobs/outcomes_test.go
+++ b/internal/coordination/jobs/outcomes_test.go
@@ -27,8 +27,8 @@
 	}
 	f.service.ReadMissingOutcomes()
 	atOnce := len(f.reads)
-	if most := int(outcomeReadFraction * f.committer.Limits().RequestRate); atOnce > most {
-		t.Errorf("%d reads at once; want at most %d", atOnce, most)
+	if maxReads := int(outcomeReadFraction * f.committer.Limits().RequestRate); atOnce > maxReads {
+		t.Errorf("%d reads at once; want at most %d", atOnce, maxReads)
 	}
 	for range 20 {
 		f.advanceOneSecond()
@@ -99,7 +99,7 @@
 func TestCancelledDependentsWriteLimits(t *testing.T) {
 	f := newFixture(t)
 	const dependents = 30
-	f.lowerLimits(math.MaxInt, 5)
+	f.lowerStoreLimits(math.MaxInt, 5)
 	for i := range dependents {
 		f.applyJob(protocol.JobSpec{ID: fmt.Sprintf("run-2%02d", i), Tasks: 1, CPUs: 1, Dependencies: []string{"run-7"}})
 	}
--- a/internal/coordination/jobs/service.go
+++ b/internal/coordination/jobs/service.go
@@ -40,7 +40,7 @@
 	Store     kv.Store
 	Committer *kv.Committer
 	Peers     Peers
-	// PeerNames are the other controllers, in the order in which they are notified of
+	// PeerNames are the names of the other controllers, in the order in which they are notified of
 	// cancellations.
 	PeerNames []string
 	Log       *slog.Logger
@@ -80,12 +80,12 @@
 // BeginGeneration begins a generation. Reads of outcomes that the previous generation did
 // not finish fail.
 func (s *Service) BeginGeneration(c GenerationConfig) {
-	former := s.outcomes
+	previous := s.outcomes
 	s.GenerationConfig = c
 	s.notices = newCancellationNotices(c.Generation, s.Peers, s.PeerNames)
 	s.dependentsWriter = newDependentsWriter(s.Config, c, s.RecordOutcome)
-	if former != nil {
-		former.failWaiters()
+	if previous != nil {
+		previous.failWaiters()
 	}
 	s.outcomes = newOutcomeReader(c.Generation, s, s.Committer.Limits().RequestRate, s.Log)
 }
--- a/internal/coordination/jobs/submit.go
+++ b/internal/coordination/jobs/submit.go
@@ -24,7 +24,7 @@
 		return
 	}
 	// A repeated submission of a known job is answered before any other check: an accepted
-	// job must not be refused later.
+	// job must not be rejected later.
 	if s.knownAccepted(spec.ID) {
 		s.answerRepeat(spec.ID, undecidedError(spec.ID), reply)
 		return
--- a/internal/coordination/jobs/submit_test.go
+++ b/internal/coordination/jobs/submit_test.go
@@ -76,7 +76,7 @@
 func TestSubmitRepeatOverLoweredLimit(t *testing.T) {
 	f := newFixture(t)
 	f.storeUnseenArrays(60)
-	f.lowerLimits(512, math.MaxInt)
+	f.lowerStoreLimits(512, math.MaxInt)
 	f.expectAnswer("new job over the limit", f.submit("run-9", dependencyIDs(60)...), http.StatusBadRequest, "")
 	f.storeFinalRecord("run-9", protocol.StageDone)
 	f.expectAnswer("repeated submission of an accepted job", f.submit("run-9", dependencyIDs(60)...), http.StatusOK, protocol.StageDone)
@@ -84,7 +84,7 @@
 
 // TestSubmitRejectedByStore checks that a job whose record the store rejects is answered
 // with 400, that the limit of a value is lowered, and that a repeated submission of an
-// accepted job is not refused.
+// accepted job is not rejected.
 func TestSubmitRejectedByStore(t *testing.T) {
 	f := newFixture(t)
 	before := f.committer.Limits().ValueBytes
@@ -98,7 +98,8 @@
 	f.expectAnswer("repeated submission of an accepted job", f.submit("run-9", dependencyIDs(200)...), http.StatusOK, protocol.StageDone)
 }
 
-// TestCheckSatisfiable checks which jobs are refused as never runnable, and the reasons.
+// TestCheckSatisfiable checks which jobs are rejected because they can never run, and the
+// reasons.
 func TestCheckSatisfiable(t *testing.T) {
 	array := protocol.JobSpec{ID: "run-9", Team: "red", Kind: protocol.KindArray, Tasks: 100, CPUs: 4, MemoryGB: 8}
 	for _, c := range []struct {
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -121,7 +121,8 @@
 }
 
 // TestPartitionedFromStore: a controller that alone has lost contact with the store gets no
-// confirmation. This applies only once the leader has had contact with the store for long.
+// confirmation. This applies only once the leader has had contact with the store for longer than
+// a shard lease.
 func TestPartitionedFromStore(t *testing.T) {
 	l := newTestLeader()
 	l.applyRecord(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 5, FencingToken: 1})
@@ -242,9 +243,9 @@
 	if len(l.committed) != 1 {
 		t.Fatalf("%d transactions, want 1", len(l.committed))
 	}
-	conditions := l.committed[0].Preconditions
-	if len(conditions) != 2 || conditions[1].Key != storage.GrantKey(0) {
-		t.Errorf("conditions %v, want the liveness record and the grant of shard 0", conditions)
+	preconditions := l.committed[0].Preconditions
+	if len(preconditions) != 2 || preconditions[1].Key != storage.GrantKey(0) {
+		t.Errorf("preconditions %v, want the liveness record and the grant of shard 0", preconditions)
 	}
 	if holdings.extended[0] != l.now {
 		t.Errorf("leases extended: %v, want shard 0 from %s", holdings.extended, l.now)
--- a/internal/coordination/membership/registry.go
+++ b/internal/coordination/membership/registry.go
@@ -106,7 +106,7 @@
 		Leader: true, Term: r.Leadership.Term(), SentAt: heartbeat.SentAt, HealthyPeers: r.countHealthyExcept(heartbeat.Controller),
 	}
 	if r.PartitionedFromStore(peer) {
-		return reply // confirms no grants, so its shard leases expire
+		return reply // confirms no grants, so the controller's shard leases expire
 	}
 	peer.ConfirmedAt = now
 	for shard := range r.Replica.View.Grants {
--- a/internal/coordination/operator_status.go
+++ b/internal/coordination/operator_status.go
@@ -5,8 +5,8 @@
 	"rockrun/internal/storage"
 )
 
-// Status is the autoscaler status that operators see.
-type Status struct {
+// AutoscalerStatus is the autoscaler status that operators see.
+type AutoscalerStatus struct {
 	Node    string `json:"node"`
 	Leader  string `json:"leader"`
 	Term    uint64 `json:"term"`
@@ -14,15 +14,15 @@
 	Ready   bool   `json:"ready"`
 	Fleet   int    `json:"fleet"`         // machines that exist
 	Jobs    int    `json:"jobs"`          // unfinished jobs
-	Blocked int    `json:"blocked_tasks"` // unplaced tasks of jobs that wait for no dependency
-	Waiting int    `json:"waiting_jobs"`  // jobs that wait for dependencies
+	Blocked int    `json:"blocked_tasks"` // unplaced tasks of jobs that await no dependencies
+	Waiting int    `json:"waiting_jobs"`  // unfinished jobs that await dependencies
 	Target  int    `json:"target"`        // machines to retain
 }
 
 // Autoscaler returns the status of the autoscaler and, on the leader, its last decisions. It
 // must be called on the controller's goroutine.
-func (c *Controller) Autoscaler() (Status, []provisioning.Decision) {
-	status := Status{
+func (c *Controller) Autoscaler() (AutoscalerStatus, []provisioning.Decision) {
+	status := AutoscalerStatus{
 		Node:    c.Settings.Controller,
 		Leader:  c.replica.View.Leader.Controller,
 		Term:    c.replica.View.Term,
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -6,7 +6,7 @@
 	"rockrun/internal/protocol"
 )
 
-// OnPeer processes and answers a message from another controller.
+// OnPeer processes and answers a request from another controller.
 func (c *Controller) OnPeer(request protocol.PeerRequest, reply func(protocol.PeerAnswer)) {
 	switch {
 	case request.Heartbeat != nil:
--- a/internal/coordination/quota/quota_test.go
+++ b/internal/coordination/quota/quota_test.go
@@ -154,7 +154,7 @@
 	return l
 }
 
-func (l *testLeader) put(key string, record any) {
+func (l *testLeader) applyRecord(key string, record any) {
 	l.revision++
 	l.replica.Apply(protocol.Changes{Revision: l.revision, Events: []protocol.Event{
 		{Put: key, Value: storage.Encode(record), Version: l.revision},
@@ -167,11 +167,11 @@
 func TestPartsGrowOnlyAfterAcknowledgement(t *testing.T) {
 	const tokenA, tokenB = 5 << 44, 6 << 44
 	l := newTestLeader(storage.Team{Name: "red", MaxCPUs: 8})
-	l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 2})
-	l.put(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: 3, FencingToken: tokenA})
-	l.put(storage.GrantKey(1), storage.GrantRecord{Controller: "b", Incarnation: 7, FencingToken: tokenB})
-	l.put(storage.KeyQuotaSplit, storage.QuotaSplitRecord{"red": {quarter, quarter}})
-	l.put(storage.JobKey("run-5"), storage.JobRecord{Spec: protocol.JobSpec{
+	l.applyRecord(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 2})
+	l.applyRecord(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: 3, FencingToken: tokenA})
+	l.applyRecord(storage.GrantKey(1), storage.GrantRecord{Controller: "b", Incarnation: 7, FencingToken: tokenB})
+	l.applyRecord(storage.KeyQuotaSplit, storage.QuotaSplitRecord{"red": {quarter, quarter}})
+	l.applyRecord(storage.JobKey("run-5"), storage.JobRecord{Spec: protocol.JobSpec{
 		ID: "run-5", Team: "red", Kind: protocol.KindArray, Priority: "normal", Tasks: 2, CPUs: 4, MemoryGB: 1,
 	}})
 	version := l.replica.View.QuotaSplitVersion
@@ -192,7 +192,7 @@
 		t.Fatal("no part was raised after both holders acknowledged the split")
 	}
 	if count := len(l.committed[0].Preconditions); count != 4 {
-		t.Errorf("the write has %d conditions, want 4: the leader, the split and both grants", count)
+		t.Errorf("the write has %d preconditions, want 4: the leader, the split and both grants", count)
 	}
 }
 
@@ -202,8 +202,8 @@
 	for _, c := range []struct{ name, kind string }{{"array", protocol.KindArray}, {"service", protocol.KindService}} {
 		t.Run(c.name, func(t *testing.T) {
 			l := newTestLeader(storage.Team{Name: "red", MaxCPUs: 8})
-			l.put(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
-			l.put(storage.JobKey("run-20"), storage.JobRecord{Spec: protocol.JobSpec{
+			l.applyRecord(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
+			l.applyRecord(storage.JobKey("run-20"), storage.JobRecord{Spec: protocol.JobSpec{
 				ID: "run-20", Team: "red", Kind: c.kind, Priority: "normal", Tasks: 2, CPUs: 2, Dependencies: []string{"run-7"},
 			}})
 			if d := Demands(l.replica.View)[0][0]; d != (Demand{}) {
--- a/internal/coordination/quota/splitter.go
+++ b/internal/coordination/quota/splitter.go
@@ -15,7 +15,7 @@
 // minUpdateInterval is the minimum time between two updates of the split.
 const minUpdateInterval = time.Second
 
-// Leadership is what a Splitter needs from its leader.
+// Leadership is the leadership under which a Splitter acts.
 type Leadership interface {
 	// Precondition returns the precondition that this controller is still the leader.
 	Precondition() protocol.Precondition
@@ -81,9 +81,11 @@
 	return record, changed
 }
 
-// splitAcknowledged reports whether the holders of all job shards keep to the current split.
-// A holder's heartbeat counts only for the grants that it names: one sent before the holder
-// was granted a shard does not cover the usage on the shard's machines.
+// splitAcknowledged reports whether the holders of all job shards have acknowledged the current
+// split: the last heartbeat of each holder names the version of the split, and names the
+// shard's grant among the grants whose usage is within quota. A heartbeat sent before the holder
+// was granted the shard does not name the grant, because it does not cover the usage on the
+// shard's machines.
 func (s *Splitter) splitAcknowledged() bool {
 	view := s.Replica.View
 	for shard := range view.JobShards {
@@ -101,11 +103,11 @@
 // grants of all job shards are unchanged.
 func (s *Splitter) preconditions() []protocol.Precondition {
 	view := s.Replica.View
-	conditions := []protocol.Precondition{s.Leadership.Precondition(), {Key: storage.KeyQuotaSplit, Version: view.QuotaSplitVersion}}
+	preconditions := []protocol.Precondition{s.Leadership.Precondition(), {Key: storage.KeyQuotaSplit, Version: view.QuotaSplitVersion}}
 	for shard := range view.JobShards {
-		conditions = append(conditions, view.GrantPrecondition(shard))
+		preconditions = append(preconditions, view.GrantPrecondition(shard))
 	}
-	return conditions
+	return preconditions
 }
 
 // Demands returns the used and pending resources by team and job shard.
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -19,7 +19,7 @@
 const WatchTimeout = time.Second
 
 // failuresBeforeSlowRetry is the number of consecutive failed watch requests after which the
-// pause before a retry doubles.
+// delay before a retry doubles.
 const failuresBeforeSlowRetry = 10
 
 // Config holds the dependencies and settings of a Replica.
@@ -132,14 +132,15 @@
 }
 
 func (r *Replica) retryWatch(readyRevision uint64, failures int) {
-	pause := r.Generation.Jitter(kv.RetryDelay)
+	delay := r.Generation.Jitter(kv.RetryDelay)
 	if failures > failuresBeforeSlowRetry {
-		pause = r.Generation.Jitter(2 * kv.RetryDelay)
+		delay = r.Generation.Jitter(2 * kv.RetryDelay)
 	}
-	r.Generation.Later(pause, func() { r.watchChanges(readyRevision, failures+1) })
+	r.Generation.Later(delay, func() { r.watchChanges(readyRevision, failures+1) })
 }
 
-// processChanges applies changes, marks the view as ready if it is and calls OnChange.
+// processChanges applies changes, marks the replica as ready once it has reached readyRevision, and
+// calls OnChange if it is ready.
 func (r *Replica) processChanges(changes protocol.Changes, sentAt time.Duration, readyRevision uint64) {
 	r.Apply(changes, sentAt)
 	if !r.ready && r.revision >= readyRevision {
@@ -153,19 +154,19 @@
 }
 
 // continueWatch sends the next watch request, at least WatchPause after the previous one. Under
-// load, changes arrive one at a time. The pause batches them and keeps the requests of all
+// load, changes arrive one at a time. The delay batches them and keeps the requests of all
 // controllers far below the limit of the store.
 func (r *Replica) continueWatch(sentAt time.Duration, readyRevision uint64) {
-	if pause := sentAt + r.WatchPause - r.Generation.Now(); pause > 0 && r.ready {
-		r.Generation.Later(pause, func() { r.watchChanges(readyRevision, 0) })
+	if delay := sentAt + r.WatchPause - r.Generation.Now(); delay > 0 && r.ready {
+		r.Generation.Later(delay, func() { r.watchChanges(readyRevision, 0) })
 		return
 	}
 	r.watchChanges(readyRevision, 0)
 }
 
 // raiseIncarnation raises the incarnation above all earlier ones of this controller in the
-// records. Incarnations derive from the wall clock, which may step back within its bound between
-// the end of a process and a restart within a fraction of a second.
+// records. Incarnations derive from the wall clock. If a process restarts within a fraction of a
+// second, the wall clock may have stepped back in between, within its error bound.
 func (r *Replica) raiseIncarnation() {
 	former := r.View.Liveness[r.Controller].Incarnation
 	if r.View.Leader.Controller == r.Controller {
--- a/internal/coordination/replica/sync.go
+++ b/internal/coordination/replica/sync.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// RemoveWaiters removes the callbacks of the Sync calls that still wait and returns them. Whoever ends
-// the generation must call them with an error.
+// RemoveWaiters removes and returns the callbacks of the Sync calls that still wait. A caller that
+// ends the generation must call them with an error.
 func (r *Replica) RemoveWaiters() []func(error) {
 	waiters := r.waiters
 	r.waiters = nil
--- a/internal/coordination/sharding/assigner.go
+++ b/internal/coordination/sharding/assigner.go
@@ -17,7 +17,7 @@
 // grants the shards of a new cluster to the controllers that it has heard.
 const startupGrace = 2 * time.Second
 
-// Leadership provides the leadership in which an Assigner works.
+// Leadership is the leadership under which an Assigner acts.
 type Leadership interface {
 	// Term returns the term of the leadership.
 	Term() uint64
--- a/internal/coordination/sharding/rebalance.go
+++ b/internal/coordination/sharding/rebalance.go
@@ -42,10 +42,10 @@
 }
 
 // holderUnreachable reports whether the holder of a job shard has heard none of its agents
-// for longer than chance explains, while another controller hears them. Agents that cannot
-// reach the holder try the other controllers in turn, which redirect them to the holder until
-// their leases expire. A holder that only agents cannot reach is recognized in this way; a
-// holder whose machines are all gone is not, because no controller hears its agents.
+// for so long that lost heartbeats cannot explain it, while another controller hears them.
+// Agents that cannot reach the holder try the other controllers in turn, which redirect them to
+// the holder until their leases expire. A holder that only agents cannot reach is recognized in
+// this way; a holder whose machines are all gone is not, because no controller hears its agents.
 func (a *Assigner) holderUnreachable(shard int, holder *membership.Peer) bool {
 	const minAgents = 4
 	now := a.Generation.Now()
--- a/internal/coordination/sharding/sharding_test.go
+++ b/internal/coordination/sharding/sharding_test.go
@@ -141,8 +141,8 @@
 		{"after the startup grace a controller that was heard", func(*testLeader) {}, startupGrace + time.Second, map[string]uint64{"a": 3}, "a"},
 		{"a live holder retains its shard", recordGrant("b", 5), time.Second, map[string]uint64{"a": 3, "b": 5}, ""},
 		{"a restarted holder gets a new grant", recordGrant("b", 4), time.Second, map[string]uint64{"a": 3, "b": 5}, "b"},
-		{"a silent holder retains its shard for a shard lease", recordGrant("b", 5), testShardLease, map[string]uint64{"a": 3}, ""},
-		{"a silent holder loses its shard after a shard lease", recordGrant("b", 5), testShardLease + time.Second, map[string]uint64{"a": 3}, "a"},
+		{"a holder without heartbeats retains its shard for a shard lease", recordGrant("b", 5), testShardLease, map[string]uint64{"a": 3}, ""},
+		{"a holder without heartbeats loses its shard after a shard lease", recordGrant("b", 5), testShardLease + time.Second, map[string]uint64{"a": 3}, "a"},
 	} {
 		l := newTestLeader(t, 1, "a", "b")
 		c.before(l)
@@ -181,14 +181,14 @@
 		t.Fatalf("%d transactions", len(l.committed))
 	}
 	want := map[string]uint64{storage.KeyLeader: l.replica.View.LeaderVersion, storage.GrantKey(0): l.replica.View.Grants[0].Version}
-	for _, condition := range l.committed[0].Preconditions {
-		if want[condition.Key] != condition.Version {
-			t.Errorf("condition %+v", condition)
+	for _, precondition := range l.committed[0].Preconditions {
+		if want[precondition.Key] != precondition.Version {
+			t.Errorf("precondition %+v", precondition)
 		}
-		delete(want, condition.Key)
+		delete(want, precondition.Key)
 	}
 	if len(want) > 0 {
-		t.Errorf("missing conditions %v", want)
+		t.Errorf("missing preconditions %v", want)
 	}
 	l.assign()
 	if len(l.committed) != 0 {
--- a/internal/coordination/stats.go
+++ b/internal/coordination/stats.go
@@ -15,7 +15,7 @@
 	passes                   atomic.Uint64
 	jobsAwaitingDependencies atomic.Int64
 	oversizedValues          atomic.Int64
-	nextGaugeRefreshAt       time.Duration // only for the controller's goroutine
+	nextGaugeRefreshAt       time.Duration // accessed only on the controller's goroutine
 	snapshot                 atomic.Pointer[Snapshot]
 }
 
@@ -32,8 +32,8 @@
 type Stats struct {
 	Passes                    uint64 // reconcile passes
 	JobsReleased              uint64 // jobs of the held shards whose last dependency was done
-	JobsCancelledByDependency uint64 // jobs of the held shards that were cancelled with a dependency
-	JobsAwaitingDependencies  int64  // unfinished jobs of the held shards that wait for dependencies
+	JobsCancelledByDependency uint64 // jobs of the held shards that were cancelled because a dependency was cancelled
+	JobsAwaitingDependencies  int64  // unfinished jobs of the held shards that await dependencies
 	OversizedValues           int64  // values of the held shards and, on the leader, machine groups that exceed the size limit in force
 	Snapshot                  Snapshot
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -5,8 +5,8 @@
 	"rockrun/internal/storage"
 )
 
-// minHealthyPeers is the number of healthy peers at which the holder of the batch shard leaves
-// users to its peers.
+// minHealthyPeers is the number of healthy peers at which the holder of the batch shard reports
+// itself unhealthy, so that users are routed to its peers.
 const minHealthyPeers = 2
 
 // Submit submits a job; see jobs.Service.
@@ -18,18 +18,18 @@
 // Cancel cancels a job; see jobs.Service.
 func (c *Controller) Cancel(id string, reply func(api.Answer)) { c.jobs.Cancel(id, reply) }
 
-// Healthy reports whether users should be routed to this controller. It must be able to answer
-// requests. It also must not be the holder of the batch shard while other controllers are
-// healthy, since its processor handles nearly all heartbeats and commands of agents. Users who
-// come anyway are served.
+// Healthy reports whether users should be routed to this controller: it can answer requests, and
+// it does not hold the batch shard while other controllers are healthy. The processor of the batch
+// shard's holder already handles nearly all heartbeats and commands of agents. The holder still
+// answers the requests that users send to it.
 func (c *Controller) Healthy() bool {
 	return c.replica.Ready() && !c.generation.Stopping() && c.replica.Staleness() < c.maxStaleness && !c.avoidsUserTraffic()
 }
 
-// avoidsUserTraffic reports whether this controller leaves users to its peers: it holds the
-// batch shard, there are other job shards, and the leader has recently reported at least
-// minHealthyPeers healthy peers. Without a leader, or with fewer healthy peers, it serves users
-// too.
+// avoidsUserTraffic reports whether users should be routed to the peers of this controller: it
+// holds the batch shard, there are other job shards, and the leader has recently reported at least
+// minHealthyPeers healthy peers. Without a recent reply of a leader, or with fewer healthy peers,
+// users are routed to this controller too.
 func (c *Controller) avoidsUserTraffic() bool {
 	return c.replica.View.JobShards > 1 && c.leases.Holds(storage.BatchShard) && c.reporter.KnownHealthyPeers() >= minHealthyPeers
 }
