--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -80,7 +80,7 @@
 	f.failCommands()
 	f.now += 2 * time.Second // longer than the backoff after unanswered commands
 	f.commandRequests = nil
-	f.controller.OnPeer(protocol.PeerRequest{Cancelled: []string{"run-1", "run-77"}}, func(protocol.PeerAnswer) {})
+	f.controller.OnPeerRequest(protocol.PeerRequest{Cancelled: []string{"run-1", "run-77"}}, func(protocol.PeerAnswer) {})
 	if len(f.commandRequests) != 1 || !stopsWithoutGrace(f.commandRequests[0].Commands) {
 		t.Fatalf("commands: %v", f.commandRequests)
 	}
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -64,7 +64,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	generation := loop.NewGeneration(f, rand.New(rand.NewPCG(1, 2)))
 	f.replica = replica.New(replica.Config{
-		Generation: generation, Store: f, View: storage.NewView(nil, 1), Controller: "a", Incarnation: 3, WatchPause: time.Second,
+		Generation: generation, Store: f, View: storage.NewView(nil, 1), Controller: "a", Incarnation: 3, MinWatchInterval: time.Second,
 		Log: log, OnChange: func(bool) {},
 	})
 	f.replica.Start()
--- a/internal/coordination/generation.go
+++ b/internal/coordination/generation.go
@@ -50,16 +50,16 @@
 func (c *Controller) beginReplica(previous *replica.Replica) {
 	limits := c.Settings.Cluster.KVStore.Limits()
 	c.replica = replica.New(replica.Config{
-		Generation:    c.generation,
-		Store:         c.Store,
-		View:          storage.NewView(c.teams(), len(c.controllers)),
-		Controller:    c.Settings.Controller,
-		Incarnation:   c.nextIncarnation(previous.Incarnation),
-		WatchPause:    minWatchInterval(len(c.controllers), limits),
-		SyncNotBefore: previous.NextSyncAt(),
-		Log:           c.Log,
-		OnChange:      c.recordsChanged,
-		OnCompacted:   c.beginGeneration,
+		Generation:       c.generation,
+		Store:            c.Store,
+		View:             storage.NewView(c.teams(), len(c.controllers)),
+		Controller:       c.Settings.Controller,
+		Incarnation:      c.nextIncarnation(previous.Incarnation),
+		MinWatchInterval: minWatchInterval(len(c.controllers), limits),
+		SyncNotBefore:    previous.NextSyncAt(),
+		Log:              c.Log,
+		OnChange:         c.recordsChanged,
+		OnCompacted:      c.beginGeneration,
 	})
 }
 
--- a/internal/coordination/jobs/fixture_test.go
+++ b/internal/coordination/jobs/fixture_test.go
@@ -174,7 +174,7 @@
 	f.committer.BeginGeneration(f.generation)
 	f.view = storage.NewView([]storage.Team{{Name: "red", MaxCPUs: 8}}, 1)
 	f.replica = replica.New(replica.Config{
-		Generation: f.generation, Store: f, View: f.view, Controller: "a", Incarnation: 3, WatchPause: time.Second, Log: log, OnChange: func(bool) {},
+		Generation: f.generation, Store: f, View: f.view, Controller: "a", Incarnation: 3, MinWatchInterval: time.Second, Log: log, OnChange: func(bool) {},
 	})
 	f.leases = sharding.NewLeases(sharding.LeasesConfig{
 		Generation: f.generation, Replica: f.replica, ShardLease: time.Minute, MaxStaleness: time.Minute,
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -55,7 +55,7 @@
 	l := &testLeader{now: time.Minute}
 	l.generation = loop.NewGeneration(l, rand.New(rand.NewPCG(1, 2)))
 	l.replica = replica.New(replica.Config{
-		Generation: l.generation, Store: l, View: storage.NewView(nil, 2), Controller: "a", Incarnation: 3, WatchPause: time.Second,
+		Generation: l.generation, Store: l, View: storage.NewView(nil, 2), Controller: "a", Incarnation: 3, MinWatchInterval: time.Second,
 		Log: discardLog, OnChange: func(bool) {},
 	})
 	l.replica.Start()
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -6,8 +6,8 @@
 	"rockrun/internal/protocol"
 )
 
-// OnPeer processes and answers a request from another controller.
-func (c *Controller) OnPeer(request protocol.PeerRequest, reply func(protocol.PeerAnswer)) {
+// OnPeerRequest processes and answers a request from another controller.
+func (c *Controller) OnPeerRequest(request protocol.PeerRequest, reply func(protocol.PeerAnswer)) {
 	switch {
 	case request.Heartbeat != nil:
 		registry := c.registry()
--- a/internal/coordination/quota/quota_test.go
+++ b/internal/coordination/quota/quota_test.go
@@ -138,7 +138,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	generation := loop.NewGeneration(l, rand.New(rand.NewPCG(1, 2)))
 	l.replica = replica.New(replica.Config{
-		Generation: generation, Store: l, View: storage.NewView(teams, 2), Controller: "a", Incarnation: 3, WatchPause: time.Second,
+		Generation: generation, Store: l, View: storage.NewView(teams, 2), Controller: "a", Incarnation: 3, MinWatchInterval: time.Second,
 		Log: log, OnChange: func(bool) {},
 	})
 	l.replica.Start()
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -31,9 +31,9 @@
 	// raises the incarnation above all those of this controller in the records.
 	Controller  string
 	Incarnation uint64
-	// WatchPause is the minimum time between two watch requests. Between two requests of Sync
+	// MinWatchInterval is the minimum time between two watch requests. Between two requests of Sync
 	// it is twice that.
-	WatchPause time.Duration
+	MinWatchInterval time.Duration
 	// SyncNotBefore is the earliest time of the first watch request of Sync.
 	SyncNotBefore time.Duration
 	Log           *slog.Logger
@@ -153,11 +153,11 @@
 	}
 }
 
-// continueWatch sends the next watch request, at least WatchPause after the previous one. Under
+// continueWatch sends the next watch request, at least MinWatchInterval after the previous one. Under
 // load, changes arrive one at a time. The delay batches them and keeps the requests of all
 // controllers far below the limit of the store.
 func (r *Replica) continueWatch(sentAt time.Duration, readyRevision uint64) {
-	if delay := sentAt + r.WatchPause - r.Generation.Now(); delay > 0 && r.ready {
+	if delay := sentAt + r.MinWatchInterval - r.Generation.Now(); delay > 0 && r.ready {
 		r.Generation.Later(delay, func() { r.watchChanges(readyRevision, 0) })
 		return
 	}
--- a/internal/coordination/replica/replica_test.go
+++ b/internal/coordination/replica/replica_test.go
@@ -41,7 +41,7 @@
 	store := &fakeStore{now: time.Minute, items: items}
 	r := New(Config{
 		Generation: loop.NewGeneration(store, rand.New(rand.NewPCG(1, 2))), Store: store,
-		View: storage.NewView([]storage.Team{{Name: "red"}}, 1), Controller: "a", Incarnation: 10, WatchPause: time.Second,
+		View: storage.NewView([]storage.Team{{Name: "red"}}, 1), Controller: "a", Incarnation: 10, MinWatchInterval: time.Second,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), OnChange: func(bool) {},
 	})
 	r.Start()
--- a/internal/coordination/replica/sync.go
+++ b/internal/coordination/replica/sync.go
@@ -33,7 +33,7 @@
 	sentAt := r.Generation.Now()
 	waiters := r.RemoveWaiters()
 	r.syncInFlight, r.syncScheduled = true, false
-	r.nextSyncAt = sentAt + 2*r.WatchPause
+	r.nextSyncAt = sentAt + 2*r.MinWatchInterval
 	r.Store.Watch(storage.Prefix, r.revision, 0, func(changes protocol.Changes, err error) {
 		if !r.Generation.Active() {
 			notifyWaiters(waiters, protocol.ErrNotExecuted)
--- a/internal/coordination/sharding/sharding_test.go
+++ b/internal/coordination/sharding/sharding_test.go
@@ -70,7 +70,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	generation := loop.NewGeneration(l, rand.New(rand.NewPCG(1, 2)))
 	l.replica = replica.New(replica.Config{
-		Generation: generation, Store: l, View: storage.NewView(nil, shards), Controller: "a", Incarnation: 3, WatchPause: time.Second,
+		Generation: generation, Store: l, View: storage.NewView(nil, shards), Controller: "a", Incarnation: 3, MinWatchInterval: time.Second,
 		Log: log, OnChange: func(bool) {},
 	})
 	l.replica.Start()
