--- a/internal/coordination/kv/committer.go
+++ b/internal/coordination/kv/committer.go
@@ -21,10 +21,10 @@
 // minValueBytes is the lower bound to which rejected transactions reduce the value limit.
 const minValueBytes = 1024
 
-// Committer sends transactions to the store and tracks the limits that transactions must keep
-// to. It lives as long as the process, so limits learned from rejections outlast a generation.
+// Committer sends transactions to the store and tracks the store's limits on transactions. It
+// lives as long as the process, so limits learned from rejections outlast a generation.
 type Committer struct {
-	// Budget is this controller's part of the write rate that all controllers share.
+	// Budget limits the writes to this controller's share of the total write rate.
 	Budget loop.TokenBucket
 
 	store      Store
--- a/internal/coordination/loop/loop_test.go
+++ b/internal/coordination/loop/loop_test.go
@@ -89,7 +89,7 @@
 		t.Errorf("level %v, want a debt of 10 tokens", bucket.Level())
 	}
 	if bucket.TryConsume(1500*time.Millisecond, 1) {
-		t.Error("a token was taken before the debt was paid back")
+		t.Error("a token was consumed before the debt was paid back")
 	}
 	if !bucket.TryConsume(3*time.Second, 100) {
 		t.Error("a full bucket refused a request larger than its capacity")
@@ -106,9 +106,9 @@
 	return NewGeneration(clock, rand.New(rand.NewPCG(1, 2)))
 }
 
-// TestGenerationDropsCallbacks checks that scheduled callbacks run neither after the
+// TestGenerationDiscardsCallbacks checks that scheduled callbacks run neither after the
 // generation has ended nor while the controller is shutting down.
-func TestGenerationDropsCallbacks(t *testing.T) {
+func TestGenerationDiscardsCallbacks(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(*Generation)
--- a/internal/coordination/loop/token_bucket.go
+++ b/internal/coordination/loop/token_bucket.go
@@ -27,9 +27,9 @@
 	b.refilledAt = now
 }
 
-// TryConsume removes n tokens if they are available, and reports whether they were available. If n
-// exceeds the capacity, a full bucket suffices; the debt must be paid back before more tokens
-// are available.
+// TryConsume removes n tokens if they are available, and reports whether they were available.
+// If n exceeds the capacity, a full bucket suffices; the debt must be paid back before more
+// tokens are available.
 func (b *TokenBucket) TryConsume(now time.Duration, n int) bool {
 	b.Refill(now)
 	if b.level < min(float64(n), b.rate) {
@@ -39,8 +39,8 @@
 	return true
 }
 
-// ForceConsume removes n tokens even if they are not available, for operations that cannot wait.
-// The debt is at most the tokens of one second.
+// ForceConsume removes n tokens even if they are not available, for operations that cannot
+// wait. The debt is at most the tokens of one second.
 func (b *TokenBucket) ForceConsume(now time.Duration, n int) {
 	b.Refill(now)
 	b.level = max(b.level-float64(n), -b.rate)
--- a/internal/coordination/reconcile/agent.go
+++ b/internal/coordination/reconcile/agent.go
@@ -47,8 +47,8 @@
 
 // hasImage reports whether the machine has fetched a job's image or is fetching it.
 func (a *agent) hasImage(job *storage.Job) bool {
-	_, wanted := a.imageRequestedAt[job.ImageIndex]
-	return wanted
+	_, requested := a.imageRequestedAt[job.ImageIndex]
+	return requested
 }
 
 // draining reports whether the machine is being emptied.
--- a/internal/coordination/reconcile/attempt.go
+++ b/internal/coordination/reconcile/attempt.go
@@ -20,7 +20,7 @@
 	start            startCommand
 	stop             stopCommand
 	listedInSequence uint64 // sequence number of the last heartbeat that listed it
-	inherited        bool   // planned by a former holder; known only from the records when acquired
+	inherited        bool   // planned by an earlier holder; known only from the records when acquired
 	plannedAt        time.Duration
 	runningSince     time.Duration // when a heartbeat first showed it running
 }
--- a/internal/coordination/reconcile/bench_test.go
+++ b/internal/coordination/reconcile/bench_test.go
@@ -40,8 +40,8 @@
 			b.Fatal(err)
 		}
 		size = buffer.Len()
-		var r protocol.PeerRequest
-		if err := dec.Decode(&r); err != nil {
+		var request protocol.PeerRequest
+		if err := dec.Decode(&request); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -68,13 +68,13 @@
 // BenchmarkOnHeartbeat measures processing and answering a heartbeat without changes.
 func BenchmarkOnHeartbeat(b *testing.B) {
 	f := newFleetFixture(b, mediumFleet)
-	r := fleetHeartbeat(7, 2)
-	_, machine := f.view.Machines.Find(r.Machine)
+	heartbeat := fleetHeartbeat(7, 2)
+	_, machine := f.view.Machines.Find(heartbeat.Machine)
 	reply := func(protocol.AgentHeartbeatAnswer) {}
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Sequence++
-		if err := f.reconciler.OnHeartbeat(machine, r, reply); err != nil {
+		heartbeat.Sequence++
+		if err := f.reconciler.OnHeartbeat(machine, heartbeat, reply); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/coordination/reconcile/commands.go
+++ b/internal/coordination/reconcile/commands.go
@@ -10,7 +10,7 @@
 	"rockrun/internal/storage"
 )
 
-// heartbeatCommands returns the commands that bring a machine from the state in its agent's last
+// commandsFor returns the commands that bring a machine from the state in its agent's last
 // heartbeat to the desired state.
 func (r *Reconciler) commandsFor(agent *agent) []protocol.Command {
 	if !agent.needsAttention {
@@ -55,7 +55,7 @@
 
 // stopsFor returns the stops of all attempts that must leave a machine. Stops require neither
 // a confirmed fence nor the right to act for the shard: a stop that is delayed, or that is
-// sent by a former holder, is rejected because of a higher fencing token or is harmless.
+// sent by an earlier holder, is rejected because of a higher fencing token or is harmless.
 // Every answer that renews an agent's lease includes the stops, starting with the first
 // answer. If stops were withheld until the fence is confirmed, a holder that knows of a
 // cancellation could renew the lease of an agent with tasks of the cancelled job just before
@@ -104,7 +104,7 @@
 			return command, false
 		}
 		if attempt.state == attemptPlanned {
-			attempt.agent.fence.raiseAbove(attempt.start.token) // so that its absence from a heartbeat proves that it does not run
+			attempt.agent.fence.raiseAbove(attempt.start.token) // so that the attempt's absence from a heartbeat proves that it does not run
 		}
 		return attempt.issueStop(r.now()), true
 	case attempt.startable():
--- a/internal/coordination/reconcile/completion.go
+++ b/internal/coordination/reconcile/completion.go
@@ -77,7 +77,7 @@
 
 // mayWriteFinalRecord reports whether the final record of a job may be written now.
 func (r *Reconciler) mayWriteFinalRecord(progress *jobProgress) bool {
-	return progress.endWrite.Ready(r.now(), r.Replica.Revision()) && r.Leases.MayActFor(progress.job.Shard) &&
+	return progress.finalRecordWrite.Ready(r.now(), r.Replica.Revision()) && r.Leases.MayActFor(progress.job.Shard) &&
 		r.completions.finalRecordsInFlight < maxFinalRecordsInFlight
 }
 
@@ -95,20 +95,20 @@
 		Operations: operations,
 	}
 	r.Committer.Budget.ForceConsume(r.now(), len(operations))
-	progress.endWrite.Begin()
+	progress.finalRecordWrite.Begin()
 	r.completions.finalRecordsInFlight++
 	r.Committer.Commit(transaction, func(revision uint64, err error) {
-		progress.endWrite.Finish()
+		progress.finalRecordWrite.Finish()
 		r.completions.finalRecordsInFlight--
 		if r.Generation.Ended() {
 			return
 		}
 		if err != nil {
 			r.Log.Debug("final record write failed", "job", job.ID, "err", err)
-			progress.endWrite.DelayUntil(r.now() + r.Generation.Jitter(kv.RetryDelay/2))
+			progress.finalRecordWrite.DelayUntil(r.now() + r.Generation.Jitter(kv.RetryDelay/2))
 			return
 		}
-		progress.endWrite.Written(revision)
+		progress.finalRecordWrite.Written(revision)
 		r.Outcomes.RecordOutcome(job.ID, final)
 		r.Log.Debug("job done", "job", job.ID)
 	})
--- a/internal/coordination/reconcile/config.go
+++ b/internal/coordination/reconcile/config.go
@@ -28,12 +28,12 @@
 	// Execute sends commands to the agent at an address. It calls done later on the
 	// controller's goroutine, with the agent's heartbeat and whether the agent executed
 	// the commands.
-	Execute(address string, r protocol.CommandRequest, done func(h *protocol.AgentHeartbeat, executed bool, err error))
+	Execute(address string, request protocol.CommandRequest, done func(heartbeat *protocol.AgentHeartbeat, executed bool, err error))
 }
 
 // Outcomes records how jobs ended.
 type Outcomes interface {
-	// RecordOutcome records the final record of a job, which is durable.
+	// RecordOutcome records the outcome of a job whose final record is durable.
 	RecordOutcome(job string, final storage.FinalRecord)
 }
 
@@ -52,8 +52,8 @@
 	AgentSettings config.Agents
 	// Objectives are the service-level objectives of the job classes.
 	Objectives []config.Objective
-	// MaxStaleness is the maximum staleness of a holder's view, and so of the cancellations
-	// in it, at which the holder still renews agents' leases.
+	// MaxStaleness is the maximum staleness of the view at which a holder still renews
+	// agents' leases. A holder with a staler view may not know of recent cancellations.
 	MaxStaleness time.Duration
 	// MaxAttemptNumbers limits the attempt numbers used under one grant; 0 selects the default,
 	// which is nearly all of them. See AttemptNumbersExhausted.
@@ -62,8 +62,8 @@
 	OnPassEnd func()
 }
 
-// defaultMaxAttemptNumbers is the default limit of the attempt counter. The numbers left above the limit
-// are more than can be used between two checks of AttemptNumbersExhausted.
+// defaultMaxAttemptNumbers is the default limit of the attempt counter. The numbers left above
+// the limit are more than can be used between two checks of AttemptNumbersExhausted.
 const defaultMaxAttemptNumbers = election.DerivedNumbersPerGrant - 1<<16
 
 func (c *Config) now() time.Duration { return c.Generation.Now() }
--- a/internal/coordination/reconcile/decision_log.go
+++ b/internal/coordination/reconcile/decision_log.go
@@ -10,8 +10,8 @@
 // The log lines in this file state what a decision was based on: the fencing token, and the
 // revision and staleness of the view.
 
-// debugEnabled reports whether debug lines are written. Callers that log for every heartbeat or task
-// check it first, because building the values of a line costs more than handling the
+// debugEnabled reports whether debug lines are written. Code that logs for every heartbeat or
+// task calls it first, because building the values of a line costs more than handling the
 // heartbeat or task.
 func (r *Reconciler) debugEnabled() bool { return r.Log.Enabled(context.Background(), slog.LevelDebug) }
 
--- a/internal/coordination/reconcile/detached.go
+++ b/internal/coordination/reconcile/detached.go
@@ -8,10 +8,11 @@
 )
 
 // A leader moves a machine to another shard only after the holder has reported the machine as
-// empty. If the records move it while attempts on it are not confirmed terminated, the machine
-// is detached: its attempts still count here, so that no replacement is started, until each is
-// confirmed terminated. The machine is probed with a token that the agent rejects or that
-// fences no other holder, because the holder that the records name acts for the machine.
+// empty. If the records move a machine while attempts on it are not confirmed terminated, the
+// machine is detached: its attempts still count here, so that no replacement is started, until
+// each attempt is confirmed terminated. Probes of a detached machine carry a fencing token that
+// the agent rejects or that fences no other holder, because the holder that the records name
+// acts for the machine.
 
 // detachment is the state of a detached machine; it is zero for all others.
 type detachment struct {
@@ -64,8 +65,7 @@
 	return false
 }
 
-// detach marks a machine as detached, whose attempts stay counted until they are confirmed
-// terminated.
+// detach marks a machine as detached. Its attempts count until they are confirmed terminated.
 func (r *Reconciler) detach(agent *agent) {
 	agent.detachment.sinceRevision = max(r.Replica.Revision(), 1)
 	agent.fence.confirmed = false
@@ -84,8 +84,8 @@
 }
 
 // acquireDetached acquires, as detached, the machines of other shards for which the intent
-// pages of a newly acquired shard name attempts of its jobs. The shard's previous holder had
-// these machines detached.
+// pages of a newly acquired shard name attempts of its jobs. An earlier holder of the shard
+// had these machines detached.
 func (r *Reconciler) acquireDetached(shard int) {
 	granted := r.View.Grants[shard].FencingToken
 	r.View.Machines.All(func(_ int, machine *storage.Machine) {
@@ -149,7 +149,7 @@
 	})
 }
 
-// observeDetached applies the heartbeat with which a detached machine answered a probe.
+// observeDetached applies a detached machine's heartbeat that answers a probe.
 func (r *Reconciler) observeDetached(agent *agent, heartbeat *protocol.AgentHeartbeat) {
 	if heartbeat.Machine != agent.machine.Name || !heartbeat.NewerThan(agent.contact.epoch, agent.contact.sequence) {
 		return
--- a/internal/coordination/reconcile/detached_test.go
+++ b/internal/coordination/reconcile/detached_test.go
@@ -45,7 +45,7 @@
 	return f.reconciler.attemptsByTask[storage.TaskRef{Job: job, Task: task}]
 }
 
-// answerProbe delivers a heartbeat with which the detached m-1 answers a probe, and runs a pass.
+// answerProbe delivers the heartbeat of detached m-1 that answers a probe, and runs a pass.
 func (f *fixture) answerProbe(heartbeat protocol.AgentHeartbeat) {
 	f.t.Helper()
 	agent := f.agent()
@@ -59,8 +59,8 @@
 }
 
 // TestDetachedMachineRetainsAttempts: a record that places a machine in another shard does not
-// prove that its tasks have terminated. A machine that was recorded in a second group was
-// released for that reason, and its task was started on another machine while it still ran.
+// prove that its tasks have terminated. A machine that was recorded in a second group used to
+// be released, and its task was started on another machine while the first attempt still ran.
 func TestDetachedMachineRetainsAttempts(t *testing.T) {
 	f := newDetachedFixture(t)
 	if agent := f.agent(); agent == nil || f.liveAttempts() != 1 || f.attemptsOf(0) != 1 {
@@ -129,8 +129,7 @@
 }
 
 // TestDetachedMachineProbes: a detached machine is probed with a token that fences no holder.
-// While another holder may renew the agent's lease, missing answers prove nothing, for however
-// long.
+// While another holder may renew the agent's lease, even a long lack of answers proves nothing.
 func TestDetachedMachineProbes(t *testing.T) {
 	f := newDetachedFixture(t)
 	f.commandRequests = nil
@@ -210,7 +209,7 @@
 	}
 }
 
-// regrant grants the shard to another controller, and then to the fixture's again.
+// regrant grants the shard to another controller, and then to the fixture's controller again.
 func (f *fixture) regrant(token uint64) {
 	f.t.Helper()
 	f.apply(storage.GrantKey(0), storage.GrantRecord{Controller: "b", Incarnation: 1, FencingToken: token})
--- a/internal/coordination/reconcile/drains.go
+++ b/internal/coordination/reconcile/drains.go
@@ -17,9 +17,9 @@
 	saveMarginSeconds = 3
 )
 
-// evictForDrains requests the stops that drains and terminations need: of tasks that can
-// save their progress before the cloud terminates their machine, and of replicas on
-// draining machines. It also marks the intent pages that still name a draining machine.
+// evictForDrains requests stops of tasks that can save their progress before the cloud
+// terminates their machine, and of replicas on draining machines. It also marks as urgent the
+// intent pages that still name a draining machine.
 func (r *Reconciler) evictForDrains() {
 	now := r.now()
 	if now < r.schedule.nextDrainCheckAt {
--- a/internal/coordination/reconcile/fixture_test.go
+++ b/internal/coordination/reconcile/fixture_test.go
@@ -51,8 +51,8 @@
 	done(protocol.KeyValuePage{}, nil)
 }
 
-func (f *fixture) Commit(t protocol.Transaction, _ func(uint64, error)) {
-	f.transactions = append(f.transactions, t)
+func (f *fixture) Commit(transaction protocol.Transaction, _ func(uint64, error)) {
+	f.transactions = append(f.transactions, transaction)
 }
 
 // Watch answers the first watch, after which the replica counts as complete.
@@ -63,8 +63,8 @@
 	}
 }
 
-func (f *fixture) Execute(_ string, r protocol.CommandRequest, _ func(*protocol.AgentHeartbeat, bool, error)) {
-	f.commandRequests = append(f.commandRequests, r)
+func (f *fixture) Execute(_ string, request protocol.CommandRequest, _ func(*protocol.AgentHeartbeat, bool, error)) {
+	f.commandRequests = append(f.commandRequests, request)
 }
 
 const (
@@ -80,13 +80,13 @@
 var firstPage = storage.PageID{}
 
 var (
-	// inheritedIntent is an intent entry of a former holder: run-1/0 may run on m-1.
+	// inheritedIntent is an intent entry of an earlier holder: run-1/0 may run on m-1.
 	inheritedIntent = storage.IntentEntry(0, "m-1", 9)
 	// runningStatus is the agent's report that this task runs.
 	runningStatus = protocol.TaskStatus{Task: "run-1/0", Attempt: 9, State: protocol.TaskRunning}
 )
 
-// newFixture creates a fixture. The intent page of a former holder has the given entries of
+// newFixture creates a fixture. The intent page of an earlier holder has the given entries of
 // run-1.
 func newFixture(t testing.TB, intents ...string) *fixture {
 	f := &fixture{t: t, now: time.Minute, values: map[string][]byte{}}
@@ -128,12 +128,12 @@
 	f.reconciler.SchedulePass()
 }
 
-// limitStore lowers the store's limits to at most the given ones.
-func (f *fixture) limitStore(valueBytes, operations, conditions int) {
+// lowerLimits lowers the store's limits to at most the given ones.
+func (f *fixture) lowerLimits(valueBytes, operations, preconditions int) {
 	limits := f.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
 	limits.Operations = min(limits.Operations, operations)
-	limits.Preconditions = min(limits.Preconditions, conditions)
+	limits.Preconditions = min(limits.Preconditions, preconditions)
 	f.committer.SetLimits(limits)
 }
 
@@ -178,10 +178,10 @@
 	f.t.Helper()
 	transactions := f.transactions
 	f.transactions = nil
-	for _, t := range transactions {
-		f.checkLimits(t)
+	for _, transaction := range transactions {
+		f.checkLimits(transaction)
 		f.revision++
-		for _, op := range t.Operations {
+		for _, op := range transaction.Operations {
 			if op.Put != "" {
 				f.put(op.Put, op.Value)
 				continue
@@ -194,11 +194,11 @@
 }
 
 // checkLimits fails the test if a transaction exceeds the limits in force.
-func (f *fixture) checkLimits(t protocol.Transaction) {
+func (f *fixture) checkLimits(transaction protocol.Transaction) {
 	f.t.Helper()
 	limits := f.committer.Limits()
-	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Preconditions) > limits.Preconditions {
-		f.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Preconditions))
+	if largest := kv.LargestValue(transaction); largest > limits.ValueBytes || len(transaction.Operations) > limits.Operations || len(transaction.Preconditions) > limits.Preconditions {
+		f.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d preconditions", limits, largest, len(transaction.Operations), len(transaction.Preconditions))
 	}
 }
 
@@ -226,8 +226,8 @@
 	})
 }
 
-// heartbeatCommands delivers a heartbeat of m-1 and returns the commands of the answer. A rejected
-// heartbeat fails the test.
+// heartbeatCommands delivers a heartbeat of m-1 and returns the commands of the answer. A
+// rejected heartbeat fails the test.
 func (f *fixture) heartbeatCommands(sequence, token uint64, tasks ...protocol.TaskStatus) []protocol.Command {
 	f.t.Helper()
 	answer, err := f.heartbeat(sequence, token, tasks...)
@@ -238,9 +238,9 @@
 }
 
 // deliver delivers a heartbeat to the reconciler and returns the answer.
-func (f *fixture) deliver(r *protocol.AgentHeartbeat) (answer protocol.AgentHeartbeatAnswer, err error) {
-	_, machine := f.view.Machines.Find(r.Machine)
-	err = f.reconciler.OnHeartbeat(machine, r, func(a protocol.AgentHeartbeatAnswer) { answer = a })
+func (f *fixture) deliver(heartbeat *protocol.AgentHeartbeat) (answer protocol.AgentHeartbeatAnswer, err error) {
+	_, machine := f.view.Machines.Find(heartbeat.Machine)
+	err = f.reconciler.OnHeartbeat(machine, heartbeat, func(a protocol.AgentHeartbeatAnswer) { answer = a })
 	return answer, err
 }
 
--- a/internal/coordination/reconcile/fleet_test.go
+++ b/internal/coordination/reconcile/fleet_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestFailoverOfLargeFleet: a controller that acquires every machine sends one command
-// request to each and writes nothing, because the records of the former holder remain valid.
+// request to each and writes nothing, because the records of the earlier holder remain valid.
 func TestFailoverOfLargeFleet(t *testing.T) {
 	f := newFleetFixtureWithoutHeartbeats(t, largeFleet)
 	for range 3 {
--- a/internal/coordination/reconcile/health.go
+++ b/internal/coordination/reconcile/health.go
@@ -7,9 +7,9 @@
 	// error, of which at most maxCountedErrors count.
 	quarantinePerError = 10 * time.Second
 	maxCountedErrors   = 6
-	// quarantineAfterRefusal is how long a machine gets no new tasks after it refused a
-	// start.
-	quarantineAfterRefusal = 2 * time.Second
+	// quarantineAfterRejectedStart is how long a machine gets no new tasks after its agent
+	// rejected a start.
+	quarantineAfterRejectedStart = 2 * time.Second
 	// faultyErrors is the number of consecutive errors that make a machine faulty.
 	faultyErrors = 3
 	// maxMachinesAtFault is the number of machines on which tasks of a job may fail before
@@ -47,8 +47,10 @@
 // recordSuccess records a completed task, which resets the count of consecutive errors.
 func (h *health) recordSuccess() { h.consecutiveErrors = 0 }
 
-// recordRefusal quarantines the machine after it refused a start.
-func (h *health) recordRefusal(now time.Duration) { h.quarantinedUntil = now + quarantineAfterRefusal }
+// recordRejectedStart quarantines the machine after its agent rejected a start.
+func (h *health) recordRejectedStart(now time.Duration) {
+	h.quarantinedUntil = now + quarantineAfterRejectedStart
+}
 
 // quarantined reports whether the machine gets no new tasks at present.
 func (h *health) quarantined(now time.Duration) bool { return now < h.quarantinedUntil }
@@ -101,14 +103,14 @@
 }
 
 const (
-	// firstBackoff is doubled with each failure of a job, the first included, at most
+	// baseBackoff is doubled with each failure of a job, including the first, at most
 	// maxDoublings times and up to maxBackoff.
-	firstBackoff = 250 * time.Millisecond
+	baseBackoff  = 250 * time.Millisecond
 	maxBackoff   = 20 * time.Second
 	maxDoublings = 6
 )
 
 // backoff is how long tasks of the job are not started after the last failure.
 func (f *failureRecord) backoff() time.Duration {
-	return min(time.Duration(1<<min(f.count, maxDoublings))*firstBackoff, maxBackoff)
+	return min(time.Duration(1<<min(f.count, maxDoublings))*baseBackoff, maxBackoff)
 }
--- a/internal/coordination/reconcile/health_test.go
+++ b/internal/coordination/reconcile/health_test.go
@@ -22,8 +22,8 @@
 	if h.recordError(time.Hour); h.quarantinedUntil != time.Hour+10*time.Second || h.faulty() {
 		t.Errorf("after a completed task: %+v", h)
 	}
-	if h.recordRefusal(2 * time.Hour); h.quarantinedUntil != 2*time.Hour+2*time.Second || h.consecutiveErrors != 1 {
-		t.Errorf("after a refusal: %+v", h)
+	if h.recordRejectedStart(2 * time.Hour); h.quarantinedUntil != 2*time.Hour+2*time.Second || h.consecutiveErrors != 1 {
+		t.Errorf("after a rejected start: %+v", h)
 	}
 }
 
--- a/internal/coordination/reconcile/heartbeat.go
+++ b/internal/coordination/reconcile/heartbeat.go
@@ -178,8 +178,9 @@
 	case start.epoch != 0 && heartbeat.Epoch > start.epoch:
 		return "epoch over"
 	case attempt.state != attemptPlanned:
-		// The agent has reported the attempt before. It drops an attempt only with a new
-		// epoch or when told to reap it, and either comes after the attempt has ended.
+		// The agent has reported the attempt before. An agent removes an attempt from its
+		// list only when a new epoch begins or on a reap, in both cases after the attempt
+		// has ended.
 		return "vanished"
 	case attempt.inherited && fence.confirmed, terminatesWhenFenced(attempt) && start.sent() && heartbeat.FencingToken > start.token:
 		// The agent does not have the attempt, and rejects every start that was ever sent
@@ -190,9 +191,9 @@
 }
 
 // terminatesWhenFenced reports whether an attempt that no heartbeat has listed counts as
-// terminated once the agent rejects its start. That holds for an attempt being stopped, and on
-// a detached machine, where a confirmed fence of this holder can no longer prove the attempt
-// terminated.
+// terminated once the agent rejects its start. This applies to an attempt that is being
+// stopped, and to any attempt on a detached machine, where this holder's fence is no longer
+// confirmed and cannot prove the attempt terminated.
 func terminatesWhenFenced(a *attempt) bool { return a.stop.requested || a.agent.isDetached() }
 
 // jobUnknownBackoff is how long tasks of a job are not started after an agent reported the job
@@ -220,8 +221,8 @@
 		r.Log.Info("task failed", "machine", machine, "task", status.Task, "attempt", attempt.number,
 			"errors", health.consecutiveErrors, "fails", progress.failures.count)
 	case protocol.CauseNoCapacity, protocol.CauseAlreadyPresent:
-		health.recordRefusal(now)
-		r.Log.Warn("start refused", "machine", machine, "task", status.Task, "attempt", attempt.number, "cause", status.Cause)
+		health.recordRejectedStart(now)
+		r.Log.Warn("start rejected", "machine", machine, "task", status.Task, "attempt", attempt.number, "cause", status.Cause)
 	case protocol.CauseJobUnknown:
 		progress.backoffUntil = now + jobUnknownBackoff
 		r.Log.Warn("job unknown to agent", "machine", machine, "task", status.Task, "attempt", attempt.number)
--- a/internal/coordination/reconcile/heartbeat_test.go
+++ b/internal/coordination/reconcile/heartbeat_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestNotEntitled: a holder whose view is too stale, or whose shard lease has expired, does not
-// renew agents' leases. Nor does one whose agent has seen a higher fencing token.
+// TestNotEntitled: a holder does not renew an agent's lease if the holder's view is too stale,
+// if its shard lease has expired, or if the agent has seen a higher fencing token.
 func TestNotEntitled(t *testing.T) {
 	f := newFixture(t)
 	expect := func(sequence, token uint64, want error, when string) {
@@ -176,7 +176,7 @@
 
 // TestAttemptNumbersExhausted: attempt numbers increase up to the last one of a grant. A holder
 // that has used them all must restart under another grant. If the numbers wrapped around below
-// those in the records, a terminated attempt would be taken for a later one.
+// those in the records, a terminated attempt would be mistaken for a later one.
 func TestAttemptNumbersExhausted(t *testing.T) {
 	f := newFixture(t)
 	f.reconciler.attemptCounter = defaultMaxAttemptNumbers - 1
--- a/internal/coordination/reconcile/job_progress.go
+++ b/internal/coordination/reconcile/job_progress.go
@@ -21,7 +21,7 @@
 	intentHeaderSize int   // bytes of the job's header in an intent page
 	withinGuarantee  bool  // the job fits into the team's guarantee beside the team's earlier jobs
 	starved          bool  // the job has been a starved candidate at least once
-	endWrite         loop.Write
+	finalRecordWrite loop.Write
 	failures         failureRecord
 	runTimes         runTimes
 	backoffUntil     time.Duration // no task is placed before
--- a/internal/coordination/reconcile/page.go
+++ b/internal/coordination/reconcile/page.go
@@ -28,8 +28,8 @@
 	pageState
 	attempts map[*attempt]bool
 	jobs     map[*storage.Job]int // number of attempts by job
-	// Machines named by a write whose outcome the view does not show yet. A write without a
-	// response can still be applied until the page has a new version.
+	// Machines named by a write whose outcome the view does not show yet. An unanswered write
+	// can still be applied until the page has a new version.
 	possiblyNamed   map[*agent]bool
 	outcomeUnknown  bool
 	replacedVersion uint64 // page version that the last write replaces
--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -88,7 +88,7 @@
 }
 
 // ListsTask reports whether a machine still lists an earlier attempt at a task. The agent
-// refuses to start another attempt until the earlier one is reaped.
+// rejects the start of another attempt until the earlier one is reaped.
 func (p *placer) ListsTask(agent *agent, job *storage.Job, task int) bool {
 	return agent.unexpected.lists(job, task)
 }
@@ -202,11 +202,11 @@
 
 // Preempt requests stops of attempts on a machine for a pending job. Victims that can save
 // their progress get the time to do so.
-func (p *placer) Preempt(agent *agent, victims []placement.RunningAttempt, waiting *storage.Job) {
+func (p *placer) Preempt(agent *agent, victims []placement.RunningAttempt, pending *storage.Job) {
 	for _, victim := range victims {
 		agent.needsAttention = true
 		a := agent.attempts[storage.TaskRef{Job: victim.Job.Index, Task: victim.Task}]
 		a.stop.request(a.saveGrace())
-		p.reconciler.Log.Info("preemption requested", "machine", agent.machine.Name, "job", a.job.ID, "task", a.task, "attempt", a.number, "for", waiting.ID)
+		p.reconciler.Log.Info("preemption requested", "machine", agent.machine.Name, "job", a.job.ID, "task", a.task, "attempt", a.number, "for", pending.ID)
 	}
 }
--- a/internal/coordination/reconcile/reachability.go
+++ b/internal/coordination/reconcile/reachability.go
@@ -3,15 +3,15 @@
 import "time"
 
 // reachability tracks whether answers and commands reach an agent whose heartbeats arrive. If
-// a heartbeat suggests that they do not, the agent is challenged: it is answered with a higher
-// fencing token, which its next heartbeats must report. If they do not report it within the
-// timeout, the agent is unresponsive: its tasks end when its lease expires, so they must not be
-// relied on.
+// a heartbeat suggests that they are lost, the agent is challenged: answers and commands carry
+// a higher fencing token, which the agent's next heartbeats must report. An agent that has not
+// reported the token after the timeout is unresponsive: its tasks end when its lease expires,
+// so they must not be relied on.
 type reachability struct {
 	challengeToken uint64 // token that heartbeats must report
 	challengedAt   time.Duration
 	suspect        bool // the last heartbeat reported a lower token
-	unresponsive   bool // a heartbeat after the timeout still did
+	unresponsive   bool // a heartbeat after the timeout still reported a lower token
 }
 
 // ensureGrantChallenge makes the grant's token the challenge, once for each grant.
@@ -34,10 +34,10 @@
 }
 
 // observe records the token that a heartbeat reports, and returns whether the agent has become
-// unresponsive. Only a heartbeat whose sender waits for an answer can show that, not one that
+// unresponsive. Only a heartbeat that waits for an answer can show that, not a heartbeat that
 // answers a command request. The timeout of the grant's challenge also counts from the first
-// heartbeat, because an agent may start long after its machine was acquired, and nobody has
-// answered it before.
+// heartbeat, because an agent may start long after its machine was acquired, and no controller
+// has answered it before.
 func (r *reachability) observe(f *fence, reportedToken uint64, awaitsAnswer bool, now, sinceFirstHeartbeat, timeout time.Duration) (becameUnresponsive bool) {
 	r.suspect = reportedToken < r.challengeToken
 	unresponsive := r.suspect && awaitsAnswer && now-r.challengedAt > timeout
--- a/internal/coordination/reconcile/reachability_test.go
+++ b/internal/coordination/reconcile/reachability_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestUnresponsive: an agent is unresponsive if, after the timeout, a heartbeat that waits for an
-// answer still reports a token below the challenge. For an agent that has just started, the
+// TestUnresponsive: an agent is unresponsive if, after the timeout, a heartbeat that waits for
+// an answer still reports a token below the challenge. For an agent that has just started, the
 // timeout counts from its first heartbeat.
 func TestUnresponsive(t *testing.T) {
 	const timeout = 10 * time.Second
--- a/internal/coordination/reconcile/reconciler.go
+++ b/internal/coordination/reconcile/reconciler.go
@@ -29,17 +29,17 @@
 type syncedRevisions struct{ fleet, jobsEnded uint64 }
 
 // New creates a reconciler that holds no shard.
-func New(parts Config) *Reconciler {
-	if parts.MaxAttemptNumbers == 0 {
-		parts.MaxAttemptNumbers = defaultMaxAttemptNumbers
+func New(c Config) *Reconciler {
+	if c.MaxAttemptNumbers == 0 {
+		c.MaxAttemptNumbers = defaultMaxAttemptNumbers
 	}
 	return &Reconciler{
-		Config:         parts,
+		Config:         c,
 		agents:         agentTable{byName: map[string]*agent{}},
 		writers:        map[int]*recordWriter{},
 		jobs:           map[*storage.Job]*jobProgress{},
 		attemptsByTask: map[storage.TaskRef]int{},
-		usage:          newUsageLedger(len(parts.View.Teams)),
+		usage:          newUsageLedger(len(c.View.Teams)),
 	}
 }
 
@@ -114,7 +114,7 @@
 		contact := &agent.contact
 		if len(agent.attempts) > 0 && !agent.heldByAnother() {
 			// The agent's lease has certainly expired: this holder has not renewed it, and
-			// a former holder could renew it only until its view exceeded MaxStaleness.
+			// an earlier holder could renew it only until its view exceeded MaxStaleness.
 			expiry := contact.lastRenewedAt(r.MaxStaleness) + lease + lease/1000 + config.LeaseMargin
 			if now > expiry && now > contact.lastHeartbeatAt+lease {
 				r.endAllAttempts(agent, "agent's lease has expired")
@@ -140,8 +140,8 @@
 // JobShardsHeld returns the number of job shards that this controller holds.
 func (r *Reconciler) JobShardsHeld() int { return len(r.writers) }
 
-// AttemptNumbersExhausted reports whether the attempt numbers of the held grants are used up. The
-// controller must then begin a new generation, which gets new grants.
+// AttemptNumbersExhausted reports whether the attempt numbers of the held grants are used up.
+// The controller must then begin a new generation, which gets new grants.
 func (r *Reconciler) AttemptNumbersExhausted() bool { return r.attemptCounter >= r.MaxAttemptNumbers }
 
 // OversizedValues returns the number of values of the held shards that exceed the size limit
--- a/internal/coordination/reconcile/record_writer.go
+++ b/internal/coordination/reconcile/record_writer.go
@@ -25,7 +25,7 @@
 	nextFlushAt     time.Duration
 	maxOperations   int                     // operations in a transaction; fewer after a failed write
 	retired         bool                    // the shard is no longer held
-	heldSince       uint64                  // View.HeldSince when the shard was acquired
+	grantVersion    uint64                  // View.HeldSince when the shard was acquired
 	tracks          func(*jobProgress) bool // whether the reconciler still tracks a job's progress
 	schedulePass    func()
 }
@@ -44,7 +44,7 @@
 
 // newRecordWriter returns the writer of a shard, with the pages that the records contain.
 func newRecordWriter(config *Config, shard int) *recordWriter {
-	w := &recordWriter{Config: config, shard: shard, maxOperations: maxOperationsPerWrite, heldSince: config.View.HeldSince(shard)}
+	w := &recordWriter{Config: config, shard: shard, maxOperations: maxOperationsPerWrite, grantVersion: config.View.HeldSince(shard)}
 	w.View.EachIntentPage(shard, func(number, entries int) {
 		page := w.intentPageAt(number)
 		if entries > 0 {
--- a/internal/coordination/reconcile/statuses.go
+++ b/internal/coordination/reconcile/statuses.go
@@ -37,9 +37,9 @@
 }
 
 // GrantsWithinQuota returns the fencing tokens of the grants whose job shards use no more than
-// the quota split allows. It identifies grants rather than the controller: a controller that
-// was just granted a shard may not know yet what runs on its machines, and its earlier
-// statements do not cover them.
+// the quota split allows. The result identifies grants rather than the controller: a controller
+// that was just granted a shard may not know yet what runs on the shard's machines, and its
+// earlier reports do not cover them.
 func (r *Reconciler) GrantsWithinQuota() []uint64 {
 	var tokens []uint64
 	for shard := range r.writers {
--- a/internal/coordination/reconcile/sync.go
+++ b/internal/coordination/reconcile/sync.go
@@ -6,8 +6,9 @@
 	"rockrun/internal/storage"
 )
 
-// The records determine what this controller holds: grants the shards, machine groups the
-// machines, and intents the attempts inherited from earlier holders.
+// The records determine what this controller holds. Grants name its shards, machine groups
+// name the machines of the shards, and intents name the attempts inherited from earlier
+// holders.
 
 // SyncWithRecords acquires and releases shards and machines to match the records. Records
 // change many times a second, but most changes are to intent pages and jobs. The machines are
@@ -60,7 +61,7 @@
 	_, recorded := r.View.Machines.Find(machine.Name)
 	switch {
 	case recorded != machine:
-		r.release(agent) // the view forgot the machine in between, while no group or intent named it
+		r.release(agent) // the view has deleted this machine, which no group or intent named for a while
 	case machine.Deleted():
 		r.endAllAttempts(agent, "machine is gone")
 		r.release(agent)
@@ -79,7 +80,7 @@
 func (r *Reconciler) syncWriters() (acquired []int) {
 	for shard := range r.View.Grants {
 		holds := r.Leases.Holds(shard)
-		if writer := r.writers[shard]; writer != nil && (!holds || writer.heldSince != r.View.HeldSince(shard)) {
+		if writer := r.writers[shard]; writer != nil && (!holds || writer.grantVersion != r.View.HeldSince(shard)) {
 			writer.retired = true
 			delete(r.writers, shard)
 			r.logShardReleased(shard)
@@ -94,8 +95,8 @@
 	return acquired
 }
 
-// releaseShard discards the in-memory state of a shard, also if the shard is held again
-// already: only the records tell what another holder did in between.
+// releaseShard discards the in-memory state of a shard, even if this controller already holds
+// the shard again: only the records show what another holder did in between.
 func (r *Reconciler) releaseShard(shard int) {
 	for _, agent := range slices.Clone(r.agents.sorted) {
 		if agent.shard == shard {
@@ -147,7 +148,7 @@
 // the machine.
 func (r *Reconciler) inherit(agent *agent, ref storage.TaskRef) {
 	intent := agent.machine.Intents[ref]
-	former := &attempt{
+	inherited := &attempt{
 		job:       r.View.Jobs.Get(ref.Job),
 		task:      ref.Task,
 		number:    intent.Attempt,
@@ -156,9 +157,9 @@
 		inherited: true,
 		plannedAt: agent.contact.heldSince,
 	}
-	former.stop.requested = !former.job.Active()
-	r.addAttempt(former)
-	r.writers[agent.shard].intentPageAt(intent.Page).add(former)
+	inherited.stop.requested = !inherited.job.Active()
+	r.addAttempt(inherited)
+	r.writers[agent.shard].intentPageAt(intent.Page).add(inherited)
 }
 
 // release removes an agent and its attempts from this controller's state, without deciding
--- a/internal/coordination/reconcile/sync_test.go
+++ b/internal/coordination/reconcile/sync_test.go
@@ -7,12 +7,13 @@
 	"rockrun/internal/storage"
 )
 
-// TestShardLostAndReacquiredBetweenReads: a controller whose requests the store rejects loses a
-// job shard and is granted it again before it can read the records. In between, another controller
-// ends an attempt of the first (reason "never started") and starts the task on m-1 under a new
-// attempt. The first then reads both grants at once. Found with random faults: at a staleness of
-// 25.28 s the first controller retained its in-memory state, ended its old attempt, ignored the
-// other controller's, and started the task on a second machine 3 s after the grant.
+// TestShardLostAndReacquiredBetweenReads guards against a holder that retains its in-memory
+// state although another controller has held the shard. The store rejects the requests of
+// controller a, which loses its job shard and is granted it again before it can read the
+// records. In between, controller b ends an attempt of a (reason "never started") and starts the
+// task on m-1 under a new attempt. Controller a then reads both grants at once. Found with
+// random faults: at a staleness of 25.28 s, a retained its state, ended its old attempt, ignored
+// the attempt of b, and started the task on a second machine 3 s after the grant.
 func TestShardLostAndReacquiredBetweenReads(t *testing.T) {
 	f := newFixture(t, inheritedIntent)
 	f.heartbeat(1, grantToken, runningStatus)
--- a/internal/coordination/reconcile/unexpected.go
+++ b/internal/coordination/reconcile/unexpected.go
@@ -29,7 +29,7 @@
 // add adds a task of the heartbeat.
 func (u *unexpectedTasks) add(task *protocol.TaskStatus) { u.list = append(u.list, *task) }
 
-// observe updates the time since when there have been unexpected tasks.
+// observe updates the since field; it is called once the tasks of a heartbeat have been added.
 func (u *unexpectedTasks) observe(now time.Duration) {
 	if len(u.list) == 0 {
 		u.since = 0
--- a/internal/coordination/reconcile/unexpected_test.go
+++ b/internal/coordination/reconcile/unexpected_test.go
@@ -7,8 +7,8 @@
 	"rockrun/internal/protocol"
 )
 
-// TestReapDue: a few recently completed tasks wait until there are reapBatch of them or reapAfter
-// has passed. All other unexpected tasks are due at once.
+// TestReapDue: a few recently completed tasks wait until there are reapBatch of them or
+// reapAfter has passed. All other unexpected tasks are due at once.
 func TestReapDue(t *testing.T) {
 	done := protocol.TaskStatus{Task: "run-1/0", State: protocol.TaskEnded, Cause: protocol.CauseDone}
 	failed := protocol.TaskStatus{Task: "run-1/1", State: protocol.TaskEnded, Cause: protocol.CauseError}
