--- a/internal/coordination/reconcile/fixture_test.go
+++ b/internal/coordination/reconcile/fixture_test.go
@@ -98,7 +98,7 @@
 	f.committer.BeginGeneration(generation)
 	f.view = storage.NewView([]storage.Team{{Name: "red", MaxCPUs: 8}}, 1)
 	f.replica = replica.New(replica.Config{
-		Generation: generation, Store: f, View: f.view, Controller: "a", Incarnation: 3, WatchPause: time.Second, Log: log, OnChange: func(bool) {},
+		Generation: generation, Store: f, View: f.view, Controller: "a", Incarnation: 3, MinWatchInterval: time.Second, Log: log, OnChange: func(bool) {},
 	})
 	f.leases = sharding.NewLeases(sharding.LeasesConfig{
 		Generation: generation, Replica: f.replica, ShardLease: testShardLease, MaxStaleness: agents.MaxStaleness(),
@@ -128,8 +128,8 @@
 	f.reconciler.SchedulePass()
 }
 
-// lowerLimits lowers the store's limits to at most the given ones.
-func (f *fixture) lowerLimits(valueBytes, operations, preconditions int) {
+// lowerStoreLimits lowers the store's limits to at most the given ones.
+func (f *fixture) lowerStoreLimits(valueBytes, operations, preconditions int) {
 	limits := f.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
 	limits.Operations = min(limits.Operations, operations)
--- a/internal/coordination/reconcile/oversized_pages_test.go
+++ b/internal/coordination/reconcile/oversized_pages_test.go
@@ -40,7 +40,7 @@
 // page must name each task that may be running.
 func TestOversizedIntentPagesShrink(t *testing.T) {
 	f := newFleetFixture(t, mediumFleet)
-	f.lowerLimits(512, 4, math.MaxInt)
+	f.lowerStoreLimits(512, 4, math.MaxInt)
 	writer := f.reconciler.writers[0]
 	before := writer.oversizedValues()
 	if before < 30 {
@@ -130,7 +130,7 @@
 	const jobs, firstTask, laterTask = 60, 0, 5
 	f := newCompletionPageFixture(t, jobs)
 	writer := f.reconciler.writers[0]
-	f.lowerLimits(1024, 4, math.MaxInt)
+	f.lowerStoreLimits(1024, 4, math.MaxInt)
 	if writer.oversizedValues() != 1 {
 		t.Fatalf("%d pages are over the limit", writer.oversizedValues())
 	}
