--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -152,8 +152,8 @@
 	return quota.WithinShardQuota(view, &view.Teams[job.TeamIndex], job.Shard, used)
 }
 
-// RunsBelow reports whether any live attempt has a lower priority than rank.
-func (p *placer) RunsBelow(rank int) bool { return p.reconciler.usage.anyLowerPriority(rank) }
+// AnyLowerPriority reports whether any live attempt has a lower priority than rank.
+func (p *placer) AnyLowerPriority(rank int) bool { return p.reconciler.usage.anyLowerPriority(rank) }
 
 // BorrowsBeyond reports whether a job's team would still use at least its guarantee with
 // one task of the job fewer.
