--- a/internal/coordination/autoscaler/demand.go
+++ b/internal/coordination/autoscaler/demand.go
@@ -41,7 +41,7 @@
 	return d
 }
 
-// assignTo removes one task from the demand that is assigned to a zone.
+// assignTo assigns one task to a zone and subtracts it from the demand.
 func (d *Demand) assignTo(zone int) {
 	d.Count--
 	if zone < len(d.zoneCapacity) {
--- a/internal/coordination/autoscaler/planner.go
+++ b/internal/coordination/autoscaler/planner.go
@@ -62,11 +62,11 @@
 // hasRoomFor reports whether a machine is eligible for a job and has free resources for a
 // task. Services may use resources that other tasks occupy, since they preempt them.
 func (p *Planner) hasRoomFor(supply *Supply, j *storage.Job) bool {
-	room := supply.free
+	free := supply.free
 	if j.IsService() {
-		room = supply.freeBesideServices
+		free = supply.freeBesideServices
 	}
-	return room.Fits(j) && p.eligible(supply, j)
+	return free.Fits(j) && p.eligible(supply, j)
 }
 
 // eligible reports whether a job allows a machine's type, zone and market, regardless of free
@@ -79,19 +79,19 @@
 // to the zone where most of them fit, if at least a quarter of them fit there. Otherwise the
 // demand stays unrestricted.
 func (p *Planner) chooseZone(demand *Demand) {
-	const minRoomDivisor = 4 // waiting for more capacity in a zone pays off if a quarter of the tasks fit already
+	const minCapacityDivisor = 4 // waiting for more capacity in a zone pays off if a quarter of the tasks fit already
 	if !demand.Job.OneZone || demand.zoneCapacity != nil {
 		return
 	}
-	room := map[int]int{}
+	capacity := map[int]int{}
 	best := -1
 	for _, supply := range p.Supplies {
-		room[supply.Zone] += p.replicasThatFitOn(supply, demand)
-		if best < 0 || room[supply.Zone] > room[best] || room[supply.Zone] == room[best] && supply.Zone < best {
+		capacity[supply.Zone] += p.replicasThatFitOn(supply, demand)
+		if best < 0 || capacity[supply.Zone] > capacity[best] || capacity[supply.Zone] == capacity[best] && supply.Zone < best {
 			best = supply.Zone
 		}
 	}
-	if best >= 0 && room[best]*minRoomDivisor >= demand.Count {
+	if best >= 0 && capacity[best]*minCapacityDivisor >= demand.Count {
 		demand.restrictTo(best)
 	}
 }
@@ -179,14 +179,16 @@
 	return count
 }
 
-// replicasThatFitOn returns how many more replicas of a service fit on a machine.
+// replicasThatFitOn returns how many more replicas of a demand fit on a machine beside the
+// services there. For tasks that cannot preempt the machine's other tasks, the number is an
+// upper bound.
 func (p *Planner) replicasThatFitOn(supply *Supply, d *Demand) int {
 	if !supply.Schedulable || supply.Shard != d.Shard || !p.eligible(supply, d.Job) {
 		return 0
 	}
 	count := 0
-	for room := supply.freeBesideServices; room.Fits(d.Job); count++ {
-		room.Subtract(d.Job)
+	for free := supply.freeBesideServices; free.Fits(d.Job); count++ {
+		free.Subtract(d.Job)
 	}
 	return count
 }
--- a/internal/coordination/autoscaler/scalein_test.go
+++ b/internal/coordination/autoscaler/scalein_test.go
@@ -147,7 +147,7 @@
 			in.Supplies[1].freeBesideServices = placement.Resources{}
 		}, ""},
 		{"none if replicas must share a zone", func(_ *ScaleInInput, service *storage.Job) { service.OneZone = true }, ""},
-		{"none if the room is reserved as spare capacity", func(in *ScaleInInput, service *storage.Job) {
+		{"none if the free capacity is reserved as spare capacity", func(in *ScaleInInput, service *storage.Job) {
 			in.Spares = []Demand{{Job: service, Count: 4}} // fills a large machine
 		}, ""},
 	} {
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -97,7 +97,7 @@
 
 // Choose picks the machine for a task: the first one with the highest score among those
 // listed that can run the task. attemptsByZone counts the attempts at the job's tasks in each
-// zone. The result found is false if no listed machine can run the task.
+// zone. Choose returns found = false if no listed machine can run the task.
 func Choose[M comparable](fleet Fleet[M], machines []M, j *storage.Job, task int, attemptsByZone []int) (best M, found bool) {
 	var bestScore float64
 	serviceCPUs := fleet.ServiceCPUs()
--- a/internal/coordination/placement/order.go
+++ b/internal/coordination/placement/order.go
@@ -15,8 +15,8 @@
 // rules, large jobs would starve as long as demand exceeds capacity.
 const MaxDelaySeconds = 100.0
 
-// LongOverduePassInterval is the interval, in passes that place a task, at which long-overdue jobs go
-// first.
+// LongOverduePassInterval is the interval, in passes that place a task, at which long-overdue
+// jobs go first.
 const LongOverduePassInterval = 3
 
 // minWeightCPUs is the least number of CPUs per task used for a job's weight. It keeps the
@@ -40,8 +40,8 @@
 	Begun     bool // a task is running or completed
 }
 
-// NewCandidate computes the weight of a job and whether the job is late or starved. rank is
-// the job's effective rank. The caller sets WithinGuarantee.
+// NewCandidate computes the weight of a job and whether the job is starved, late or long
+// overdue. rank is the job's effective rank. The caller sets WithinGuarantee.
 func NewCandidate(j *storage.Job, rank int, progress Progress, objectives []config.Objective, now time.Time) Candidate {
 	candidate := Candidate{Job: j, Rank: rank}
 	nowMS := now.UnixMilli()
--- a/internal/coordination/placement/preemption.go
+++ b/internal/coordination/placement/preemption.go
@@ -34,9 +34,9 @@
 
 // mayPreempt reports whether victim may be stopped to free resources for a pending job.
 func mayPreempt(pending *Candidate, victim *RunningAttempt, teams Teams) bool {
-	// The pending job counts with its own priority, the victim with the highest priority
-	// among its job and the dependents. A low-priority first stage of a pipeline therefore
-	// neither preempts on behalf of its dependents nor is preempted.
+	// For the pending job, only its own priority counts; for the victim, the highest
+	// priority among its job and the job's dependents. A low-priority first stage of a
+	// pipeline therefore neither preempts on behalf of its dependents nor is preempted.
 	if victim.Rank > pending.Job.Rank() {
 		return true
 	}
--- a/internal/coordination/placement/resources.go
+++ b/internal/coordination/placement/resources.go
@@ -55,8 +55,8 @@
 }
 
 // Min returns the minimum of r and o for each resource.
-func (r Resources) Min(o Resources) Resources {
-	return Resources{CPUs: min(r.CPUs, o.CPUs), GPUs: min(r.GPUs, o.GPUs), MemoryGB: min(r.MemoryGB, o.MemoryGB)}
+func (r Resources) Min(other Resources) Resources {
+	return Resources{CPUs: min(r.CPUs, other.CPUs), GPUs: min(r.GPUs, other.GPUs), MemoryGB: min(r.MemoryGB, other.MemoryGB)}
 }
 
 // Dominates reports whether every machine that can run a task of a can also run a task of b:
--- a/internal/coordination/placement/round.go
+++ b/internal/coordination/placement/round.go
@@ -52,9 +52,9 @@
 // preempts running attempts for tasks that do not fit.
 type Round[M comparable] struct {
 	config            RoundConfig[M]
-	availableMachines []M             // machines with free resources for the smallest task
-	unreserved        map[M]Resources // by machine with a preemption in this round: free resources that no task has reserved
-	placed            bool
+	availableMachines []M              // machines with free resources for the smallest task
+	unreserved        map[M]Resources  // by machine with a preemption in this round: free resources that no task has reserved
+	placed            bool             // a task of a job other than a gang was placed
 	unplaceable       []*storage.Job   // no machine can run these jobs, nor any job that dominates one of them
 	failedPreemptions []*Candidate     // no preemption was found for these jobs
 	scratch           []RunningAttempt // buffer for the attempts of one machine
@@ -213,7 +213,7 @@
 			return
 		}
 		if number == 0 {
-			number = r.config.Actions.NextAttemptNumber(machine) // shared by all tasks of the gang in a round, to identify each other
+			number = r.config.Actions.NextAttemptNumber(machine) // shared by the tasks that a round places for the gang, so that they recognize each other
 		}
 		r.config.Actions.Place(gang.Job, task, machine, number)
 		placed = append(placed, placedTask[M]{task, machine})
--- a/internal/coordination/placement/zone.go
+++ b/internal/coordination/placement/zone.go
@@ -10,15 +10,15 @@
 
 // zoneCapacity counts the tasks of a job that fit into a zone.
 type zoneCapacity struct {
-	withBooting int // on ready and booting machines
-	ready       int // on schedulable machines only
+	withBooting int // on schedulable and booting machines
+	schedulable int // on schedulable machines only
 }
 
 // chooseZone picks the zone for the first task of a one-zone job: a zone in which all
 // remaining tasks fit now, or else the zone with the most capacity including booting
 // machines. Without this choice, the first free machine in any zone would decide, and
-// machines created for the job in another zone would boot in vain. The result found is false
-// if no machine can run a task of the job.
+// machines created for the job in another zone would boot in vain. chooseZone returns
+// found = false if no machine can run a task of the job.
 func (r *Round[M]) chooseZone(pending *Candidate) (best int, found bool) {
 	capacities := map[int]zoneCapacity{}
 	waitingTime := time.Duration(r.config.Wall.UnixMilli()-pending.Job.ReadyAtMS()) * time.Millisecond
@@ -35,10 +35,10 @@
 		capacity, count := capacities[zone], r.config.Fleet.Free(machine).Count(pending.Job)
 		capacity.withBooting += count
 		if !booting {
-			capacity.ready += count
+			capacity.schedulable += count
 		}
 		capacities[zone] = capacity
-		if capacity.ready >= remaining {
+		if capacity.schedulable >= remaining {
 			return zone, true
 		}
 		if !found || capacity.withBooting > capacities[best].withBooting || capacity.withBooting == capacities[best].withBooting && zone < best {
--- a/internal/coordination/provisioning/adoption_test.go
+++ b/internal/coordination/provisioning/adoption_test.go
@@ -8,10 +8,10 @@
 	"rockrun/internal/protocol"
 )
 
-// TestLateCreateAnswerDoesNotDuplicateMachines guards against a machine being recorded in two groups. The
-// cloud answers a create request late, after a heartbeat has led to the adoption of one of the
-// machines. That machine stays in its first group, whether or not the view shows the group
-// yet; the other machines are recorded for the job shard that requested them.
+// TestLateCreateAnswerDoesNotDuplicateMachines guards against a machine being recorded in two
+// groups. The cloud answers a create request late, after a heartbeat has led to the adoption of
+// one of the machines. That machine stays in its first group, whether or not the view shows the
+// group yet; the other machines are recorded for the job shard that requested them.
 func TestLateCreateAnswerDoesNotDuplicateMachines(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/coordination/provisioning/claims.go
+++ b/internal/coordination/provisioning/claims.go
@@ -84,7 +84,7 @@
 }
 
 // fill assigns a demand to a claimed machine. A machine that pending replicas need becomes
-// urgent; on a machine that is kept for expected replicas, running tasks may finish.
+// urgent; on a machine that is reserved for expected replicas, running tasks may finish.
 func (r *claimRound) fill(supply *autoscaler.Supply, demand *autoscaler.Demand) {
 	before := demand.Count
 	r.planner.Fill(supply, demand)
--- a/internal/coordination/provisioning/claims_test.go
+++ b/internal/coordination/provisioning/claims_test.go
@@ -47,7 +47,8 @@
 	p.claims.update(p.fleet().Supplies(), f.unmet, func(autoscaler.Pool) bool { return true })
 }
 
-// TestClaimableMachines checks which machines of another job shard are claimed for a pending service.
+// TestClaimableMachines checks which machines of another job shard are claimed for a pending
+// service.
 func TestClaimableMachines(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -99,8 +100,8 @@
 	}
 }
 
-// TestClaimPersistsUntilMove checks that a claimed machine counts as supply in the next round, and that the
-// claim lasts until the machine has moved.
+// TestClaimPersistsUntilMove checks that a claimed machine counts as supply in the next round,
+// and that the claim lasts until the machine has moved.
 func TestClaimPersistsUntilMove(t *testing.T) {
 	f := newClaimFixture(t)
 	f.putGroup("c", storage.MachineEntry{Name: "m-2", Address: "w"})
@@ -156,10 +157,10 @@
 	}
 }
 
-// TestClaimedDrainEvictsForWaitingReplicas checks that the tasks of a draining claimed machine are evicted
-// once pending replicas need the machine. The change keeps the drain's stamp and is written
-// once.
-func TestClaimedDrainEvictsForWaitingReplicas(t *testing.T) {
+// TestClaimedDrainEvictsForPendingReplicas checks that the tasks of a draining claimed machine
+// are evicted once pending replicas need the machine. The change keeps the drain's stamp and is
+// written once.
+func TestClaimedDrainEvictsForPendingReplicas(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		entry storage.MachineEntry
@@ -179,8 +180,8 @@
 		unmet := autoscaler.Unmet{{Job: service, Shard: service.Shard, Count: 1, Spare: c.spare}}
 		claims.update(f.provisioner.fleet().Supplies(), unmet, func(autoscaler.Pool) bool { return true })
 		changes := f.provisioner.writer.changes["b"]
-		if hurried := len(changes) == 1 && changes[0].evict && changes[0].drainStamp == 7; hurried != c.want || len(changes) > 1 {
-			t.Errorf("%s: eviction added %t, want %t; changes %+v", c.name, hurried, c.want, changes)
+		if evicted := len(changes) == 1 && changes[0].evict && changes[0].drainStamp == 7; evicted != c.want || len(changes) > 1 {
+			t.Errorf("%s: eviction added %t, want %t; changes %+v", c.name, evicted, c.want, changes)
 		}
 	}
 }
--- a/internal/coordination/provisioning/cloud_list.go
+++ b/internal/coordination/provisioning/cloud_list.go
@@ -100,8 +100,9 @@
 }
 
 // findUnlisted notes recorded machines that are missing from a list that should contain them.
-// The cloud lists machines in the order of their creation and until they are gone, so a list
-// that contains a newer machine must also contain all older ones that still exist.
+// The cloud lists machines in the order of their creation and stops listing a machine only
+// when it is gone, so a list that contains a newer machine must also contain all older machines
+// that still exist. Machine names of equal length sort in the order of creation.
 func (l *cloudList) findUnlisted(list []protocol.CloudMachine, listed map[string]bool) {
 	clear(l.unlisted)
 	if len(list) == 0 {
--- a/internal/coordination/provisioning/fixture_test.go
+++ b/internal/coordination/provisioning/fixture_test.go
@@ -173,16 +173,16 @@
 	l.t.Helper()
 	limits := l.committer.Limits()
 	if largest := kv.LargestValue(t); largest > limits.ValueBytes || len(t.Operations) > limits.Operations || len(t.Preconditions) > limits.Preconditions {
-		l.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d conditions", limits, largest, len(t.Operations), len(t.Preconditions))
+		l.t.Errorf("transaction exceeds the limits %+v: largest value %d, %d operations, %d preconditions", limits, largest, len(t.Operations), len(t.Preconditions))
 	}
 }
 
 // lowerStoreLimits lowers the limits of the key-value store.
-func (l *testLeader) lowerStoreLimits(valueBytes, operations, conditions int) {
+func (l *testLeader) lowerStoreLimits(valueBytes, operations, preconditions int) {
 	limits := l.committer.Limits()
 	limits.ValueBytes = min(limits.ValueBytes, valueBytes)
 	limits.Operations = min(limits.Operations, operations)
-	limits.Preconditions = min(limits.Preconditions, conditions)
+	limits.Preconditions = min(limits.Preconditions, preconditions)
 	l.committer.SetLimits(limits)
 }
 
--- a/internal/coordination/provisioning/fleet_size_test.go
+++ b/internal/coordination/provisioning/fleet_size_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestListPause checks that lists of thousands of machines leave half of the allowed cloud
+// TestListInterval checks that lists of thousands of machines leave half of the allowed cloud
 // calls to creations and deletions, and that small fleets are listed at the minimum interval.
-func TestListPause(t *testing.T) {
+func TestListInterval(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		machines       int
--- a/internal/coordination/provisioning/group_values.go
+++ b/internal/coordination/provisioning/group_values.go
@@ -58,10 +58,10 @@
 // issued twice.
 func groupID(token uint64) string { return strconv.FormatUint(election.TokenSerial(token), 36) }
 
-// groupWrite holds the conditions and operations that write one group within a transaction.
+// groupWrite holds the preconditions and operations that write one group within a transaction.
 type groupWrite struct {
-	conditions []protocol.Precondition
-	operations []protocol.Operation
+	preconditions []protocol.Precondition
+	operations    []protocol.Operation
 }
 
 // prepareWrite returns the write of a group's new record. A record that no longer fits into a
@@ -79,17 +79,17 @@
 	}
 	for _, part := range parts[1:] {
 		key := storage.MachineGroupKey(groupID(w.Leadership.NextFencingToken()))
-		write.conditions = append(write.conditions, protocol.Precondition{Key: key})
+		write.preconditions = append(write.preconditions, protocol.Precondition{Key: key})
 		write.operations = append(write.operations, protocol.Operation{Put: key, Value: storage.Encode(part)})
 	}
-	write.conditions = append(write.conditions, protocol.Precondition{Key: storage.MachineGroupKey(id), Version: w.view().MachineGroups[id].Version})
+	write.preconditions = append(write.preconditions, protocol.Precondition{Key: storage.MachineGroupKey(id), Version: w.view().MachineGroups[id].Version})
 	write.operations = append(write.operations, w.writeOperation(id, parts[0]))
 	return write, true
 }
 
 // writeOperation returns the operation that writes a group, or deletes an empty group of an
 // earlier term. An empty group of the current term is retained: the transaction that created
-// it may have been sent twice, and the conditions of a delayed duplicate are only that the
+// it may have been sent twice, and the preconditions of a delayed duplicate are only that the
 // key does not exist and that the same leader is in office. If the group had been deleted,
 // the duplicate would recreate it with machines that have since moved to other groups.
 func (w *groupWriter) writeOperation(id string, record storage.MachineGroupRecord) protocol.Operation {
@@ -119,20 +119,20 @@
 // hasRoomFor reports whether a write still fits into the transaction. The first write always
 // fits.
 func (b *groupBatch) hasRoomFor(write groupWrite) bool {
-	const grantCondition = 1
+	const grantPreconditions = 1
 	if len(b.groups) == 0 {
 		return true
 	}
 	limits := b.writer.Committer.Limits()
 	return len(b.transaction.Operations)+len(write.operations) <= min(limits.Operations, maxGroupOperations) &&
-		len(b.transaction.Preconditions)+len(write.conditions)+grantCondition <= limits.Preconditions
+		len(b.transaction.Preconditions)+len(write.preconditions)+grantPreconditions <= limits.Preconditions
 }
 
 // add appends the write of a group to the transaction. If a change relies on the holder's
 // confirmation that a machine is empty, the transaction also depends on the holder's grant.
 func (b *groupBatch) add(id string, write groupWrite) {
 	b.groups = append(b.groups, id)
-	b.transaction.Preconditions = append(b.transaction.Preconditions, write.conditions...)
+	b.transaction.Preconditions = append(b.transaction.Preconditions, write.preconditions...)
 	b.transaction.Operations = append(b.transaction.Operations, write.operations...)
 	group, changes := b.writer.view().MachineGroups[id], b.writer.changes[id]
 	b.writer.logChanges(group, changes)
--- a/internal/coordination/provisioning/group_writer.go
+++ b/internal/coordination/provisioning/group_writer.go
@@ -191,7 +191,7 @@
 	return entry
 }
 
-// logChanges logs the phase changes of a group's machines.
+// logChanges logs the phase changes of a group's machines when their write is prepared.
 func (w *groupWriter) logChanges(group *storage.MachineGroup, changes []machineChange) {
 	for _, entry := range group.Machines {
 		if change := findChange(changes, entry.Name); change != nil && change.phase != "" {
--- a/internal/coordination/provisioning/loss_test.go
+++ b/internal/coordination/provisioning/loss_test.go
@@ -9,27 +9,28 @@
 	"rockrun/internal/storage"
 )
 
-// TestDeletedMachineRecordsAreRetained checks that the record of a deleted machine is retained while
-// delayed lists and duplicated heartbeats may still arrive: without it they would lead to a
-// new adoption of the machine.
+// TestDeletedMachineRecordsAreRetained checks that the record of a deleted machine is retained
+// while delayed lists and duplicated heartbeats may still arrive. Without the record, these
+// would lead to a new adoption of the machine.
 func TestDeletedMachineRecordsAreRetained(t *testing.T) {
 	l := newTestLeader(t)
 	list := l.provisioner.list
-	forgettable := func(ago time.Duration) map[string]bool {
+	expiredAfter := func(ago time.Duration) map[string]bool {
 		l.putGroup("b", storage.MachineEntry{Name: "m-1", Phase: storage.PhaseDeleted, DeletedAtMS: l.Wall().Add(-ago).UnixMilli()})
 		list.call.DelayUntil(0)
 		list.refresh(l.now)
 		return list.expiredRecords
 	}
-	if names := forgettable(5 * time.Minute); len(names) != 0 {
+	if names := expiredAfter(5 * time.Minute); len(names) != 0 {
 		t.Errorf("records expired after five minutes: %v, want none", names)
 	}
-	if names := forgettable(time.Hour); !names["m-1"] {
+	if names := expiredAfter(time.Hour); !names["m-1"] {
 		t.Error("record not expired after an hour")
 	}
 }
 
-// TestUnlistedMachines checks that a machine counts as unlisted only if the list contains a newer one.
+// TestUnlistedMachines checks that a machine counts as unlisted only if the list contains a
+// newer one.
 func TestUnlistedMachines(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -94,8 +95,8 @@
 			d.fleet.Now = l.Wall().Add(5 * minute)
 			d.workBlocked = true
 		}, "never came up"},
-		{"boot timed out", protocol.MachineStatus{Silent: 31 * time.Second}, true, func(l *testLeader, d *lossDetector) {
-			d.fleet.Now = l.Wall().Add(bootTimeout)
+		{"never seen for too long", protocol.MachineStatus{Silent: 31 * time.Second}, true, func(l *testLeader, d *lossDetector) {
+			d.fleet.Now = l.Wall().Add(maxUnseenAge)
 		}, "never came up"},
 	} {
 		l := newTestLeader(t)
--- a/internal/coordination/provisioning/machine_types.go
+++ b/internal/coordination/provisioning/machine_types.go
@@ -13,8 +13,8 @@
 const (
 	// typesInterval is the delay between a successful read of the machine types and the next.
 	typesInterval = 30 * time.Second
-	// typesRetryBackoff is the minimum delay before a failed read is retried.
-	typesRetryBackoff = time.Second
+	// typesRetryDelay is the minimum delay before a failed read is retried.
+	typesRetryDelay = time.Second
 )
 
 // machineTypes reads the cloud's machine types and records them for the other controllers.
@@ -42,7 +42,7 @@
 }
 
 func (t *machineTypes) onRead(catalogue protocol.MachineTypeCatalogue, err error) {
-	retryAt := t.now() + t.Generation.Jitter(typesRetryBackoff)
+	retryAt := t.now() + t.Generation.Jitter(typesRetryDelay)
 	if err != nil || len(catalogue.Types) == 0 {
 		t.read.FinishAndDelayUntil(retryAt)
 		t.Log.Debug("machine types read failed", "err", err)
--- a/internal/coordination/provisioning/moves.go
+++ b/internal/coordination/provisioning/moves.go
@@ -78,10 +78,10 @@
 	v.writer.logChanges(group, changes)
 	v.Log.Info("machines moved", "count", len(target.Machines), "from", group.Shard, "to", move.toShard, "term", v.Leadership.Term())
 	key := storage.MachineGroupKey(groupID(target.FencingToken))
-	conditions := []protocol.Precondition{v.Leadership.Precondition(), {Key: key}, v.view().GrantPrecondition(group.Shard)}
+	preconditions := []protocol.Precondition{v.Leadership.Precondition(), {Key: key}, v.view().GrantPrecondition(group.Shard)}
 	operations := []protocol.Operation{{Put: key, Value: storage.Encode(target)}}
 	v.writer.commit([]string{move.group}, protocol.Transaction{
-		Preconditions: append(conditions, sourceWrite.conditions...),
+		Preconditions: append(preconditions, sourceWrite.preconditions...),
 		Operations:    append(operations, sourceWrite.operations...),
 	})
 }
@@ -94,7 +94,7 @@
 		return
 	}
 	v.writer.commit([]string{id}, protocol.Transaction{
-		Preconditions: append(write.conditions, v.Leadership.Precondition()),
+		Preconditions: append(write.preconditions, v.Leadership.Precondition()),
 		Operations:    write.operations,
 	})
 }
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -171,9 +171,9 @@
 	return true
 }
 
-// assignShardFor returns the job shard to which a machine of another shard is to move, or -1: the
-// shard that has claimed the machine, or else one with unmet demand that the machine suits. In
-// the latter case the tasks that fit on the machine are subtracted from the unmet demand.
+// assignShardFor returns the job shard to which a machine of another shard is to move, or -1:
+// the shard that has claimed the machine, or else one with unmet demand that the machine suits.
+// In the latter case the tasks that fit on the machine are subtracted from the unmet demand.
 func (p *Provisioner) assignShardFor(m *storage.Machine) int {
 	if shard, claimed := p.claims.byMachine[m.Name]; claimed {
 		return shard
@@ -181,9 +181,9 @@
 	return p.cycle.unmet.AssignShardFor(m, p.view())
 }
 
-// urgency ranks a change by what its write blocks. The most urgent changes block replicas
-// that cannot start elsewhere or that wait for the machine, followed by changes of claimed
-// machines, changes that block other tasks, and changes that only affect cost.
+// urgency ranks a change by what waits for its write. The most urgent are changes that
+// replicas wait for, either to start elsewhere or to start on the machine. Then come changes of
+// claimed machines, changes that other tasks wait for, and changes that only affect cost.
 func (p *Provisioner) urgency(change machineChange) int {
 	const (
 		urgencyCostOnly = iota
--- a/internal/coordination/provisioning/scale_outs.go
+++ b/internal/coordination/provisioning/scale_outs.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// scaleOutRetryBackoff is the minimum delay before an unanswered request is retried.
-	scaleOutRetryBackoff = 500 * time.Millisecond
+	// scaleOutRetryDelay is the minimum delay before an unanswered request is retried.
+	scaleOutRetryDelay = 500 * time.Millisecond
 	// A pool without capacity gets no requests for a while. This backoff doubles with every
 	// refusal, between these bounds.
 	minRefusalBackoff = 5 * time.Second
@@ -89,7 +89,7 @@
 	case errors.Is(err, protocol.ErrOutcomeUnknown):
 		s.Log.Info("machine creation unanswered", "request", call.Request, "count", call.Count, "type", call.Type, "zone", call.Zone, "spot", call.Spot,
 			"shard", call.shard, "term", s.Leadership.Term(), "err", err)
-		call.DelayUntil(s.now() + s.Generation.Jitter(scaleOutRetryBackoff))
+		call.DelayUntil(s.now() + s.Generation.Jitter(scaleOutRetryDelay))
 	default:
 		s.Log.Debug("machine creation failed", "err", err)
 		s.remove(call)
