--- a/internal/coordination/provisioning/config.go
+++ b/internal/coordination/provisioning/config.go
@@ -46,7 +46,7 @@
 	MachineStatus(m *storage.Machine) (status protocol.MachineStatus, known bool)
 	// HeartbeatTolerance returns the longest silence expected of a healthy agent.
 	HeartbeatTolerance() time.Duration
-	// ForgetMachine discards the statuses that holders have sent for a machine.
+	// ForgetMachine discards the last seen status of a machine.
 	ForgetMachine(name string)
 }
 
