--- a/internal/coordination/placement/fleet_test.go
+++ b/internal/coordination/placement/fleet_test.go
@@ -102,7 +102,7 @@
 func (c *testCluster) BorrowsBeyond(*storage.Job) bool { return c.teamsBorrow }
 func (c *testCluster) OthersBorrow(*storage.Job) bool  { return c.teamsBorrow }
 
-func (c *testCluster) RunsBelow(rank int) bool {
+func (c *testCluster) AnyLowerPriority(rank int) bool {
 	for _, m := range c.machines {
 		if slices.ContainsFunc(m.running, func(r RunningAttempt) bool { return r.Job.Rank() > rank }) {
 			return true
--- a/internal/coordination/placement/preemption.go
+++ b/internal/coordination/placement/preemption.go
@@ -28,8 +28,8 @@
 	// OthersBorrow reports whether any team other than the job's uses more than its
 	// guaranteed quota in the job's shard.
 	OthersBorrow(j *storage.Job) bool
-	// RunsBelow reports whether any attempt has a lower priority than rank.
-	RunsBelow(rank int) bool
+	// AnyLowerPriority reports whether any attempt has a lower priority than rank.
+	AnyLowerPriority(rank int) bool
 }
 
 // mayPreempt reports whether victim may be stopped to free resources for a pending job.
@@ -59,7 +59,7 @@
 // preemptionPossible reports whether any attempt could be preempted for a job. This check
 // avoids a scan of all machines where preemption is ruled out.
 func preemptionPossible(pending *Candidate, teams Teams) bool {
-	return teams.RunsBelow(pending.Job.Rank()) || pending.WithinGuarantee && teams.OthersBorrow(pending.Job)
+	return teams.AnyLowerPriority(pending.Job.Rank()) || pending.WithinGuarantee && teams.OthersBorrow(pending.Job)
 }
 
 // preemptsNoMoreThan reports whether the pending job has no more options for preemption than
--- a/internal/coordination/provisioning/fixture_test.go
+++ b/internal/coordination/provisioning/fixture_test.go
@@ -103,7 +103,7 @@
 	generation := loop.NewGeneration(l, rand.New(rand.NewPCG(1, 2)))
 	l.replica = replica.New(replica.Config{
 		Generation: generation, Store: l, View: storage.NewView([]storage.Team{{Name: "red"}}, 2), Controller: "a", Incarnation: 3,
-		WatchPause: time.Second, Log: log, OnChange: func(bool) {},
+		MinWatchInterval: time.Second, Log: log, OnChange: func(bool) {},
 	})
 	l.replica.Start()
 	cluster := &config.Cluster{
