--- a/internal/coordination/membership/registry.go
+++ b/internal/coordination/membership/registry.go
@@ -233,8 +233,8 @@
 	return status, known
 }
 
-// ForgetMachine discards the last seen status of a machine.
-func (r *Registry) ForgetMachine(name string) { delete(r.lastSeenStatus, name) }
+// RemoveMachineStatus discards the last seen status of a machine.
+func (r *Registry) RemoveMachineStatus(name string) { delete(r.lastSeenStatus, name) }
 
 // HeartbeatTolerance returns the longest silence expected of a healthy, reachable agent, with a
 // small margin. A longer silence of a single agent may be due to a lost heartbeat; that of most
--- a/internal/coordination/placement/fleet_test.go
+++ b/internal/coordination/placement/fleet_test.go
@@ -63,7 +63,7 @@
 	return m.listedTask == protocol.TaskName(j.ID, task)
 }
 
-func (c *testCluster) Describe(m *testMachine, _ *storage.Job) MachineTraits {
+func (c *testCluster) Traits(m *testMachine, _ *storage.Job) MachineTraits {
 	traits := m.traits
 	traits.Type = &protocol.MachineType{CPUs: 8}
 	traits.UsedCPUs = 8 - m.free.CPUs
@@ -99,8 +99,8 @@
 	return !limited || c.State(j).Attempts < maximum
 }
 
-func (c *testCluster) BorrowsBeyond(*storage.Job) bool { return c.teamsBorrow }
-func (c *testCluster) OthersBorrow(*storage.Job) bool  { return c.teamsBorrow }
+func (c *testCluster) RetainsGuaranteeWithout(*storage.Job) bool { return c.teamsBorrow }
+func (c *testCluster) OthersBorrow(*storage.Job) bool            { return c.teamsBorrow }
 
 func (c *testCluster) AnyLowerPriority(rank int) bool {
 	for _, m := range c.machines {
--- a/internal/coordination/placement/machine.go
+++ b/internal/coordination/placement/machine.go
@@ -25,8 +25,8 @@
 	// ListsTask reports whether the machine's agent still lists an earlier attempt at the
 	// task. The agent would reject another attempt at it.
 	ListsTask(machine M, j *storage.Job, task int) bool
-	// Describe returns the properties by which the machine is scored for a task of the job.
-	Describe(machine M, j *storage.Job) MachineTraits
+	// Traits returns the properties by which the machine is scored for a task of the job.
+	Traits(machine M, j *storage.Job) MachineTraits
 	// ServiceCPUs returns the CPUs of all service replicas on all machines.
 	ServiceCPUs() float64
 	// AppendRunning appends the attempts that may be on the machine to list.
@@ -105,7 +105,7 @@
 		if !fleet.Free(machine).Fits(j) || !allowed(fleet, machine, j, attemptsByZone) || fleet.ListsTask(machine, j, task) || !fleet.Schedulable(machine) {
 			continue
 		}
-		traits := fleet.Describe(machine, j)
+		traits := fleet.Traits(machine, j)
 		if score := traits.Score(j, serviceCPUs); !found || score > bestScore {
 			best, bestScore, found = machine, score, true
 		}
--- a/internal/coordination/placement/preemption.go
+++ b/internal/coordination/placement/preemption.go
@@ -22,9 +22,9 @@
 
 // Teams describes the quota usage of teams to preemption.
 type Teams interface {
-	// BorrowsBeyond reports whether the job's team would still use at least its guaranteed
+	// RetainsGuaranteeWithout reports whether the job's team would still use at least its guaranteed
 	// quota if one task of the job stopped.
-	BorrowsBeyond(j *storage.Job) bool
+	RetainsGuaranteeWithout(j *storage.Job) bool
 	// OthersBorrow reports whether any team other than the job's uses more than its
 	// guaranteed quota in the job's shard.
 	OthersBorrow(j *storage.Job) bool
@@ -53,7 +53,7 @@
 	if victim.WithinGuarantee || victim.Starved || victim.Rank < pending.Rank {
 		return false
 	}
-	return teams.BorrowsBeyond(victim.Job)
+	return teams.RetainsGuaranteeWithout(victim.Job)
 }
 
 // preemptionPossible reports whether any attempt could be preempted for a job. This check
--- a/internal/coordination/provisioning/config.go
+++ b/internal/coordination/provisioning/config.go
@@ -46,8 +46,8 @@
 	MachineStatus(m *storage.Machine) (status protocol.MachineStatus, known bool)
 	// HeartbeatTolerance returns the longest silence expected of a healthy agent.
 	HeartbeatTolerance() time.Duration
-	// ForgetMachine discards the last seen status of a machine.
-	ForgetMachine(name string)
+	// RemoveMachineStatus discards the last seen status of a machine.
+	RemoveMachineStatus(name string)
 }
 
 // Config holds the dependencies and settings of a Provisioner.
--- a/internal/coordination/provisioning/fixture_test.go
+++ b/internal/coordination/provisioning/fixture_test.go
@@ -72,7 +72,7 @@
 func (l *testLeader) Term() uint64                                     { return testTerm }
 func (l *testLeader) Current() bool                                    { return !l.deposed }
 func (l *testLeader) HeartbeatTolerance() time.Duration                { return 6 * time.Second }
-func (l *testLeader) ForgetMachine(string)                             {}
+func (l *testLeader) RemoveMachineStatus(string)                       {}
 func (l *testLeader) MachineStatus(m *storage.Machine) (protocol.MachineStatus, bool) {
 	return l.statuses(m)
 }
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -127,7 +127,7 @@
 func (p *Provisioner) advance(machine *storage.Machine, losses *lossDetector, addresses *addressRecorder) {
 	switch machine.Phase {
 	case storage.PhaseDeleted:
-		p.Members.ForgetMachine(machine.Name)
+		p.Members.RemoveMachineStatus(machine.Name)
 		if p.list.expiredRecords[machine.Name] {
 			p.writer.add(machineChange{machine: machine, remove: true})
 		}
--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -93,8 +93,8 @@
 	return agent.unexpected.lists(job, task)
 }
 
-// Describe returns the properties of a machine that determine its score for a job.
-func (p *placer) Describe(agent *agent, job *storage.Job) placement.MachineTraits {
+// Traits returns the properties of a machine that determine its score for a job.
+func (p *placer) Traits(agent *agent, job *storage.Job) placement.MachineTraits {
 	return placement.MachineTraits{
 		Type:        &p.reconciler.View.MachineTypes[agent.machine.TypeIndex],
 		Spot:        agent.machine.Spot,
@@ -155,9 +155,9 @@
 // AnyLowerPriority reports whether any live attempt has a lower priority than rank.
 func (p *placer) AnyLowerPriority(rank int) bool { return p.reconciler.usage.anyLowerPriority(rank) }
 
-// BorrowsBeyond reports whether a job's team would still use at least its guarantee with
+// RetainsGuaranteeWithout reports whether a job's team would still use at least its guarantee with
 // one task of the job fewer.
-func (p *placer) BorrowsBeyond(job *storage.Job) bool {
+func (p *placer) RetainsGuaranteeWithout(job *storage.Job) bool {
 	return p.reconciler.usage.ofShard(job.Shard)[job.TeamIndex].CPUs-job.CPUs >= p.guaranteedCPUs(job.TeamIndex, job.Shard)
 }
 
