--- a/cmd/rockrun/main.go
+++ b/cmd/rockrun/main.go
@@ -83,11 +83,11 @@
 	}
 	log := newLogger()
 	limitRuntime(settings.Cluster.ProcessLimits.MemoryMB)
-	public, err := net.Listen("tcp4", settings.PublicAddr)
+	publicListener, err := net.Listen("tcp4", settings.PublicAddr)
 	if err != nil {
 		return fmt.Errorf("listen for users and agents: %w", err)
 	}
-	peers, err := net.Listen("tcp4", settings.PeerAddr)
+	peerListener, err := net.Listen("tcp4", settings.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("listen for controllers: %w", err)
 	}
@@ -95,8 +95,8 @@
 		log.Warn("limit likely to be too small", "field", w.Field, "why", w.Reason)
 	}
 	p := newProcess(settings, options, log)
-	p.start(peers)
-	return p.serveUntilStopped(public, peers)
+	p.start(peerListener)
+	return p.serveUntilStopped(publicListener, peerListener)
 }
 
 // limitRuntime limits Go's runtime to one processor and, if the settings have a memory limit,
--- a/cmd/rockrun/process.go
+++ b/cmd/rockrun/process.go
@@ -48,7 +48,7 @@
 	loop       *transport.Loop
 	controller *coordination.Controller
 	server     *transport.Server
-	peers      *transport.PeerServer
+	peerServer *transport.PeerServer
 }
 
 func newProcess(settings *config.Settings, options config.Options, log *slog.Logger) *process {
@@ -77,7 +77,7 @@
 		server: transport.NewServer(transport.ServerConfig{
 			Loop: loop, Controller: controller, Limiter: limiter, Metrics: metrics, MaxConnections: sockets.Public,
 		}),
-		peers: transport.NewPeerServer(transport.PeerServerConfig{
+		peerServer: transport.NewPeerServer(transport.PeerServerConfig{
 			MaxConnections: sockets.Peers, Loop: loop, Handle: controller.OnPeer, Log: log,
 		}),
 	}
@@ -125,19 +125,19 @@
 
 // start starts the event loop, the controller and the peer server. serveUntilStopped ends the
 // loop, and ends the peer server by closing its listener.
-func (p *process) start(peers net.Listener) {
+func (p *process) start(peerListener net.Listener) {
 	go p.loop.Run()
 	p.loop.Post(p.controller.Start)
-	go p.peers.Serve(peers)
+	go p.peerServer.Serve(peerListener)
 }
 
 // serveUntilStopped serves users and agents until the process receives SIGTERM or SIGINT, and
 // then shuts down gracefully. It returns early if the server fails.
-func (p *process) serveUntilStopped(public, peers net.Listener) error {
+func (p *process) serveUntilStopped(publicListener, peerListener net.Listener) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	served := make(chan error, 1)
-	go func() { served <- p.server.Serve(public) }()
+	go func() { served <- p.server.Serve(publicListener) }()
 	select {
 	case err := <-served:
 		return fmt.Errorf("serve users and agents: %w", err)
@@ -146,7 +146,7 @@
 	p.log.Info("shutdown started")
 	p.handOver()
 	err := p.server.Shutdown(shutdownStepTimeout)
-	if closeErr := peers.Close(); closeErr != nil && !errors.Is(closeErr, net.ErrClosed) {
+	if closeErr := peerListener.Close(); closeErr != nil && !errors.Is(closeErr, net.ErrClosed) {
 		p.log.Warn("peer listener close failed", "err", closeErr)
 	}
 	p.loop.Close()
--- a/internal/config/agents.go
+++ b/internal/config/agents.go
@@ -19,12 +19,13 @@
 func (a Agents) CancelTimeout() time.Duration { return Seconds(a.CancelSeconds) }
 
 // LeaseMargin is the maximum time that lease budgets reserve for answers in transit (an
-// agent drops answers after 4 s) and for slow processes.
+// agent discards answers after 4 s) and for slow processes.
 const LeaseMargin = 5 * time.Second
 
 // MaxStaleness returns the maximum staleness of a holder's view at which the holder still
 // renews agents' leases. If the view lacks a cancellation, the last lease that the holder
-// renews must still expire within CancelTimeout of that cancellation.
+// renews must still expire within CancelTimeout of that cancellation. A thousandth of the lease
+// is reserved for clock drift.
 func (a Agents) MaxStaleness() time.Duration {
 	spare := a.CancelTimeout() - a.Lease()
 	return min(spare-min(LeaseMargin, spare/4)-a.Lease()/1000, a.Lease())
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -14,12 +14,12 @@
 type Options struct {
 	CycleSeconds          float64 // interval between autoscaler cycles
 	ScaleOutWindowSeconds float64 // how long tasks must be blocked before the autoscaler scales out
-	ScaleInWindowSeconds  float64 // how long a machine with the cheapest CPUs must be idle before it drains; less for machines with dearer CPUs
+	ScaleInWindowSeconds  float64 // how long a machine with the cheapest CPUs must be idle before it drains; shorter for machines with more expensive CPUs
 	ScaleInBelow          float64 // booked share of a machine's CPUs below which the machine is idle
 	FleetMin              int     // minimum number of machines; scale-in does not go below it
 	FleetMax              int     // maximum number of machines
 	FleetExpected         int     // number of machines that operators expect at a time; used only by Warnings; 0: not given
-	ScaleOutWaitFactor    float64 // multiple of a new machine's boot time that arrays wait for existing machines
+	ScaleOutWaitFactor    float64 // arrays wait for existing machines for up to this multiple of a new machine's boot time
 	SpareReplicas         int     // replicas of each shape of running service for which spare capacity is reserved
 	ScaleOutCallsPerCycle int     // maximum number of create requests to the cloud per cycle; 0: see ScaleOutCalls
 	BootTimeoutFactor     float64 // multiple of a machine type's boot time after which a boot counts as failed
@@ -169,9 +169,9 @@
 }
 
 // SilenceTimeout returns how long a running machine may send no heartbeat before it is
-// replaced. The default is the agents' lease, but at most 30 s: by then the agent's lease has
-// ended its tasks, or a dead machine would begin to show in the cloud's list. Replacing a
-// machine sooner ends services that would have survived a short partition.
+// replaced. The default is the agents' lease, after which the agent has ended its tasks, but at
+// most 30 s, after which the cloud's list begins to show a dead machine. Replacing a machine
+// sooner ends services that would have survived a short partition.
 func (o Options) SilenceTimeout(agents Agents) time.Duration {
 	if o.SilenceSeconds > 0 {
 		return Seconds(o.SilenceSeconds)
--- a/internal/protocol/agent_client.go
+++ b/internal/protocol/agent_client.go
@@ -12,11 +12,11 @@
 }
 
 // Execute sends commands to the agent at an address, which executes them immediately and
-// answers with a heartbeat. If done is false and there is no error, the agent has rejected
+// answers with a heartbeat. If executed is false and there is no error, the agent has rejected
 // the commands because of their fencing token or epoch. Errors match ErrOutcomeUnknown,
 // ErrMalformed (the answer is not a heartbeat, so the outcome is unknown as well) or the kind
 // of a RefusedError.
-func (c *AgentClient) Execute(addr string, request CommandRequest) (heartbeat *AgentHeartbeat, done bool, err error) {
+func (c *AgentClient) Execute(addr string, request CommandRequest) (heartbeat *AgentHeartbeat, executed bool, err error) {
 	if request.Commands == nil {
 		request.Commands = []Command{}
 	}
--- a/internal/protocol/agent_test.go
+++ b/internal/protocol/agent_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// edgeCaseHeartbeats are bodies that are invalid in one way, or look invalid. The JSON package that
-// decodes heartbeats and answers is faster than the standard library and must not be less strict:
-// it must decode these bodies as the standard library does.
+// edgeCaseHeartbeats are bodies that are invalid in one way, or look invalid. The JSON package
+// that decodes heartbeats and answers is faster than the standard library and must not be less
+// strict: it must decode these bodies as the standard library does.
 var edgeCaseHeartbeats = []string{
 	``, ` `, `null`, `[]`, `{}`, `"x"`, `{`, `{"host":"m"`, `{"host":"m"}x`, `{"host":"m"} {}`, `{"host":"m",}`, `{'host':"m"}`,
 	`{"host":1}`, `{"host":null}`, `{"host":"m","host":"n"}`, `{"HOST":"m"}`, `{"host":"m" "tick":1}`, `{"host":"m","tick":-1}`,
@@ -20,8 +20,8 @@
 	"\ufeff{}", "{\"host\":\"m\"}\x00", `{"x":1}}`, `{"x"}`, `{:1}`, `{"a":1,,"b":2}`, `{"tick":1,"shift":2,"host":"m","more":{"deep":[[[[]]]]}}`,
 }
 
-// TestParseAgentHeartbeatMatchesStandardLibrary compares the decoding of each body with that of the
-// standard library.
+// TestParseAgentHeartbeatMatchesStandardLibrary compares the decoding of each body with that of
+// the standard library.
 func TestParseAgentHeartbeatMatchesStandardLibrary(t *testing.T) {
 	for _, body := range edgeCaseHeartbeats {
 		var want AgentHeartbeat
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -59,7 +59,7 @@
 	SaveSeconds       float64 `json:"stashS,omitempty"` // time to save a checkpoint when stopped
 	DeadlineSeconds   float64 `json:"dueS,omitempty"`   // after submission; 0: no deadline
 
-	// Dependencies are the ids of the jobs that must be done before any task of this job
+	// Dependencies are the IDs of the jobs that must be done before any task of this job
 	// starts, without duplicates.
 	Dependencies []string `json:"waitsOn,omitempty"`
 }
@@ -94,13 +94,13 @@
 	Error string `json:"error"`
 }
 
-// A job id is jobIDPrefix followed by 1 to maxJobIDDigits digits.
+// A job ID is jobIDPrefix followed by 1 to maxJobIDDigits digits.
 const (
 	jobIDPrefix    = "run-"
 	maxJobIDDigits = 18
 )
 
-// ValidJobID reports whether id has the form of a job id: "run-" and 1 to 18 digits. It is on
+// ValidJobID reports whether id has the form of a job ID: "run-" and 1 to 18 digits. It is on
 // a hot path: it is called for every task in every heartbeat and record.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobIDPrefix)
@@ -115,10 +115,10 @@
 	return true
 }
 
-// TaskName returns the name of a task: the job id and the task number.
+// TaskName returns the name of a task: the job ID and the task number.
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// ParseTaskName splits the name of a task into job id and task number. Its error is a
+// ParseTaskName splits the name of a task into job ID and task number. Its error is a
 // *TaskNameError.
 func ParseTaskName(name string) (job string, task int, err error) {
 	job, number, ok := strings.Cut(name, "/")
--- a/internal/protocol/job_test.go
+++ b/internal/protocol/job_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestValidJobID checks which job ids are valid.
+// TestValidJobID checks which job IDs are valid.
 func TestValidJobID(t *testing.T) {
 	for id, want := range map[string]bool{
 		"run-0": true, "run-000412": true, "run-123456789012345678": true, "run-1234567890123456789": false,
--- a/internal/protocol/kv.go
+++ b/internal/protocol/kv.go
@@ -17,8 +17,8 @@
 	Revision uint64     `json:"epoch"` // at which the page was read
 }
 
-// Precondition is a precondition of a transaction: the key has the version, or does not exist if
-// the version is 0.
+// Precondition is a precondition of a transaction: the key has the version, or does not exist
+// if the version is 0.
 type Precondition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -6,7 +6,7 @@
 // as a further field.
 type PeerRequest struct {
 	Heartbeat *PeerHeartbeat
-	// Cancelled are the ids of jobs whose cancellation the sender has confirmed to users.
+	// Cancelled are the IDs of jobs whose cancellation the sender has confirmed to users.
 	// The receiver stops their tasks immediately, whichever shards it currently holds.
 	Cancelled []string
 }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -40,7 +40,7 @@
 	return spec, nil
 }
 
-// validate checks the enumerated values, the job id and the combination of fields.
+// validate checks the enumerated values, the job ID and the combination of fields.
 func (s *JobSpec) validate() error {
 	switch {
 	case !ValidJobID(s.ID):
--- a/internal/protocol/submission_fields.go
+++ b/internal/protocol/submission_fields.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// invalidJobIDProblem is the error text for a job id that ValidJobID rejects.
+// invalidJobIDProblem is the error text for a job ID that ValidJobID rejects.
 const invalidJobIDProblem = "not of the form run-000412"
 
 // fieldReader validates and copies the fields of a submission, and records the first error. A
@@ -81,7 +81,7 @@
 	}
 }
 
-// jobIDs reads a list of job ids and removes duplicates.
+// jobIDs reads a list of job IDs and removes duplicates.
 func (r *fieldReader) jobIDs(field string, given []string) []string {
 	var ids []string
 	seen := make(map[string]bool, len(given))
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -133,7 +133,7 @@
 		}
 		for i, id := range spec.Dependencies {
 			if !ValidJobID(id) || slices.Contains(spec.Dependencies[:i], id) {
-				t.Fatalf("invalid or duplicate id in dependencies %q", spec.Dependencies)
+				t.Fatalf("invalid or duplicate ID in dependencies %q", spec.Dependencies)
 			}
 		}
 		record, err := json.Marshal(spec)
--- a/internal/storage/apply_test.go
+++ b/internal/storage/apply_test.go
@@ -32,7 +32,7 @@
 		t.Errorf("completed tasks: %d", j.CompletedCount)
 	}
 	if j.OpenTasks() != 3 { // tasks 0 and 3 are completed, an intent names task 1
-		t.Errorf("%d tasks are open", j.OpenTasks())
+		t.Errorf("%d tasks are unplaced", j.OpenTasks())
 	}
 	if v.HasStaleCompletions(PageID{}) {
 		t.Error("completion page is reported as stale")
@@ -149,8 +149,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := newTestView(t, 2).Apply(c.key, c.value, 1)
-			var unreadable *RecordError
-			if !errors.As(err, &unreadable) || unreadable.Key != c.key || !strings.Contains(err.Error(), c.key) {
+			var recordErr *RecordError
+			if !errors.As(err, &recordErr) || recordErr.Key != c.key || !strings.Contains(err.Error(), c.key) {
 				t.Fatalf("error %v does not name the record", err)
 			}
 			var malformed *MalformedError
--- a/internal/storage/catalogue.go
+++ b/internal/storage/catalogue.go
@@ -18,8 +18,8 @@
 	ZoneNames           Names
 }
 
-// MachineTypeIndex returns the index of a machine type. It adds the name if it is new, even if
-// the cloud does not offer such a type.
+// MachineTypeIndex returns the index of a machine type. It adds the name if it is new, even
+// if the cloud does not offer such a type.
 func (c *Catalogue) MachineTypeIndex(name string) int {
 	index := c.MachineTypeNames.Index(name)
 	for len(c.MachineTypes) <= index {
--- a/internal/storage/dependencies_test.go
+++ b/internal/storage/dependencies_test.go
@@ -67,7 +67,7 @@
 			v.applyFinal("run-1", cancelled, 0)
 			v.removeJobRecord("run-2")
 			v.addJob("run-9", "run-2")
-		}, "awaits dependencies"}, // run-2 had no dependents and was forgotten, so its final record must be read
+		}, "awaits dependencies"}, // the row of run-2, which had no dependents, was deleted, so its final record must be read
 		{"records read in key order", func(v *testView) {
 			v.addJob("run-9", "run-95")
 			v.addJob("run-95", "run-96")
@@ -153,7 +153,7 @@
 	if got := jobIDs(v.UnreadOutcomes()); len(got) > 0 {
 		t.Errorf("unread after the end of all dependents: %v", got)
 	}
-	v.Jobs.All(func(_ int, j *Job) { t.Errorf("row of %s not dropped", j.ID) })
+	v.Jobs.All(func(_ int, j *Job) { t.Errorf("row of %s not deleted", j.ID) })
 }
 
 // TestCancelledDependentEnds: the record of a job that was cancelled with a dependency is
--- a/internal/storage/intents.go
+++ b/internal/storage/intents.go
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// addIntent adds a page entry to the job and the machine. A page that only loses entries can
-// name an attempt long after the attempt has ended, and can be read after the page that
+// addIntent adds a page entry to the job and the machine. A page that receives no new entries
+// can name an attempt long after the attempt has ended, and can be read after the page that
 // names the next attempt of the same task on the same machine. Attempt numbers increase, so
 // the attempt with the highest number is the one that may be running. If a lower number
 // replaced it, the task would be started a second time.
--- a/internal/storage/intents_test.go
+++ b/internal/storage/intents_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestIntentMovesToAnotherPage: an attempt that moves to another page is never missing. The rows
-// of its machine and its job are dropped with the last entry.
+// of its machine and its job are deleted with the last entry.
 func TestIntentMovesToAnotherPage(t *testing.T) {
 	v := newTestView(t, 1)
 	from, to := PageID{Page: 1}, PageID{Page: 2}
@@ -54,10 +54,10 @@
 	}
 	v.remove(IntentPageKey(to))
 	if id, _ := v.Machines.Find("m-1"); id >= 0 {
-		t.Error("row of the machine not dropped")
+		t.Error("row of the machine not deleted")
 	}
 	if id, _ := v.Jobs.Find("run-1"); id >= 0 {
-		t.Error("row of the job not dropped")
+		t.Error("row of the job not deleted")
 	}
 }
 
--- a/internal/storage/job.go
+++ b/internal/storage/job.go
@@ -95,8 +95,8 @@
 	v.DeleteJobIfUnreferenced(j)
 }
 
-// DeleteJobIfUnreferenced deletes the row of a job that has ended if no record, attempt or dependent
-// refers to the job any more. Callers that decrement Job.References must call it.
+// DeleteJobIfUnreferenced deletes the row of a job that has ended if no record, attempt or
+// dependent refers to the job any more. Callers that decrement Job.References must call it.
 func (v *View) DeleteJobIfUnreferenced(j *Job) {
 	if j.Ended() && len(j.IntentCounts) == 0 && j.References == 0 && !j.HasDependents() {
 		v.Jobs.Delete(j.ID)
--- a/internal/storage/job_test.go
+++ b/internal/storage/job_test.go
@@ -52,14 +52,14 @@
 	}
 }
 
-// TestTaskProgress: tasks are counted as open, running or completed, in whatever order
-// their intents and completions are added and removed.
+// TestTaskProgress: tasks are counted as unplaced, running or completed, in any order in
+// which their intents and completions are added and removed.
 func TestTaskProgress(t *testing.T) {
 	j := &Job{JobSpec: spec("run-1", 4), TaskProgress: newTaskProgress()}
-	check := func(step string, open, running, completed int) {
+	check := func(step string, unplaced, running, completed int) {
 		t.Helper()
-		if j.OpenTasks() != open || j.RunningTasks() != running || j.CompletedCount != completed {
-			t.Errorf("%s: %d open, %d running, %d completed", step, j.OpenTasks(), j.RunningTasks(), j.CompletedCount)
+		if j.OpenTasks() != unplaced || j.RunningTasks() != running || j.CompletedCount != completed {
+			t.Errorf("%s: %d unplaced, %d running, %d completed", step, j.OpenTasks(), j.RunningTasks(), j.CompletedCount)
 		}
 	}
 	check("new job", 4, 0, 0)
--- a/internal/storage/machine.go
+++ b/internal/storage/machine.go
@@ -51,7 +51,8 @@
 	return m
 }
 
-// deleteMachineIfUnreferenced deletes the row of a machine if no group or intent names the machine.
+// deleteMachineIfUnreferenced deletes the row of a machine if no group or intent names the
+// machine.
 func (v *View) deleteMachineIfUnreferenced(m *Machine) {
 	if m.Group == "" && len(m.Intents) == 0 {
 		v.Machines.Delete(m.Name)
@@ -105,8 +106,9 @@
 	row.TypeIndex, row.ZoneIndex = v.MachineTypeIndex(group.Type), v.ZoneNames.Index(group.Zone)
 }
 
-// removeMissingMachines marks machines that only the old record of a group names as deleted
-// and removes them from the group. Machines that another group has named since are skipped.
+// removeMissingMachines removes from a group the machines that its old record names and its
+// new record does not, and marks them as deleted. It skips machines that another group has
+// named since.
 func (v *View) removeMissingMachines(groupID string, old, group *MachineGroup) {
 	for i := range old.Machines {
 		name := old.Machines[i].Name
--- a/internal/storage/shards_test.go
+++ b/internal/storage/shards_test.go
@@ -6,9 +6,9 @@
 	"rockrun/internal/protocol"
 )
 
-// TestGrantCondition: the precondition holds the version of the grant last read, or 0 if
+// TestGrantPrecondition: the precondition holds the version of the grant last read, or 0 if
 // the shard was never granted.
-func TestGrantCondition(t *testing.T) {
+func TestGrantPrecondition(t *testing.T) {
 	v := newTestView(t, 2)
 	v.put(GrantKey(1), GrantRecord{Controller: "a"})
 	for shard, version := range []uint64{0, v.version} {
--- a/internal/storage/view.go
+++ b/internal/storage/view.go
@@ -1,10 +1,10 @@
 package storage
 
 // View is the replicated records as this controller has read them. Apply and Remove
-// change it as the store reports changes. MarkCancelled and SetOutcome add information that
-// arrives ahead of those changes. All other code only reads the view, with two exceptions:
-// the owner of an attempt counts it in Job.References and calls DeleteJobIfUnreferenced after removing it,
-// and any caller may add a name to a Names table.
+// change it as the store reports changes. MarkCancelled and SetOutcome add cancellations and
+// outcomes that the controller learns in other ways. All other code only reads the view, with
+// two exceptions: the owner of an attempt counts it in Job.References and calls
+// DeleteJobIfUnreferenced after removing it, and any caller may add a name to a Names table.
 //
 // The parts of the view are embedded by concern: view.Leader is a field of Leadership.
 type View struct {
--- a/internal/transport/async_test.go
+++ b/internal/transport/async_test.go
@@ -15,9 +15,9 @@
 	proceed := make(chan struct{})
 	results := make(chan int, 1)
 	startCall(pool, func() (int, error) { <-proceed; return 7, nil }, func(result int, _ error) { results <- result })
-	refused := make(chan error, 1)
-	startCallWithoutResult(pool, func() error { t.Error("a call beyond the pool size was made"); return nil }, func(err error) { refused <- err })
-	if err := <-refused; !errors.Is(err, protocol.ErrNotExecuted) {
+	rejected := make(chan error, 1)
+	startCallWithoutResult(pool, func() error { t.Error("a call beyond the pool size was made"); return nil }, func(err error) { rejected <- err })
+	if err := <-rejected; !errors.Is(err, protocol.ErrNotExecuted) {
 		t.Errorf("call beyond the pool size: error %v, want %v", err, protocol.ErrNotExecuted)
 	}
 	close(proceed)
--- a/internal/transport/backend.go
+++ b/internal/transport/backend.go
@@ -6,8 +6,8 @@
 	"rockrun/internal/protocol"
 )
 
-// maxCommandsInFlight limits the concurrent commands to agents. Half of the agent sockets is
-// the limit where that is lower.
+// maxCommandsInFlight limits the concurrent commands to agents. If half of the agent sockets
+// is less, that is the limit.
 const maxCommandsInFlight = 128
 
 // BackendConfig holds the dependencies of a Backend.
@@ -21,8 +21,8 @@
 }
 
 // Backend wraps the blocking clients in asynchronous calls that return at once and deliver
-// their results on the loop. They implement the interfaces that the components of a
-// controller define.
+// their results on the loop. Each field implements an interface that a component of the
+// controller defines.
 type Backend struct {
 	KVStore *AsyncKVStore
 	Cloud   *AsyncCloud
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -73,6 +73,6 @@
 		}
 	}
 	if open := client.OpenCount(); open < limit/2 {
-		t.Errorf("only %d connections were kept open", open)
+		t.Errorf("only %d connections stayed open", open)
 	}
 }
--- a/internal/transport/granting_cluster_test.go
+++ b/internal/transport/granting_cluster_test.go
@@ -100,8 +100,8 @@
 func (g *grantingCluster) Execute(string, protocol.CommandRequest, func(*protocol.AgentHeartbeat, bool, error)) {
 }
 
-// SendRequest implements membership.Peers. On the first heartbeat it makes the grant, which must contain
-// the incarnation in that heartbeat.
+// SendRequest implements membership.Peers. On the first heartbeat it makes the grant, which must
+// contain the incarnation in that heartbeat.
 func (g *grantingCluster) SendRequest(_ string, request protocol.PeerRequest, done func(protocol.PeerAnswer, error)) {
 	if request.Heartbeat == nil {
 		return
--- a/internal/transport/limiter.go
+++ b/internal/transport/limiter.go
@@ -43,7 +43,8 @@
 }
 
 // acquire admits or rejects a request without waiting. The caller of an admitted request calls
-// release when the request is finished, which records its duration.
+// release when the request is finished, which records its duration. The duration of a
+// cancellation that is admitted above the limit is not recorded.
 func (l *Limiter) acquire(class requestClass) (release func(), admitted bool) {
 	if class == classStatus && l.adaptive.Inflight() >= l.statusLimit() {
 		return nil, false
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// Close ends Run. Functions that are queued or posted later are discarded.
+// Close ends Run. Functions that are still queued and functions that are posted later are
+// discarded.
 func (l *Loop) Close() {
 	if l.closed.CompareAndSwap(false, true) {
 		close(l.done)
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -79,8 +79,8 @@
 		func() float64 { return float64(connections.OpenCount()) })
 }
 
-// RegisterLimits exports the resource limits of the process from the settings, for comparison with its
-// usage. A value of 0 means that the limit is not set.
+// RegisterLimits exports the resource limits of the process from the settings, for comparison
+// with its usage. A value of 0 means that the limit is not set.
 func (m *Metrics) RegisterLimits(cores, memoryMB float64) {
 	for name, value := range map[string]float64{"cores": cores, "memory_bytes": memoryMB * (1 << 20)} {
 		m.registerGauge("rockrun_limit_"+name, "What the settings allow the process; 0: not said.", nil,
@@ -88,8 +88,8 @@
 	}
 }
 
-// RegisterController exports a controller's counters and gauges. It calls stats from other goroutines
-// than the loop.
+// RegisterController exports a controller's counters and gauges. It calls stats from other
+// goroutines than the loop.
 func (m *Metrics) RegisterController(stats func() coordination.Stats) {
 	registerCounter := func(name, help string, count func(coordination.Stats) uint64) {
 		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help},
--- a/internal/transport/peer_server.go
+++ b/internal/transport/peer_server.go
@@ -21,7 +21,7 @@
 	// maxPeerMessageBytes limits the size of a message, so that invalid input cannot exhaust
 	// memory.
 	maxPeerMessageBytes = 4 << 20
-	// acceptRetryDelay is the pause after a failed accept. It prevents a busy loop while the
+	// acceptRetryDelay is the delay after a failed accept. It prevents a busy loop while the
 	// listener keeps failing.
 	acceptRetryDelay = 50 * time.Millisecond
 )
--- a/internal/transport/sockets.go
+++ b/internal/transport/sockets.go
@@ -44,9 +44,10 @@
 // errTooManyConnections means that a connection was not opened because of the connection limit.
 var errTooManyConnections = errors.New("too many connections open")
 
-// keepAliveAllowed reports whether connections may stay open between requests, which is up to
-// three quarters of the limit. Above that, each connection is closed after its answer. A new
-// handshake costs more than an idle connection, but only while sockets are left.
+// keepAliveAllowed reports whether connections may stay open between requests, which they may
+// while at most three quarters of the limit are open. Above that, each connection is closed
+// after its answer. A new handshake costs more than an idle connection, as long as idle
+// connections do not use up the sockets.
 func keepAliveAllowed(open, limit int) bool { return open <= limit*3/4 }
 
 // connectionGauge counts the open connections of one kind. It is safe for concurrent use.
