--- a/cmd/rockrun/process.go
+++ b/cmd/rockrun/process.go
@@ -78,7 +78,7 @@
 			Loop: loop, Controller: controller, Limiter: limiter, Metrics: metrics, MaxConnections: sockets.Public,
 		}),
 		peerServer: transport.NewPeerServer(transport.PeerServerConfig{
-			MaxConnections: sockets.Peers, Loop: loop, Handle: controller.OnPeer, Log: log,
+			MaxConnections: sockets.Peers, Loop: loop, Handle: controller.OnPeerRequest, Log: log,
 		}),
 	}
 }
