--- a/internal/coordination/autoscaler/pending.go
+++ b/internal/coordination/autoscaler/pending.go
@@ -36,7 +36,7 @@
 			return
 		}
 		used[j.TeamIndex].Add(j, float64(len(j.IntentCounts)))
-		if j.Runnable() && j.Shard >= 0 && j.OpenTasks() > 0 {
+		if j.Runnable() && j.Shard >= 0 && j.UnplacedTasks() > 0 {
 			progress := placement.Progress{Remaining: j.Tasks - j.CompletedCount, Begun: j.RunningTasks() > 0 || j.CompletedCount > 0}
 			jobs = append(jobs, placement.NewCandidate(j, f.View.EffectiveRank(j), progress, f.Objectives, f.Now))
 		}
@@ -73,7 +73,7 @@
 // tasksWithinMaximum returns how many of a job's open tasks the team's maximum allows to
 // start in addition to the team's usage, and adds these tasks to the usage.
 func tasksWithinMaximum(j *storage.Job, team *storage.Team, used *quota.Usage) int {
-	count := j.OpenTasks()
+	count := j.UnplacedTasks()
 	for _, amount := range []struct{ used, perTask, maximum float64 }{{used.CPUs, j.CPUs, team.MaxCPUs}, {used.GPUs, j.GPUs, team.MaxGPUs}} {
 		if amount.maximum > 0 && amount.perTask > 0 {
 			count = min(count, int((amount.maximum-amount.used)/amount.perTask+storage.RoundingTolerance))
--- a/internal/coordination/operator_status.go
+++ b/internal/coordination/operator_status.go
@@ -43,7 +43,7 @@
 			status.Waiting++
 		default:
 			status.Jobs++
-			status.Blocked += j.OpenTasks()
+			status.Blocked += j.UnplacedTasks()
 		}
 	})
 	if c.leader == nil {
--- a/internal/coordination/provisioning/fixture_test.go
+++ b/internal/coordination/provisioning/fixture_test.go
@@ -161,7 +161,7 @@
 		l.revision++
 		var events []protocol.Event
 		for _, op := range t.Operations {
-			events = append(events, protocol.Event{Put: op.Put, Value: op.Value, Remove: op.Delete, Version: l.revision})
+			events = append(events, protocol.Event{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: l.revision})
 		}
 		l.replica.Apply(protocol.Changes{Revision: l.revision, Events: events}, l.now)
 		callbacks[i](l.revision, nil)
--- a/internal/coordination/quota/splitter.go
+++ b/internal/coordination/quota/splitter.go
@@ -145,7 +145,7 @@
 		}
 		used[job.TeamIndex][job.Shard].Add(job, float64(job.RunningTasks()))
 		if job.Runnable() {
-			pending[job.TeamIndex][job.Shard].Add(job, float64(job.OpenTasks()))
+			pending[job.TeamIndex][job.Shard].Add(job, float64(job.UnplacedTasks()))
 		}
 	})
 	return used, pending
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -195,7 +195,7 @@
 		if event.Put != "" {
 			r.applyRecord(event.Put, event.Value, event.Version)
 		} else {
-			r.View.Remove(event.Remove, event.Version)
+			r.View.Remove(event.Delete, event.Version)
 		}
 	}
 	r.revision = max(r.revision, changes.Revision)
--- a/internal/coordination/replica/replica_test.go
+++ b/internal/coordination/replica/replica_test.go
@@ -76,7 +76,7 @@
 	} {
 		first := r.Revision() + revision
 		put := protocol.Event{Put: c.key, Value: c.value, Version: first}
-		removed := protocol.Event{Remove: c.key, Version: first + 1}
+		removed := protocol.Event{Delete: c.key, Version: first + 1}
 		r.Apply(protocol.Changes{Revision: first + 1, Events: []protocol.Event{put, removed}}, time.Minute)
 		r.Apply(protocol.Changes{Revision: first, Events: []protocol.Event{put}}, time.Minute)
 		if c.exists() {
--- a/internal/protocol/kv.go
+++ b/internal/protocol/kv.go
@@ -42,7 +42,7 @@
 // Event is a change to a key: a put or a deletion.
 type Event struct {
 	Put     string          `json:"put,omitempty"`
-	Remove  string          `json:"remove,omitempty"`
+	Delete  string          `json:"remove,omitempty"`
 	Value   json.RawMessage `json:"data,omitempty"`
 	Version uint64          `json:"stamp"`
 }
--- a/internal/storage/apply_test.go
+++ b/internal/storage/apply_test.go
@@ -31,8 +31,8 @@
 	if j.CompletedCount != 2 || !j.Completed.Has(3) {
 		t.Errorf("completed tasks: %d", j.CompletedCount)
 	}
-	if j.OpenTasks() != 3 { // tasks 0 and 3 are completed, an intent names task 1
-		t.Errorf("%d tasks are unplaced", j.OpenTasks())
+	if j.UnplacedTasks() != 3 { // tasks 0 and 3 are completed, an intent names task 1
+		t.Errorf("%d tasks are unplaced", j.UnplacedTasks())
 	}
 	if v.HasStaleCompletions(PageID{}) {
 		t.Error("completion page is reported as stale")
--- a/internal/storage/job.go
+++ b/internal/storage/job.go
@@ -40,8 +40,8 @@
 // quota, scheduling order and demand.
 func (j *Job) Runnable() bool { return j.Active() && !j.AwaitsDependencies() }
 
-// OpenTasks returns the number of tasks that are neither completed nor named by an intent.
-func (j *Job) OpenTasks() int { return max(j.Tasks-j.CompletedCount-j.runningTasks, 0) }
+// UnplacedTasks returns the number of tasks that are neither completed nor named by an intent.
+func (j *Job) UnplacedTasks() int { return max(j.Tasks-j.CompletedCount-j.runningTasks, 0) }
 
 // IsService reports whether the job's tasks run until it is cancelled.
 func (j *Job) IsService() bool { return j.Kind == protocol.KindService }
--- a/internal/storage/job_test.go
+++ b/internal/storage/job_test.go
@@ -58,8 +58,8 @@
 	j := &Job{JobSpec: spec("run-1", 4), TaskProgress: newTaskProgress()}
 	check := func(step string, unplaced, running, completed int) {
 		t.Helper()
-		if j.OpenTasks() != unplaced || j.RunningTasks() != running || j.CompletedCount != completed {
-			t.Errorf("%s: %d unplaced, %d running, %d completed", step, j.OpenTasks(), j.RunningTasks(), j.CompletedCount)
+		if j.UnplacedTasks() != unplaced || j.RunningTasks() != running || j.CompletedCount != completed {
+			t.Errorf("%s: %d unplaced, %d running, %d completed", step, j.UnplacedTasks(), j.RunningTasks(), j.CompletedCount)
 		}
 	}
 	check("new job", 4, 0, 0)
