--- a/internal/compatibility/versions_test.go
+++ b/internal/compatibility/versions_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestVersionsReadEachOthersData guards against an upgrade in which one version misreads records
-// or messages of the other, for example because a renamed field is left empty. For the data that
-// either version writes, both versions must decode the same.
+// or messages of the other, for example because a renamed field is left empty. Both versions must
+// decode the data that either version writes to the same values.
 func TestVersionsReadEachOthersData(t *testing.T) {
 	r := buildReaders(t)
 	t.Run("written by production", func(t *testing.T) { r.requireSameOutput(t, "testdata/production") })
--- a/internal/scenario/actions_controllers.go
+++ b/internal/scenario/actions_controllers.go
@@ -77,7 +77,7 @@
 	return func() {
 		sim.faults.record("upgrade", down)
 		h.crash()
-		h.ignoresAnnouncedLimits = false
+		h.unawareOfAnnouncedLimits = false
 		sim.after(down, h.startIfDown)
 	}
 }
--- a/internal/scenario/actions_users.go
+++ b/internal/scenario/actions_users.go
@@ -20,7 +20,8 @@
 	whenEnded    = "over"     // once the outcomes of its dependencies are known
 )
 
-// actSubmit: "submit run-1 when=accepted" and the arguments of parseJob submits a job.
+// actSubmit: "submit run-1 when=accepted" submits a job. The other arguments are those of
+// parseJob.
 func actSubmit(sim *simulation, line *statement) func() {
 	job := parseJob(line)
 	switch when := line.text("when", whenNow); when {
--- a/internal/scenario/agent_heartbeat.go
+++ b/internal/scenario/agent_heartbeat.go
@@ -56,12 +56,12 @@
 		return
 	}
 	a.inFlight, a.heartbeatRequested, a.lastHeartbeat = true, false, a.sim.now
-	call := &heartbeatExchange{agent: a, sentAt: a.sim.now, epoch: a.epoch}
+	exchange := &heartbeatExchange{agent: a, sentAt: a.sim.now, epoch: a.epoch}
 	heartbeat := a.heartbeat()
 	receiver := a.sim.hosts[a.controller]
-	a.sim.after(answerTimeout, call.handleFailure)
+	a.sim.after(answerTimeout, exchange.handleFailure)
 	if receiver.process == nil {
-		a.sim.after(a.sim.latency(), call.handleFailure)
+		a.sim.after(a.sim.latency(), exchange.handleFailure)
 		return
 	}
 	if a.outboundPartition {
@@ -69,7 +69,7 @@
 	}
 	a.sim.injectHeartbeatCopies(heartbeat)
 	process := receiver.process
-	deliver := func() { call.deliver(process, heartbeat) }
+	deliver := func() { exchange.deliver(process, heartbeat) }
 	if a.partitioned {
 		a.queuedMessages = append(a.queuedMessages, deliver)
 		return
@@ -77,7 +77,7 @@
 	a.sim.after(a.sim.latency(), deliver)
 }
 
-// heartbeatExchange is a heartbeat that waits for its answer.
+// heartbeatExchange is a heartbeat and its pending answer.
 type heartbeatExchange struct {
 	agent    *fakeAgent
 	sentAt   time.Duration
--- a/internal/scenario/agent_link.go
+++ b/internal/scenario/agent_link.go
@@ -14,8 +14,8 @@
 	delayedShare       float64       // executed late and never answered
 	minDelay, maxDelay time.Duration // bounds of the delay of delayedShare
 
-	latencyShare float64 // delayed on the way to the agent, or in their answer
-	maxLatency   time.Duration
+	latencyShare float64       // delayed on the way to the agent or on the way back
+	maxLatency   time.Duration // bound of the delay of latencyShare
 }
 
 const (
--- a/internal/scenario/checker.go
+++ b/internal/scenario/checker.go
@@ -17,8 +17,8 @@
 	runningOn               map[string][]*fakeAgent // agents that run a task, by task name
 	completedTasks          map[string]bool
 	starts                  int
-	startsAfterCancellation int           // of jobs whose cancellation was confirmed, within the cancel timeout or after it
-	livenessStart           time.Duration // when checkLiveness was called, once all faults were over; 0: not yet
+	startsAfterCancellation int           // starts after a confirmed cancellation, also after the cancel timeout
+	livenessStart           time.Duration // when the liveness checks started, after all faults; 0: not yet
 	violations              []string
 }
 
@@ -31,7 +31,7 @@
 	c.violations = append(c.violations, fmt.Sprintf("%s at %s: %s", violated, c.sim.now, fmt.Sprintf(format, args...)))
 }
 
-// jobOf returns the job of a task, with what its user knows about it.
+// jobOf returns the job of a task, with the state that its user knows.
 func (c *checker) jobOf(task *agentTask) *userJob { return c.sim.users.jobs[task.spec.ID] }
 
 // taskStarted is called when a machine has the task's image and starts the task.
@@ -52,8 +52,8 @@
 }
 
 // taskAccepted is called when a machine accepts an attempt, which may still have to fetch its
-// image. No other machine may have an attempt at the same task that has not ended: otherwise
-// some order of image fetches and task ends could run the task twice.
+// image. No other machine may have an unfinished attempt of the same task: otherwise some order
+// of image fetches and task ends could run the task twice.
 func (c *checker) taskAccepted(agent *fakeAgent, task *agentTask) {
 	for _, other := range c.sim.agents {
 		if other != agent && other.hasUnfinishedAttempt(task.Task) {
@@ -203,16 +203,16 @@
 	}
 }
 
-// jobDenied is called with an answer that rejects a job or calls it unknown. An accepted job must
-// not get such an answer.
+// jobDenied is called with an answer that rejects a job or reports it as unknown. An accepted job
+// must not get such an answer.
 func (c *checker) jobDenied(job *userJob, id string, status int) {
 	if job != nil && job.accepted {
 		c.recordViolation(ruleJobForgotten, "request for the accepted job %s is answered with status %d", id, status)
 	}
 }
 
-// invalidSubmissionAnswered is called with the answer to a submission that is malformed or describes a job
-// that can never run.
+// invalidSubmissionAnswered is called with the answer to a submission that is malformed or
+// describes a job that can never run.
 func (c *checker) invalidSubmissionAnswered(body string, status int) {
 	if status == http.StatusOK || status == http.StatusCreated {
 		c.recordViolation(ruleInvalidAccepted, "invalid submission %.60q is answered with status %d", body, status)
--- a/internal/scenario/checker_dependencies.go
+++ b/internal/scenario/checker_dependencies.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// checkDependencyAnswer is called with the answer to a submission. allAccepted tells whether all
-// dependencies that it names had been accepted when the submission was sent.
-func (c *checker) checkDependencyAnswer(job *userJob, status int, allAccepted bool) {
+// checkSubmissionAnswer checks the answer to a submission against the job's dependencies.
+// allAccepted tells whether all of them had been accepted when the submission was sent.
+func (c *checker) checkSubmissionAnswer(job *userJob, status int, allAccepted bool) {
 	dependencies := job.spec.Dependencies
 	switch {
 	case allAccepted && status == http.StatusUnprocessableEntity && len(dependencies) > 0 && !c.dependsOnService(job):
--- a/internal/scenario/checker_liveness.go
+++ b/internal/scenario/checker_liveness.go
@@ -14,8 +14,8 @@
 	// maxUnansweredAfterFaults is how long polls of a job may be unanswered once all faults are
 	// over.
 	maxUnansweredAfterFaults = 75 * time.Second
-	// maxRunnableWait is how long a runnable job may wait for its first task to run while a
-	// suitable machine has capacity and its team is below its maximum.
+	// maxRunnableWait is how long a runnable job may have no running task while a suitable
+	// machine has capacity and the job's team is below its maximum.
 	maxRunnableWait = 90 * time.Second
 	// livenessCheckInterval is the time between two liveness checks.
 	livenessCheckInterval = 5 * time.Second
@@ -28,7 +28,7 @@
 	var check func()
 	check = func() {
 		c.checkAnswered()
-		c.checkWaiting()
+		c.checkStarvation()
 		c.sim.after(livenessCheckInterval, check)
 	}
 	check()
@@ -45,21 +45,21 @@
 	}
 }
 
-// checkWaiting checks for jobs that have been starved for too long.
-func (c *checker) checkWaiting() {
+// checkStarvation checks for jobs that have been starved for longer than maxRunnableWait.
+func (c *checker) checkStarvation() {
 	now := c.sim.now
 	for _, id := range slices.Sorted(maps.Keys(c.sim.users.jobs)) {
 		job := c.sim.users.jobs[id]
 		if !c.isStarved(job) {
-			job.unplacedSince = 0
+			job.starvedSince = 0
 			continue
 		}
-		if job.unplacedSince == 0 {
-			job.unplacedSince = max(now, 1)
+		if job.starvedSince == 0 {
+			job.starvedSince = max(now, 1)
 		}
-		if now-job.unplacedSince > maxRunnableWait {
-			c.recordViolation(ruleStarved, "%s has been waiting since %s while a machine has capacity for it", id, job.unplacedSince)
-			job.unplacedSince = 0
+		if now-job.starvedSince > maxRunnableWait {
+			c.recordViolation(ruleStarved, "%s has been waiting since %s while a machine has capacity for it", id, job.starvedSince)
+			job.starvedSince = 0
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	return !partitioned && !a.faulty && a.terminatedAt == 0 && !a.isPaused()
 }
 
-// findUnservedJob returns the id of an accepted, uncancelled job that has no outcome and is not a
+// findUnservedJob returns the ID of an accepted, uncancelled job that has no outcome and is not a
 // service with all of its replicas running, or "" if there is none.
 func (c *checker) findUnservedJob() string {
 	running := map[string]int{} // number of running tasks by job
--- a/internal/scenario/checker_outcomes.go
+++ b/internal/scenario/checker_outcomes.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// findCancelledWithoutCause returns the id of a job that was reported cancelled although its user
+// findCancelledWithoutCause returns the ID of a job that was reported cancelled although its user
 // did not cancel it and none of its dependencies was reported cancelled, or "" if there is none.
 func (c *checker) findCancelledWithoutCause() string {
 	for id, job := range c.sim.users.jobs {
--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -36,7 +36,7 @@
 func TestCheckerDetectsStarvedJob(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(sim *simulation, job *userJob)
-		seen   bool
+		want   bool
 	}{
 		"capacity and quota": {func(*simulation, *userJob) {}, true},
 		"over team maximum":  {func(_ *simulation, job *userJob) { job.spec.CPUs = 5 }, false},
@@ -54,10 +54,10 @@
 			sim, job := newIdleSimulation()
 			tc.change(sim, job)
 			for sim.now = time.Second; sim.now < 3*time.Minute; sim.now += 5 * time.Second {
-				sim.checker.checkWaiting()
+				sim.checker.checkStarvation()
 			}
-			if seen := firstViolationIs(sim, ruleStarved); seen != tc.seen {
-				t.Errorf("detected %t: %v", seen, sim.checker.violations)
+			if got := firstViolationIs(sim, ruleStarved); got != tc.want {
+				t.Errorf("detected %t: %v", got, sim.checker.violations)
 			}
 		})
 	}
@@ -94,10 +94,10 @@
 // TestCheckerDetectsInvalidAccepted: the checker reports an invalid submission that is accepted,
 // and none that is rejected or unanswered.
 func TestCheckerDetectsInvalidAccepted(t *testing.T) {
-	for status, seen := range map[int]bool{200: true, 201: true, 400: false, 422: false, 503: false, 0: false} {
+	for status, want := range map[int]bool{200: true, 201: true, 400: false, 422: false, 503: false, 0: false} {
 		sim, _ := newIdleSimulation()
 		sim.checker.invalidSubmissionAnswered(`{"id":"run-1"}`, status)
-		if got := len(sim.checker.violations) == 1 && firstViolationIs(sim, ruleInvalidAccepted); got != seen {
+		if got := len(sim.checker.violations) == 1 && firstViolationIs(sim, ruleInvalidAccepted); got != want {
 			t.Errorf("status %d: detected %t", status, got)
 		}
 	}
--- a/internal/scenario/digest_test.go
+++ b/internal/scenario/digest_test.go
@@ -25,7 +25,7 @@
 var digests struct {
 	sync.Mutex
 	recorded map[string]string
-	played   map[string]string // in this test run
+	current  map[string]string // in this test run
 }
 
 func TestMain(m *testing.M) {
@@ -45,7 +45,7 @@
 }
 
 func loadDigests() error {
-	digests.recorded, digests.played = map[string]string{}, map[string]string{}
+	digests.recorded, digests.current = map[string]string{}, map[string]string{}
 	data, err := os.ReadFile(digestFile)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 
 // saveDigests writes the digests of this test run to the file and preserves all others.
 func saveDigests() error {
-	maps.Copy(digests.recorded, digests.played)
+	maps.Copy(digests.recorded, digests.current)
 	var text bytes.Buffer
 	for _, name := range slices.Sorted(maps.Keys(digests.recorded)) {
 		fmt.Fprintln(&text, name, digests.recorded[name])
@@ -76,7 +76,7 @@
 	t.Helper()
 	digests.Lock()
 	defer digests.Unlock()
-	digests.played[t.Name()] = result.Digest
+	digests.current[t.Name()] = result.Digest
 	if *updateDigests {
 		return
 	}
--- a/internal/scenario/doc.go
+++ b/internal/scenario/doc.go
@@ -37,8 +37,8 @@
 //   - Users: invalid-requests, read-your-writes, cancel-running and cancel-on-completion.
 //
 // The inject-* actions deliberately break a rule to show that the checker detects it. After
-// check-liveness, polls must be answered again, and a job that could run must not stay
-// unplaced for long.
+// check-liveness, polls must be answered again, and no job that could run may stay without a
+// running task for long.
 //
 // # Repeatability
 //
--- a/internal/scenario/expect.go
+++ b/internal/scenario/expect.go
@@ -8,8 +8,8 @@
 	"rockrun/internal/storage"
 )
 
-// expectation checks one line of the expect file. It returns how the expectation is not met, or ""
-// if it is met.
+// expectation checks one line of the expect file. It returns a message if the expectation is not
+// met, else "".
 type expectation func(sim *simulation, line *statement) string
 
 // expectations maps the verbs of the expect file to the functions that check them at the end of a
--- a/internal/scenario/expect_jobs.go
+++ b/internal/scenario/expect_jobs.go
@@ -132,8 +132,8 @@
 	return ready
 }
 
-// expectAllServed: "all-served", every accepted array is done and every accepted service has all
-// replicas running. Cancelled jobs don't count.
+// expectAllServed: "all-served", every accepted array or gang is done and every accepted service
+// has all replicas running. Cancelled jobs don't count.
 func expectAllServed(sim *simulation, _ *statement) string {
 	if id := sim.checker.findUnservedJob(); id != "" {
 		return id + " is neither done nor running with all of its tasks"
--- a/internal/scenario/host.go
+++ b/internal/scenario/host.go
@@ -11,15 +11,15 @@
 // host runs the processes of one controller, one at a time, and holds the host's network
 // faults.
 type host struct {
-	sim                    *simulation
-	name                   string
-	zone                   string   // "": no zone
-	process                *process // nil while none runs
-	ignoresAnnouncedLimits bool     // its processes run a version without the announced limits setting
-	storePartitioned       bool     // requests to the store fail
-	peersPartitioned       bool     // no messages to or from other controllers
-	agentsPartitioned      bool     // no messages to or from agents
-	pausedUntil            time.Duration
+	sim                      *simulation
+	name                     string
+	zone                     string   // "": no zone
+	process                  *process // nil while none runs
+	unawareOfAnnouncedLimits bool     // its processes run a version that lacks the setting
+	storePartitioned         bool     // requests to the store fail
+	peersPartitioned         bool     // no messages to or from other controllers
+	agentsPartitioned        bool     // no messages to or from agents
+	pausedUntil              time.Duration
 }
 
 // process is one execution of the controller program.
@@ -72,7 +72,7 @@
 // settings returns the settings for a new process.
 func (h *host) settings() *config.Settings {
 	settings := &config.Settings{Controller: h.name, Cluster: h.sim.cluster}
-	if h.ignoresAnnouncedLimits {
+	if h.unawareOfAnnouncedLimits {
 		settings.Cluster.KVStore.Announced = nil
 	}
 	for _, other := range h.sim.hosts {
--- a/internal/scenario/job.go
+++ b/internal/scenario/job.go
@@ -42,9 +42,9 @@
 
 // jobProgress is the actual progress of a job; a time is 0 until its event occurs.
 type jobProgress struct {
-	startedAt     time.Duration // first start of a task
-	completedAt   time.Duration // completion of the last task
-	unplacedSince time.Duration // unplaced since then although it could run
+	startedAt    time.Duration // first start of a task
+	completedAt  time.Duration // completion of the last task
+	starvedSince time.Duration // since when no task runs although one could
 }
 
 // runSecondsOf returns the actual run time of a task of the job.
--- a/internal/scenario/random_handovers_test.go
+++ b/internal/scenario/random_handovers_test.go
@@ -20,9 +20,9 @@
 // TestHandoverSoak runs scenarios in which the shards of small fleets change holders while messages
 // are lost or delayed. Machines boot within two seconds, paused holders resume after their shard was
 // granted to another controller, all controllers crash within a second, and messages of the cloud,
-// the store and machines arrive late or not at all. At no time may two machines have an attempt at
-// the same task that may run, and no other rule may be violated. A failure names the seed of its
-// scenario; -handover-seed repeats it.
+// the store and machines arrive late or not at all. At no time may two machines have an
+// unfinished attempt of the same task, and no other rule may be violated. A failure names the seed
+// of its scenario; -handover-seed repeats it.
 func TestHandoverSoak(t *testing.T) {
 	for seed := *firstHandoverSeed; seed < *firstHandoverSeed+*handoverRuns; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -30,7 +30,7 @@
 			generator := &scenarioGenerator{rand: rand.New(rand.NewPCG(seed, 4))}
 			world := generator.drawHandoverWorld()
 			generator.drawHandoverScenario()
-			generator.playUnrecorded(t, world, seed)
+			generator.runUnrecorded(t, world, seed)
 		})
 	}
 }
@@ -38,7 +38,7 @@
 // drawHandoverWorld draws a small cluster whose machines boot within two seconds. In half of the
 // clusters the controllers start without knowing the announced limits of the store, like a version
 // that lacks the setting, and are upgraded during the scenario.
-func (d *scenarioGenerator) drawHandoverWorld() []byte {
+func (g *scenarioGenerator) drawHandoverWorld() []byte {
 	world := []byte(`team red cpus=24 max=48
 team blue cpus=8 max=24
 machine-type small cpus=4 mem=32 price=0.4 spot=0.1 boot=1 fetch=1
@@ -49,94 +49,94 @@
 capacity large south count=2
 capacity large south kind=spot count=2
 `)
-	if d.rand.IntN(4) > 0 {
+	if g.rand.IntN(4) > 0 {
 		world = append(world, "controllers 5\njob-shards n=2\n"...)
 	}
-	if d.rand.IntN(2) == 0 {
+	if g.rand.IntN(2) == 0 {
 		world = append(world, "store writes=20 value=2 ops=8\nannounced-limits writes=10 value=1 ops=4 unaware=1\n"...)
 		for i, controller := range []string{"a", "b", "c"} {
-			d.add(seconds(20+25*i)+d.secondsBelow(20), "upgrade %s down=%dms", controller, 200+d.rand.IntN(4000))
+			g.add(seconds(20+25*i)+g.secondsBelow(20), "upgrade %s down=%dms", controller, 200+g.rand.IntN(4000))
 		}
-		d.add(130*time.Second, "store-lower-limits")
+		g.add(130*time.Second, "store-lower-limits")
 	}
 	return world
 }
 
 // drawHandoverScenario draws waves of jobs, and faults during each wave.
-func (d *scenarioGenerator) drawHandoverScenario() {
-	d.add(time.Second, "submit run-1 kind=service priority=critical tasks=3 cpus=2 image-gb=0")
+func (g *scenarioGenerator) drawHandoverScenario() {
+	g.add(time.Second, "submit run-1 kind=service priority=critical tasks=3 cpus=2 image-gb=0")
 	for wave := range 8 {
-		at := seconds(8+18*wave) + d.millisecondsBelow(6000)
-		d.drawWave(wave, at)
+		at := seconds(8+18*wave) + g.millisecondsBelow(6000)
+		g.drawWave(wave, at)
 		for range 3 {
-			d.drawHandoverFault(at)
+			g.drawHandoverFault(at)
 		}
-		if d.rand.IntN(3) == 0 {
-			d.add(at+d.millisecondsBelow(8000), "cancel-running count=%d pause=%ds", 1+d.rand.IntN(3), d.rand.IntN(10))
+		if g.rand.IntN(3) == 0 {
+			g.add(at+g.millisecondsBelow(8000), "cancel-running count=%d pause=%ds", 1+g.rand.IntN(3), g.rand.IntN(10))
 		}
 	}
 	const over = 160 * time.Second
 	for _, end := range []string{"heal all all", "start all", "store-lost-answers share=0", "cloud-lost-answers share=0"} {
-		d.add(over, end)
+		g.add(over, end)
 	}
-	d.add(240*time.Second, "end")
+	g.add(240*time.Second, "end")
 }
 
 // drawWave draws a service and arrays that need new machines within one or two seconds.
-func (d *scenarioGenerator) drawWave(wave int, at time.Duration) {
-	r := d.rand
-	d.add(at, "submit run-%d kind=service priority=critical tasks=%d cpus=%d image-gb=0", 10+wave, 1+r.IntN(3), 2+2*r.IntN(2))
+func (g *scenarioGenerator) drawWave(wave int, at time.Duration) {
+	r := g.rand
+	g.add(at, "submit run-%d kind=service priority=critical tasks=%d cpus=%d image-gb=0", 10+wave, 1+r.IntN(3), 2+2*r.IntN(2))
 	for i := range 1 + r.IntN(3) {
-		d.add(at+d.millisecondsBelow(3000), "submit run-%d team=%s tasks=%d cpus=%d run=%d estimate=%d image-gb=%d spot=%d",
-			100+10*wave+i, d.oneOf("red", "blue"), 1+r.IntN(6), 1+r.IntN(3), 5+r.IntN(40), 5+r.IntN(40), r.IntN(2), r.IntN(2))
+		g.add(at+g.millisecondsBelow(3000), "submit run-%d team=%s tasks=%d cpus=%d run=%d estimate=%d image-gb=%d spot=%d",
+			100+10*wave+i, g.oneOf("red", "blue"), 1+r.IntN(6), 1+r.IntN(3), 5+r.IntN(40), 5+r.IntN(40), r.IntN(2), r.IntN(2))
 	}
 	if r.IntN(2) == 0 {
-		d.add(at+seconds(20)+d.secondsBelow(40), "cancel run-%d", 10+wave)
+		g.add(at+seconds(20)+g.secondsBelow(40), "cancel run-%d", 10+wave)
 	}
 }
 
 // drawHandoverFault draws a fault that begins within four seconds after the given time, and when it
 // ends.
-func (d *scenarioGenerator) drawHandoverFault(around time.Duration) {
-	at := around + d.millisecondsBelow(4000)
-	machine := fmt.Sprintf("m-%06d", d.rand.IntN(20))
-	duration := seconds(2 + d.rand.IntN(25))
-	share := 2 + d.rand.IntN(8) // tenths
-	switch d.rand.IntN(16) {
+func (g *scenarioGenerator) drawHandoverFault(around time.Duration) {
+	at := around + g.millisecondsBelow(4000)
+	machine := fmt.Sprintf("m-%06d", g.rand.IntN(20))
+	duration := seconds(2 + g.rand.IntN(25))
+	share := 2 + g.rand.IntN(8) // tenths
+	switch g.rand.IntN(16) {
 	case 0, 1:
-		d.add(at, "cloud-lost-answers share=0.%d", share)
-		d.add(at+seconds(1+d.rand.IntN(12)), "cloud-lost-answers share=0")
+		g.add(at, "cloud-lost-answers share=0.%d", share)
+		g.add(at+seconds(1+g.rand.IntN(12)), "cloud-lost-answers share=0")
 	case 2, 3:
-		d.add(at, "pause %s %ds", d.oneOf("holder:0", "holder:1", "leader"), 2+d.rand.IntN(14))
+		g.add(at, "pause %s %ds", g.oneOf("holder:0", "holder:1", "leader"), 2+g.rand.IntN(14))
 	case 4, 5:
-		d.add(at, "crash all")
-		d.add(at+seconds(3), "start all")
+		g.add(at, "crash all")
+		g.add(at+seconds(3), "start all")
 	case 6:
-		d.add(at, "crash %s", d.someController())
-		d.add(at+200*time.Millisecond+d.millisecondsBelow(5000), "start all")
+		g.add(at, "crash %s", g.someController())
+		g.add(at+200*time.Millisecond+g.millisecondsBelow(5000), "start all")
 	case 7:
-		d.add(at, "machine-partition %s %s", machine, duration)
+		g.add(at, "machine-partition %s %s", machine, duration)
 	case 8:
-		d.add(at, "outbound-partition some %s share=0.%d", duration, share)
+		g.add(at, "outbound-partition some %s share=0.%d", duration, share)
 	case 9:
-		d.add(at, "inbound-partition some %s share=0.%d", duration, share)
+		g.add(at, "inbound-partition some %s share=0.%d", duration, share)
 	case 10:
-		d.add(at, "machine-pause some %s share=0.%d", duration, share)
+		g.add(at, "machine-pause some %s share=0.%d", duration, share)
 	case 11:
-		d.add(at, "store-lost-answers share=0.%d late=0.8", share/2)
-		d.add(at+duration, "store-lost-answers share=0")
+		g.add(at, "store-lost-answers share=0.%d late=0.8", share/2)
+		g.add(at+duration, "store-lost-answers share=0")
 	case 12:
-		d.add(at, "duplicate-heartbeats share=0.%d least=2s most=70s", share)
-		d.add(at+duration, "duplicate-heartbeats share=0")
+		g.add(at, "duplicate-heartbeats share=0.%d least=2s most=70s", share)
+		g.add(at+duration, "duplicate-heartbeats share=0")
 	case 13:
-		d.add(at, "delayed-commands share=0.%d least=2s most=16s", share)
-		d.add(at+duration, "delayed-commands share=0")
+		g.add(at, "delayed-commands share=0.%d least=2s most=16s", share)
+		g.add(at+duration, "delayed-commands share=0")
 	case 14:
-		d.add(at, "store-latency share=0.%d most=2500ms", share)
-		d.add(at+duration, "store-latency share=0")
+		g.add(at, "store-latency share=0.%d most=2500ms", share)
+		g.add(at+duration, "store-latency share=0")
 	case 15:
-		controller := d.someController()
-		d.add(at, "partition %s %s", controller, d.oneOf(partAll, partStore, partPeers, partAgents))
-		d.add(at+duration, "heal all all")
+		controller := g.someController()
+		g.add(at, "partition %s %s", controller, g.oneOf(partAll, partStore, partPeers, partAgents))
+		g.add(at+duration, "heal all all")
 	}
 }
--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -6,7 +6,7 @@
 // The rules, each with the observation that violates it.
 const (
 	ruleRanTwice           rule = "ran_twice"     // a task starts while it runs on another machine
-	ruleTwoAttempts        rule = "two_attempts"  // a machine accepts an attempt while another has one at the same task that may run
+	ruleTwoAttempts        rule = "two_attempts"  // a machine accepts an attempt while another has an unfinished one of the same task
 	ruleRanCancelled       rule = "ran_cancelled" // a cancelled job runs on a machine after the cancel timeout
 	ruleWrongPlacement     rule = "wrong_place"   // a task starts where its job does not allow
 	ruleQuota              rule = "quota"         // a team exceeds its maximum
--- a/internal/scenario/scenario_generator_test.go
+++ b/internal/scenario/scenario_generator_test.go
@@ -19,44 +19,44 @@
 }
 
 // add appends a line to the script.
-func (d *scenarioGenerator) add(at time.Duration, format string, args ...any) {
-	d.script = fmt.Appendf(d.script, "%s ", at)
-	d.script = fmt.Appendf(d.script, format+"\n", args...)
+func (g *scenarioGenerator) add(at time.Duration, format string, args ...any) {
+	g.script = fmt.Appendf(g.script, "%s ", at)
+	g.script = fmt.Appendf(g.script, format+"\n", args...)
 }
 
 // oneOf draws one of the given texts.
-func (d *scenarioGenerator) oneOf(texts ...string) string { return texts[d.rand.IntN(len(texts))] }
+func (g *scenarioGenerator) oneOf(texts ...string) string { return texts[g.rand.IntN(len(texts))] }
 
 // secondsBelow draws a whole number of seconds below a bound.
-func (d *scenarioGenerator) secondsBelow(bound int) time.Duration { return seconds(d.rand.IntN(bound)) }
+func (g *scenarioGenerator) secondsBelow(bound int) time.Duration { return seconds(g.rand.IntN(bound)) }
 
 // millisecondsBelow draws a whole number of milliseconds below a bound.
-func (d *scenarioGenerator) millisecondsBelow(bound int) time.Duration {
-	return time.Duration(d.rand.IntN(bound)) * time.Millisecond
+func (g *scenarioGenerator) millisecondsBelow(bound int) time.Duration {
+	return time.Duration(g.rand.IntN(bound)) * time.Millisecond
 }
 
 func seconds(count int) time.Duration { return time.Duration(count) * time.Second }
 
-// play runs the scenario in a world and compares its digest with the recorded one.
-func (d *scenarioGenerator) play(t *testing.T, world []byte, seed uint64) {
+// run runs the scenario in a world and compares its digest with the recorded one.
+func (g *scenarioGenerator) run(t *testing.T, world []byte, seed uint64) {
 	t.Helper()
-	d.playAndCheck(t, world, seed, checkDigest)
+	g.runAndCheck(t, world, seed, checkDigest)
 }
 
-// playUnrecorded runs a scenario whose digest is not recorded.
-func (d *scenarioGenerator) playUnrecorded(t *testing.T, world []byte, seed uint64) {
+// runUnrecorded runs a scenario whose digest is not recorded.
+func (g *scenarioGenerator) runUnrecorded(t *testing.T, world []byte, seed uint64) {
 	t.Helper()
-	d.playAndCheck(t, world, seed, func(*testing.T, *Result) {})
+	g.runAndCheck(t, world, seed, func(*testing.T, *Result) {})
 }
 
-// playAndCheck runs the scenario in a world. No rule may be violated, every expectation must be
+// runAndCheck runs the scenario in a world. No rule may be violated, every expectation must be
 // met, and the result must pass a check.
-func (d *scenarioGenerator) playAndCheck(t *testing.T, world []byte, seed uint64, check func(*testing.T, *Result)) {
+func (g *scenarioGenerator) runAndCheck(t *testing.T, world []byte, seed uint64, check func(*testing.T, *Result)) {
 	t.Helper()
 	archive := &txtar.Archive{Files: []txtar.File{
 		{Name: fileWorld, Data: world},
-		{Name: fileScript, Data: d.script},
-		{Name: fileExpect, Data: d.expect},
+		{Name: fileScript, Data: g.script},
+		{Name: fileExpect, Data: g.expect},
 	}}
 	var log bytes.Buffer
 	result, err := Run(archive, seed, &log)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -35,14 +35,14 @@
 		for seed := uint64(1); seed <= seedsPerScenario; seed++ {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				playScenario(t, archive, seed, strings.HasPrefix(name, injectionPrefix))
+				runScenario(t, archive, seed, strings.HasPrefix(name, injectionPrefix))
 			})
 		}
 	}
 }
 
-// playScenario runs a scenario once.
-func playScenario(t *testing.T, archive *txtar.Archive, seed uint64, violationsExpected bool) {
+// runScenario runs a scenario once.
+func runScenario(t *testing.T, archive *txtar.Archive, seed uint64, violationsExpected bool) {
 	t.Helper()
 	var log bytes.Buffer
 	result, err := Run(archive, seed, &log)
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -14,7 +14,7 @@
 
 // Result is the outcome of a scenario run.
 type Result struct {
-	Violations        []string // broken rules, each with its time and details
+	Violations        []string // rule violations, each with its time and details
 	UnmetExpectations []string
 
 	Digest  string              // digest of everything that controllers sent
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -44,7 +44,7 @@
 	grantWrites            int
 	finalReads             int // reads of final records
 	rejected               int // transactions over a limit, which no retry can commit
-	oversizedOnLimitChange int // values over the announced size limit when that took effect
+	oversizedOnLimitChange int // values over the announced size limit when the limit took effect
 }
 
 // storeLease is a lease. The items written under a lease are deleted when it expires.
--- a/internal/scenario/store_link.go
+++ b/internal/scenario/store_link.go
@@ -27,9 +27,9 @@
 }
 
 // call sends a request. serve executes the request on arrival and returns the callback for
-// the arrival of the answer, or nil if serve itself arranges the answer. refused is called
+// the arrival of the answer, or nil if serve itself arranges the answer. failed is called
 // instead if the store does not execute the request.
-func (l storeLink) call(serve func(store *fakeStore) func(), refused func(error)) {
+func (l storeLink) call(serve func(store *fakeStore) func(), failed func(error)) {
 	sim := l.process.host.sim
 	store := sim.store
 	store.requests++
@@ -39,7 +39,7 @@
 	}
 	sim.after(delay, func() {
 		if store.isUnavailableTo(l.process.host) {
-			l.sendAnswer(func() { refused(protocol.ErrNotExecuted) })
+			l.sendAnswer(func() { failed(protocol.ErrNotExecuted) })
 			return
 		}
 		if answer := serve(store); answer != nil {
--- a/internal/scenario/trace.go
+++ b/internal/scenario/trace.go
@@ -52,9 +52,9 @@
 	t.recordJSON(controller, kind, []any{answer.Status, answer.RetryAfter, answer.Body})
 }
 
-// recordPeerRequest adds a request to another controller to the digest. Of the agent heartbeats that the
-// request forwards only the machine names are added: their content comes from the agents, not
-// from the controller.
+// recordPeerRequest adds a request to another controller to the digest. Of the agent
+// heartbeats that the request forwards only the machine names are added: their content comes
+// from the agents, not from the controller.
 func (t *trace) recordPeerRequest(controller, receiver string, request protocol.PeerRequest) {
 	t.record(controller, "cancelled", receiver, request.Cancelled)
 	heartbeat := request.Heartbeat
@@ -69,8 +69,8 @@
 	t.record(controller, "heartbeat", receiver, heartbeat.Controller, heartbeat.Incarnation, heartbeat.SentAt, heartbeat.Term, heartbeat.StoreStaleness, heartbeat.Leaving, heartbeat.Machines, unrecorded, heartbeat.QuotaSplitVersion, within, heartbeat.ShardHeartbeatAges)
 }
 
-// recordPeerReply adds the heartbeat reply in an answer to another controller to the digest, if there is
-// one.
+// recordPeerReply adds the heartbeat reply in an answer to another controller to the digest,
+// if there is one.
 func (t *trace) recordPeerReply(controller string, answer protocol.PeerAnswer) {
 	if answer.Reply != nil {
 		t.record(controller, "reply", *answer.Reply)
--- a/internal/scenario/users.go
+++ b/internal/scenario/users.go
@@ -53,9 +53,9 @@
 	return func(controller *coordination.Controller, reply func(api.Answer)) { controller.Cancel(id, reply) }
 }
 
-// sendRequest sends a request to a random running controller. It calls done exactly once,
-// with status 0 if there was no answer.
-func (u *fakeUsers) sendRequest(call userRequest, done func(api.Answer)) {
+// sendRequest sends a request to a random running controller. It calls done exactly once, with
+// status 0 if no answer arrives within userTimeout or no controller runs.
+func (u *fakeUsers) sendRequest(request userRequest, done func(api.Answer)) {
 	sim := u.sim
 	var serving []*host
 	for _, h := range sim.hosts {
@@ -67,11 +67,11 @@
 		sim.after(time.Millisecond, func() { done(api.Answer{}) })
 		return
 	}
-	u.sendRequestTo(serving[sim.rand.IntN(len(serving))].process, call, done)
+	u.sendRequestTo(serving[sim.rand.IntN(len(serving))].process, request, done)
 }
 
 // sendRequestTo is like sendRequest, but sends the request to a given process.
-func (u *fakeUsers) sendRequestTo(process *process, call userRequest, done func(api.Answer)) {
+func (u *fakeUsers) sendRequestTo(process *process, request userRequest, done func(api.Answer)) {
 	sim := u.sim
 	finished := false
 	finish := func(answer api.Answer) {
@@ -82,7 +82,7 @@
 	}
 	sim.after(userTimeout, func() { finish(api.Answer{}) })
 	sim.after(sim.latency(), process.guard(func() {
-		call(process.controller, func(answer api.Answer) {
+		request(process.controller, func(answer api.Answer) {
 			sim.trace.recordAnswer(process.host.name, kindUserAnswer, answer)
 			sim.after(sim.latency(), func() { finish(answer) })
 		})
@@ -136,7 +136,7 @@
 		if answer.Status != 0 {
 			job.submissionStatus = answer.Status
 		}
-		sim.checker.checkDependencyAnswer(job, answer.Status, allAccepted)
+		sim.checker.checkSubmissionAnswer(job, answer.Status, allAccepted)
 		switch answer.Status {
 		case http.StatusOK, http.StatusCreated:
 			u.onAccepted(job)
--- a/internal/scenario/users_pipelines.go
+++ b/internal/scenario/users_pipelines.go
@@ -52,7 +52,7 @@
 }
 
 // actPipeline: "pipeline run-100 shape=chain every=3s count=8 cancelled=0.1 after=20s
-// late=0.3" and the arguments of parseJob submits pipelines at an interval. The arguments
+// late=0.3" submits pipelines at an interval. The other arguments are those of parseJob and
 // apply to all jobs of a pipeline, except that priority and deadline apply to its last job
 // only. In the cancelled= share of the pipelines, one job before the last is cancelled within
 // the after= time. In the late= share, the last job is submitted only once the outcomes of its
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -16,7 +16,7 @@
 	controllers              int
 	machineTypes             []protocol.MachineType
 	capacity                 map[machinePool]int
-	zones                    map[string]string // of controllers
+	zones                    map[string]string // by controller
 	unawareOfAnnouncedLimits bool              // the first controller processes don't know the announced limits
 }
 
@@ -136,19 +136,19 @@
 
 // buildWorld parses the world file of a scenario and starts the simulation that it describes.
 func buildWorld(declared []string, seed uint64, log io.Writer) (*simulation, error) {
-	planned := defaultWorld()
+	w := defaultWorld()
 	for _, text := range declared {
 		line := parseStatement(text)
 		declare, ok := declarations[line.verb]
 		if !ok {
 			return nil, &LineError{File: fileWorld, Line: text, Err: ErrUnknownVerb}
 		}
-		declare(planned, line)
+		declare(w, line)
 		if line.err != nil {
 			return nil, &LineError{File: fileWorld, Line: text, Err: line.err}
 		}
 	}
-	return planned.start(seed, log), nil
+	return w.start(seed, log), nil
 }
 
 // start creates the simulation and starts its controllers.
@@ -158,10 +158,10 @@
 	for i := range w.controllers {
 		name := string(rune('a' + i))
 		sim.hosts = append(sim.hosts, &host{
-			sim:                    sim,
-			name:                   name,
-			zone:                   w.zones[name],
-			ignoresAnnouncedLimits: w.unawareOfAnnouncedLimits,
+			sim:                      sim,
+			name:                     name,
+			zone:                     w.zones[name],
+			unawareOfAnnouncedLimits: w.unawareOfAnnouncedLimits,
 		})
 	}
 	for _, h := range sim.hosts {
