--- a/internal/compatibility/reader/records.go
+++ b/internal/compatibility/reader/records.go
@@ -60,7 +60,7 @@
 		}
 		lines = append(lines, fmt.Sprintln("job", j.ID, j.Class, j.Team, j.Kind, j.Priority, j.Tasks, j.CPUs, j.GPUs, j.MemoryGB,
 			j.Image, j.ImageGB, j.Types, j.Zone, j.OneZone, j.Spread, j.Spot, j.EstimateSeconds, j.CheckpointSeconds, j.SaveSeconds,
-			j.DeadlineSeconds, j.Version, j.SubmittedAtMS, j.Shard, j.Completed, j.CompletedCount, j.OpenTasks(), j.RunningTasks()))
+			j.DeadlineSeconds, j.Version, j.SubmittedAtMS, j.Shard, j.Completed, j.CompletedCount, j.UnplacedTasks(), j.RunningTasks()))
 	})
 	return lines
 }
--- a/internal/scenario/peer_link.go
+++ b/internal/scenario/peer_link.go
@@ -40,7 +40,7 @@
 		done = func(protocol.PeerAnswer, error) {}
 	}
 	receiver.guard(func() {
-		receiver.controller.OnPeer(request, func(answer protocol.PeerAnswer) {
+		receiver.controller.OnPeerRequest(request, func(answer protocol.PeerAnswer) {
 			sim.trace.recordPeerReply(receiver.host.name, answer)
 			sim.after(sim.latency(), l.process.guard(func() { done(answer, nil) }))
 		})
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -216,7 +216,7 @@
 // remove deletes an item at the current revision.
 func (s *fakeStore) remove(key string) {
 	delete(s.items, key)
-	s.recordChange(protocol.Event{Remove: key, Version: s.revision})
+	s.recordChange(protocol.Event{Delete: key, Version: s.revision})
 }
 
 func (s *fakeStore) recordChange(event protocol.Event) {
@@ -230,7 +230,7 @@
 		return cmp.Compare(change.revision, revision)
 	})
 	for _, change := range s.history[first:] {
-		if strings.HasPrefix(change.event.Put+change.event.Remove, prefix) {
+		if strings.HasPrefix(change.event.Put+change.event.Delete, prefix) {
 			changes.Events = append(changes.Events, change.event)
 		}
 	}
