--- a/internal/coordination/api/api_test.go
+++ b/internal/coordination/api/api_test.go
@@ -71,9 +71,9 @@
 	return data
 }
 
-// TestErrorsAreMatched: errors.Is finds the reason and the cause of an error, and errors.As
+// TestErrorMatching: errors.Is finds the reason and the cause of an error, and errors.As
 // gives access to its job.
-func TestErrorsAreMatched(t *testing.T) {
+func TestErrorMatching(t *testing.T) {
 	storeUnavailable := fmt.Errorf("submission: %w", &RetryLaterError{Reason: ErrStoreUnavailable, Job: "run-1", Cause: protocol.ErrNotExecuted})
 	for _, c := range []struct {
 		name        string
--- a/internal/coordination/autoscaler/fleet_test.go
+++ b/internal/coordination/autoscaler/fleet_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestTasksAllowedInZone checks how many of four open tasks, of a job with five, may be
-// placed in a zone.
+// TestTasksAllowedInZone checks how many of four unplaced tasks, of a job with five, may
+// be placed in a zone.
 func TestTasksAllowedInZone(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/coordination/autoscaler/pending.go
+++ b/internal/coordination/autoscaler/pending.go
@@ -70,8 +70,8 @@
 // rounded up, may be in one zone.
 func isSpread(j *storage.Job) bool { return j.Spread && j.Tasks > 1 }
 
-// tasksWithinMaximum returns how many of a job's open tasks the team's maximum allows to
-// start in addition to the team's usage, and adds these tasks to the usage.
+// tasksWithinMaximum returns how many of a job's unplaced tasks the team's maximum allows
+// to start in addition to the team's usage, and adds these tasks to the usage.
 func tasksWithinMaximum(j *storage.Job, team *storage.Team, used *quota.Usage) int {
 	count := j.UnplacedTasks()
 	for _, amount := range []struct{ used, perTask, maximum float64 }{{used.CPUs, j.CPUs, team.MaxCPUs}, {used.GPUs, j.GPUs, team.MaxGPUs}} {
@@ -85,8 +85,8 @@
 	return count
 }
 
-// tasksAllowedInZone returns how many of a job's open tasks may use resources in a zone that
-// already has some of the job's tasks.
+// tasksAllowedInZone returns how many of a job's unplaced tasks may use resources in a zone
+// that already has some of the job's tasks.
 func tasksAllowedInZone(j *storage.Job, count, placed int) int {
 	// Tasks that share a zone cannot use another zone's resources. If those resources counted
 	// as supply, or machines were created there again after each scale-in, the tasks would
--- a/internal/coordination/autoscaler/planner.go
+++ b/internal/coordination/autoscaler/planner.go
@@ -79,7 +79,7 @@
 // to the zone where most of them fit, if at least a quarter of them fit there. Otherwise the
 // demand stays unrestricted.
 func (p *Planner) chooseZone(demand *Demand) {
-	const minCapacityDivisor = 4 // waiting for more capacity in a zone pays off if a quarter of the tasks fit already
+	const minCapacityDivisor = 4 // waiting for more capacity in a zone is worthwhile if a quarter of the tasks fit already
 	if !demand.Job.OneZone || demand.zoneCapacity != nil {
 		return
 	}
--- a/internal/coordination/autoscaler/scaleout.go
+++ b/internal/coordination/autoscaler/scaleout.go
@@ -146,7 +146,7 @@
 // suitable the pool is.
 func (p *Planner) costPerTask(demand *Demand, pool Pool, perMachine int) float64 {
 	const (
-		imageFactor = 0.1 // a machine that holds more replicas is likelier to have the image of the next replica
+		imageFactor = 0.1 // a machine that holds more replicas is more likely to have the image of the next replica
 		soleFactor  = 1.3 // penalty for a machine type that is the only fitting type of some job
 	)
 	// A machine much larger than the unmet demand would be paid for while partly idle, so only
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -36,7 +36,7 @@
 		t.Errorf("no new generation: incarnation %d after %d, ready %v", f.controller.replica.Incarnation, before, f.controller.replica.Ready())
 	}
 	if f.controller.leases.Holds(0) {
-		t.Error("still holds the shard granted to its former incarnation")
+		t.Error("still holds the shard granted to its earlier incarnation")
 	}
 }
 
--- a/internal/coordination/election/election_test.go
+++ b/internal/coordination/election/election_test.go
@@ -178,11 +178,11 @@
 
 	f = newElectorFixture(t)
 	f.winElection(1)
-	former := f.leader
+	earlier := f.leader
 	f.renewErr = protocol.ErrLeaseNotFound
 	f.elector.Tick()
 	f.elector.ObserveRecord()
-	if f.leader != nil || former.Current() {
+	if f.leader != nil || earlier.Current() {
 		t.Error("still leads after its lease expired")
 	}
 }
--- a/internal/coordination/election/elector.go
+++ b/internal/coordination/election/elector.go
@@ -94,7 +94,7 @@
 		switch {
 		case !e.Generation.Active():
 		case err != nil:
-			e.Generation.Later(e.Generation.Jitter(kv.RetryDelay), e.endCampaign)
+			e.Generation.AfterIfActive(e.Generation.Jitter(kv.RetryDelay), e.endCampaign)
 		case !e.mayCampaign():
 			// Another controller was elected while the lease was being opened. A
 			// transaction conditioned on the record now in the view would replace that
@@ -141,7 +141,7 @@
 		if errors.Is(err, protocol.ErrOutcomeUnknown) {
 			delay = e.Generation.Jitter(renewInterval)
 		}
-		e.Generation.Later(delay, e.endCampaign)
+		e.Generation.AfterIfActive(delay, e.endCampaign)
 	})
 }
 
@@ -171,7 +171,7 @@
 	now := e.Generation.Now()
 	e.leadership = &Leadership{
 		elector: e, generation: e.Generation, replica: e.Replica, log: e.Log,
-		term: record.Term, lease: record.Lease, since: now, renewedAt: e.Replica.FreshAt(), storeHeardSince: now,
+		term: record.Term, lease: record.Lease, since: now, renewedAt: e.Replica.FreshAt(), storeContactSince: now,
 	}
 	e.Log.Info("leadership gained", "term", record.Term, "lease", record.Lease, "revision", e.Replica.Revision(), "staleness", e.Replica.Staleness())
 	e.OnElected(e.leadership)
--- a/internal/coordination/election/leadership.go
+++ b/internal/coordination/election/leadership.go
@@ -24,9 +24,9 @@
 	since         time.Duration
 	renewedAt     time.Duration // when the last successful renewal was sent
 	nextRenewalAt time.Duration
-	// storeHeardSince is when the current uninterrupted contact with the store began.
-	storeHeardSince time.Duration
-	tokenCounter    uint64
+	// storeContactSince is when the current uninterrupted contact with the store began.
+	storeContactSince time.Duration
+	tokenCounter      uint64
 }
 
 // Term returns the leader's term.
@@ -38,8 +38,8 @@
 // Since returns when the leadership began.
 func (l *Leadership) Since() time.Duration { return l.since }
 
-// StoreHeardSince returns when the leader's current uninterrupted contact with the store began.
-func (l *Leadership) StoreHeardSince() time.Duration { return l.storeHeardSince }
+// StoreContactSince returns when the leader's current uninterrupted contact with the store began.
+func (l *Leadership) StoreContactSince() time.Duration { return l.storeContactSince }
 
 // Current reports whether this leadership is still in force as far as this controller knows.
 func (l *Leadership) Current() bool { return !l.generation.Ended() && l.elector.leadership == l }
@@ -68,7 +68,7 @@
 func (l *Leadership) Tick() bool {
 	now := l.generation.Now()
 	if l.replica.Staleness() > 2*replica.WatchTimeout {
-		l.storeHeardSince = now
+		l.storeContactSince = now
 	}
 	if now-l.renewedAt > leaseTTL {
 		return false
--- a/internal/coordination/fixture_test.go
+++ b/internal/coordination/fixture_test.go
@@ -95,7 +95,7 @@
 const grantToken = 5<<44 | 1<<24
 
 // newFixture creates a controller that holds one machine, m-1, under a new grant. The intent
-// page of a former holder has the given entries of run-1.
+// page of an earlier holder has the given entries of run-1.
 func newFixture(t testing.TB, intents ...string) *fixture {
 	f := &fixture{t: t, now: time.Minute, values: map[string][]byte{}}
 	f.controller = New(Config{
@@ -211,7 +211,7 @@
 	return answer
 }
 
-// inheritedIntent is an intent entry of a former holder: run-1/0 may run on m-1.
+// inheritedIntent is an intent entry of an earlier holder: run-1/0 may run on m-1.
 var inheritedIntent = storage.IntentEntry(0, "m-1", 9)
 
 // becomeLeader makes the controller win an election.
--- a/internal/coordination/jobs/dependencies.go
+++ b/internal/coordination/jobs/dependencies.go
@@ -130,7 +130,7 @@
 func (s *Service) dependencyStateOfRecord(record protocol.KeyValue) dependencyState {
 	var job storage.JobRecord
 	if err := protocol.Decode(record.Value, &job); err != nil {
-		s.Log.Error("record unreadable", "key", record.Key, "err", err)
+		s.Log.Error("record decode failed", "key", record.Key, "err", err)
 		return dependencyUndecided
 	}
 	return dependencyStateOfKind(job.Spec.Kind)
--- a/internal/coordination/jobs/outcomes.go
+++ b/internal/coordination/jobs/outcomes.go
@@ -67,7 +67,7 @@
 // readOrDefer reads a final record, or schedules the read while the read budget is used up.
 func (r *outcomeReader) readOrDefer(job string) {
 	if !r.readBudget.TryConsume(r.generation.Now(), 1) {
-		r.generation.Later(r.readBudget.TimeUntil(1), func() { r.readOrDefer(job) })
+		r.generation.AfterIfActive(r.readBudget.TimeUntil(1), func() { r.readOrDefer(job) })
 		return
 	}
 	r.source.readFinal(job, func(_ storage.FinalRecord, found bool, err error) {
--- a/internal/coordination/kv/store.go
+++ b/internal/coordination/kv/store.go
@@ -25,6 +25,6 @@
 	RenewLease(lease uint64, done func(err error))
 	// RevokeLease revokes a lease and removes the keys attached to it.
 	RevokeLease(lease uint64, done func(err error))
-	// Watch waits for changes after a revision, at most for the given timeout.
-	Watch(prefix string, after uint64, timeout time.Duration, done func(changes protocol.Changes, err error))
+	// Watch waits for changes after a revision, for at most the given time.
+	Watch(prefix string, after uint64, wait time.Duration, done func(changes protocol.Changes, err error))
 }
--- a/internal/coordination/loop/generation.go
+++ b/internal/coordination/loop/generation.go
@@ -33,7 +33,7 @@
 	return &Generation{Clock: clock, Rand: random}
 }
 
-// End ends the generation: callbacks scheduled with Later no longer run.
+// End ends the generation: callbacks scheduled with AfterIfActive no longer run.
 func (g *Generation) End() { g.ended = true }
 
 // Stop marks that the controller is shutting down. Callbacks no longer run, but the state
@@ -49,8 +49,8 @@
 // Active reports whether the generation has not ended and the controller is not shutting down.
 func (g *Generation) Active() bool { return !g.ended && !g.stopping }
 
-// Later calls f after the duration d if the generation is still active then.
-func (g *Generation) Later(d time.Duration, f func()) {
+// AfterIfActive calls f after the duration d if the generation is still active then.
+func (g *Generation) AfterIfActive(d time.Duration, f func()) {
 	g.After(d, func() {
 		if g.Active() {
 			f()
--- a/internal/coordination/loop/loop_test.go
+++ b/internal/coordination/loop/loop_test.go
@@ -121,7 +121,7 @@
 		clock := &manualClock{}
 		generation := newTestGeneration(clock)
 		called := 0
-		generation.Later(time.Second, func() { called++ })
+		generation.AfterIfActive(time.Second, func() { called++ })
 		c.end(generation)
 		clock.callbacks[0]()
 		if called != c.want {
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -18,14 +18,14 @@
 
 // testLeader is a leader with a scripted clock and store.
 type testLeader struct {
-	now             time.Duration
-	committed       []protocol.Transaction
-	commitErr       error
-	mayNotAnswer    bool
-	storeHeardSince time.Duration
-	revision        uint64
-	replica         *replica.Replica
-	generation      *loop.Generation
+	now               time.Duration
+	committed         []protocol.Transaction
+	commitErr         error
+	mayNotAnswer      bool
+	storeContactSince time.Duration
+	revision          uint64
+	replica           *replica.Replica
+	generation        *loop.Generation
 }
 
 func (l *testLeader) Now() time.Duration                               { return l.now }
@@ -37,7 +37,7 @@
 func (l *testLeader) RevokeLease(uint64, func(error))                  {}
 func (l *testLeader) Term() uint64                                     { return 4 }
 func (l *testLeader) MayAnswer() bool                                  { return !l.mayNotAnswer }
-func (l *testLeader) StoreHeardSince() time.Duration                   { return l.storeHeardSince }
+func (l *testLeader) StoreContactSince() time.Duration                 { return l.storeContactSince }
 func (l *testLeader) List(_, _ string, done func(protocol.KeyValuePage, error)) {
 	done(protocol.KeyValuePage{}, nil)
 }
@@ -86,10 +86,10 @@
 	l := newTestLeader()
 	l.applyRecord(storage.GrantKey(storage.BatchShard), storage.GrantRecord{Controller: "b", Incarnation: 1, FencingToken: 1})
 	r := l.registry("a", "b", "c", "d", "e", "f")
-	heardAt := l.now - time.Second
+	contactAt := l.now - time.Second
 	r.peers = map[string]*Peer{
-		"a": {HeardAt: heardAt, Fresh: true}, "b": {HeardAt: heardAt, Fresh: true}, "c": {HeardAt: heardAt, Fresh: true},
-		"d": {HeardAt: heardAt}, "e": {HeardAt: l.now - 2*PeerTimeout, Fresh: true}, "f": {HeardAt: heardAt, Fresh: true, Leaving: true},
+		"a": {LastContactAt: contactAt, Fresh: true}, "b": {LastContactAt: contactAt, Fresh: true}, "c": {LastContactAt: contactAt, Fresh: true},
+		"d": {LastContactAt: contactAt}, "e": {LastContactAt: l.now - 2*PeerTimeout, Fresh: true}, "f": {LastContactAt: contactAt, Fresh: true, Leaving: true},
 	}
 	if n := r.countHealthyExcept("b"); n != 2 {
 		t.Errorf("%d healthy controllers except the holder of the batch shard, want 2", n)
@@ -131,7 +131,7 @@
 	if reply := r.OnHeartbeat(stale); len(reply.Shards) != 0 {
 		t.Errorf("grants confirmed to a controller that is partitioned from the store: %+v", reply)
 	}
-	l.storeHeardSince = l.now
+	l.storeContactSince = l.now
 	if reply := r.OnHeartbeat(stale); len(reply.Shards) != 1 {
 		t.Errorf("grants not confirmed after a store outage for all controllers: %+v", reply)
 	}
@@ -170,7 +170,7 @@
 	}
 	l.applyRecord(storage.LivenessKey("b"), storage.LivenessRecord{Incarnation: 5})
 	r.ApplyLiveness()
-	if p := r.Peer("b"); p == nil || p.HeardAt != l.now || p.Incarnation != 5 {
+	if p := r.Peer("b"); p == nil || p.LastContactAt != l.now || p.Incarnation != 5 {
 		t.Errorf("peer %+v after a new liveness record of incarnation 5", p)
 	}
 }
@@ -180,7 +180,7 @@
 
 func (h *testHoldings) Holds(shard int) bool                      { return shard == 0 }
 func (h *testHoldings) Extend(shard int, from time.Duration)      { h.extended[shard] = from }
-func (h *testHoldings) HeardAt() []time.Duration                  { return []time.Duration{0, time.Second} }
+func (h *testHoldings) AgentContactTimes() []time.Duration        { return []time.Duration{0, time.Second} }
 func (h *testHoldings) MachineStatuses() []protocol.MachineStatus { return nil }
 func (h *testHoldings) GrantsWithinQuota() []uint64               { return []uint64{9} }
 
--- a/internal/coordination/membership/peer.go
+++ b/internal/coordination/membership/peer.go
@@ -12,9 +12,9 @@
 	Incarnation uint64
 	// HealthySince is when the uninterrupted contact with the current incarnation began.
 	HealthySince time.Duration
-	// HeardAt is when the leader last received a heartbeat of the controller or observed a new
-	// version of its liveness record.
-	HeardAt time.Duration
+	// LastContactAt is when the leader last received a heartbeat of the controller or observed
+	// a new version of its liveness record.
+	LastContactAt time.Duration
 	// HeartbeatAt is when its last heartbeat arrived.
 	HeartbeatAt time.Duration
 	// ConfirmedAt is when its grants were last confirmed, which extends its shard leases.
@@ -32,31 +32,32 @@
 	// within the shard's quota.
 	GrantsWithinQuota []uint64
 
-	machines     map[string]protocol.MachineStatus
-	shardHeardAt []time.Duration // by shard; 0: never
+	machines       map[string]protocol.MachineStatus
+	agentContactAt []time.Duration // by shard; 0: never
 }
 
-// Alive reports whether the controller was heard within PeerTimeout and is not leaving.
-func (p *Peer) Alive(now time.Duration) bool { return !p.Leaving && now-p.HeardAt < PeerTimeout }
+// Alive reports whether the controller is not leaving and its last contact is within
+// PeerTimeout.
+func (p *Peer) Alive(now time.Duration) bool { return !p.Leaving && now-p.LastContactAt < PeerTimeout }
 
-// ShardHeardAt returns when the controller last received a heartbeat from an agent of a shard,
+// AgentContactAt returns when the controller last received a heartbeat from an agent of a shard,
 // or 0 if it has received none.
-func (p *Peer) ShardHeardAt(shard int) time.Duration {
+func (p *Peer) AgentContactAt(shard int) time.Duration {
 	if !p.ReportsShard(shard) {
 		return 0
 	}
-	return p.shardHeardAt[shard]
+	return p.agentContactAt[shard]
 }
 
-// ReportsShard reports whether the controller's last heartbeat said when it last heard an agent
-// of a shard.
-func (p *Peer) ReportsShard(shard int) bool { return shard < len(p.shardHeardAt) }
+// ReportsShard reports whether the controller's last heartbeat stated when it last received a
+// heartbeat from an agent of a shard.
+func (p *Peer) ReportsShard(shard int) bool { return shard < len(p.agentContactAt) }
 
-// HeardAnyShardSince reports whether the controller received a heartbeat from an agent of any
+// AnyAgentContactSince reports whether the controller received a heartbeat from an agent of any
 // shard after the given time.
-func (p *Peer) HeardAnyShardSince(at time.Duration) bool {
-	for _, heardAt := range p.shardHeardAt {
-		if heardAt > at {
+func (p *Peer) AnyAgentContactSince(at time.Duration) bool {
+	for _, contactAt := range p.agentContactAt {
+		if contactAt > at {
 			return true
 		}
 	}
@@ -65,20 +66,20 @@
 
 // applyHeartbeat records a heartbeat, except for its machine statuses.
 func (p *Peer) applyHeartbeat(heartbeat *protocol.PeerHeartbeat, now, maxStaleness time.Duration) {
-	if heartbeat.Incarnation > p.Incarnation || now-p.HeardAt > PeerTimeout {
+	if heartbeat.Incarnation > p.Incarnation || now-p.LastContactAt > PeerTimeout {
 		p.HealthySince = now
 	}
 	p.Incarnation = heartbeat.Incarnation
-	p.HeardAt, p.HeartbeatAt = now, now
+	p.LastContactAt, p.HeartbeatAt = now, now
 	p.Staleness = heartbeat.StoreStaleness
 	p.Fresh = heartbeat.StoreStaleness < maxStaleness/2
 	p.Leaving = heartbeat.Leaving
 	p.QuotaSplitVersion = heartbeat.QuotaSplitVersion
 	p.GrantsWithinQuota = heartbeat.GrantsWithinQuota
-	p.shardHeardAt = make([]time.Duration, len(heartbeat.ShardHeartbeatAges))
+	p.agentContactAt = make([]time.Duration, len(heartbeat.ShardHeartbeatAges))
 	for shard, ago := range heartbeat.ShardHeartbeatAges {
 		if ago >= 0 {
-			p.shardHeardAt[shard] = now - ago
+			p.agentContactAt[shard] = now - ago
 		}
 	}
 }
--- a/internal/coordination/membership/registry.go
+++ b/internal/coordination/membership/registry.go
@@ -29,9 +29,9 @@
 	Term() uint64
 	// MayAnswer reports whether this controller may still answer peers as the leader.
 	MayAnswer() bool
-	// StoreHeardSince returns when the leader's current uninterrupted contact with the store
+	// StoreContactSince returns when the leader's current uninterrupted contact with the store
 	// began.
-	StoreHeardSince() time.Duration
+	StoreContactSince() time.Duration
 }
 
 // RegistryConfig holds the dependencies and settings of a Registry.
@@ -153,7 +153,7 @@
 		}
 		if liveness.Incarnation >= p.Incarnation && !p.Leaving {
 			p.Incarnation = liveness.Incarnation
-			p.HeardAt, p.ConfirmedAt = now, now
+			p.LastContactAt, p.ConfirmedAt = now, now
 			p.Staleness, p.Fresh = 0, true
 		}
 	}
@@ -185,30 +185,30 @@
 	return true
 }
 
-// PartitionedFromStore reports whether a controller that the leader hears has had no contact
-// with the store for more than a shard lease, while the leader has had contact for longer than
-// that. Such a controller can neither start anything nor observe changes, so its shards must
-// move to other controllers.
+// PartitionedFromStore reports whether a controller in contact with the leader has had no
+// contact with the store for more than a shard lease, while the leader has had contact for
+// longer than that. Such a controller can neither start anything nor observe changes, so its
+// shards must move to other controllers.
 func (r *Registry) PartitionedFromStore(p *Peer) bool {
-	storeHeardFor := r.Generation.Now() - r.Leadership.StoreHeardSince()
-	return p.Staleness > r.ShardLease && storeHeardFor > r.ShardLease+2*HeartbeatInterval
+	storeContactFor := r.Generation.Now() - r.Leadership.StoreContactSince()
+	return p.Staleness > r.ShardLease && storeContactFor > r.ShardLease+2*HeartbeatInterval
 }
 
-// HearsAgents reports whether a controller has recently received heartbeats from agents of a
+// HasAgentContact reports whether a controller has recently received heartbeats from agents of a
 // shard.
-func (r *Registry) HearsAgents(controller string, shard int) bool {
+func (r *Registry) HasAgentContact(controller string, shard int) bool {
 	p := r.peers[controller]
 	if p == nil {
 		return false
 	}
 	now := r.Generation.Now()
-	heardAt := p.ShardHeardAt(shard)
-	return now-p.HeartbeatAt < PeerTimeout && heardAt > 0 && now-heardAt < PeerTimeout
+	contactAt := p.AgentContactAt(shard)
+	return now-p.HeartbeatAt < PeerTimeout && contactAt > 0 && now-contactAt < PeerTimeout
 }
 
 // AgentsUp counts the machines of a shard whose agents have been up according to the holder or
 // an earlier one. Statuses from earlier holders count because a holder that agents could never
-// reach has heard none of the agents that were up before its grant.
+// reach has heard from none of the agents that were up before its grant.
 func (r *Registry) AgentsUp(p *Peer, shard int) int {
 	count := 0
 	for name, status := range p.machines {
--- a/internal/coordination/membership/reporter.go
+++ b/internal/coordination/membership/reporter.go
@@ -29,9 +29,9 @@
 	Holds(shard int) bool
 	// Extend extends the lease of a shard, counted from a time.
 	Extend(shard int, from time.Duration)
-	// HeardAt returns, by shard, when this controller last heard an agent of the shard; 0:
-	// never.
-	HeardAt() []time.Duration
+	// AgentContactTimes returns, by shard, when this controller last heard from an agent of
+	// the shard; 0: never.
+	AgentContactTimes() []time.Duration
 }
 
 // Holdings provides the state of the shards that this controller holds.
@@ -133,10 +133,10 @@
 		QuotaSplitVersion: r.Replica.View.QuotaSplitVersion,
 		GrantsWithinQuota: r.Holdings.GrantsWithinQuota(),
 	}
-	for _, heardAt := range r.Leases.HeardAt() {
+	for _, contactAt := range r.Leases.AgentContactTimes() {
 		ago := time.Duration(-1) // never
-		if heardAt > 0 {
-			ago = now - heardAt
+		if contactAt > 0 {
+			ago = now - contactAt
 		}
 		heartbeat.ShardHeartbeatAges = append(heartbeat.ShardHeartbeatAges, ago)
 	}
--- a/internal/coordination/placement/fleet_test.go
+++ b/internal/coordination/placement/fleet_test.go
@@ -181,7 +181,7 @@
 	return j
 }
 
-// Modifications of a test job.
+// gang, service, oneZone and spread modify a test job.
 func gang(j *storage.Job)    { j.Kind = protocol.KindGang }
 func service(j *storage.Job) { j.Kind = protocol.KindService }
 func oneZone(j *storage.Job) { j.OneZone = true }
--- a/internal/coordination/placement/preemption.go
+++ b/internal/coordination/placement/preemption.go
@@ -22,8 +22,8 @@
 
 // Teams describes the quota usage of teams to preemption.
 type Teams interface {
-	// RetainsGuaranteeWithout reports whether the job's team would still use at least its guaranteed
-	// quota if one task of the job stopped.
+	// RetainsGuaranteeWithout reports whether the job's team would still use at least its
+	// guaranteed quota if one task of the job stopped.
 	RetainsGuaranteeWithout(j *storage.Job) bool
 	// OthersBorrow reports whether any team other than the job's uses more than its
 	// guaranteed quota in the job's shard.
--- a/internal/coordination/provisioning/health.go
+++ b/internal/coordination/provisioning/health.go
@@ -29,8 +29,8 @@
 		if known && status.Unresponsive {
 			counts.unresponsive[machine.Shard]++
 		}
-		// A machine that its holder has just acquired and not heard yet counts neither as
-		// heard nor as silent.
+		// A machine that its holder has just acquired and not heard from yet counts
+		// neither as heard nor as silent.
 		switch {
 		case !known || !status.Seen && status.Tasks == 0:
 		case status.Silent > c.Members.HeartbeatTolerance():
--- a/internal/coordination/provisioning/loss.go
+++ b/internal/coordination/provisioning/loss.go
@@ -42,7 +42,7 @@
 		return "silent"
 	case silent && status.Tasks > 0:
 		// The machine was up under an earlier holder, and the current holder has not heard
-		// its agent. The condition uses the task count of the status, not that of the
+		// from its agent. The condition uses the task count of the status, not that of the
 		// records: the records are newer and may show the first task of a machine that has
 		// just come up and is not silent.
 		return "silent since its holder changed"
--- a/internal/coordination/provisioning/machine_types.go
+++ b/internal/coordination/provisioning/machine_types.go
@@ -58,7 +58,7 @@
 		Preconditions: []protocol.Precondition{t.Leadership.Precondition(), {Key: storage.KeyMachineTypes, Version: t.view().MachineTypesVersion}},
 		Operations:    []protocol.Operation{{Put: storage.KeyMachineTypes, Value: storage.Encode(t.catalogue)}},
 	}, func(uint64, error) {
-		t.Generation.Later(kv.RetryDelay, t.write.Finish)
+		t.Generation.AfterIfActive(kv.RetryDelay, t.write.Finish)
 	})
 }
 
--- a/internal/coordination/quota/split.go
+++ b/internal/coordination/quota/split.go
@@ -17,8 +17,8 @@
 // A first split, or one for a new number of job shards, is the target. Otherwise the split
 // changes only while all holders acknowledge the current one and a shard is short. A part
 // grows only out of unassigned quota: quota that is taken from a part above its target is
-// unassigned first and can be given to another part by a later split.
-// guaranteed is the team's guarantee in units of 1/storage.WholeQuota of its maximum.
+// unassigned first and can be assigned to another part by a later split. guaranteed is the
+// team's guarantee in units of 1/storage.WholeQuota of its maximum.
 func split(current []int, demands []Demand, guaranteed int, acknowledged bool) []int {
 	target := targetSplit(demands)
 	if len(current) != len(demands) {
--- a/internal/coordination/reconcile/allocs_test.go
+++ b/internal/coordination/reconcile/allocs_test.go
@@ -69,7 +69,7 @@
 	}
 	f.remove(storage.JobKey("run-50"))
 	f.recordsChanged()
-	if f.reconciler.synced.jobsEnded != f.view.JobsEnded {
+	if f.reconciler.synced.inactiveJobs != f.view.InactiveJobsRevision {
 		t.Error("the end of a job was not processed")
 	}
 }
--- a/internal/coordination/reconcile/job_progress.go
+++ b/internal/coordination/reconcile/job_progress.go
@@ -73,14 +73,14 @@
 // activeJobs caches the list of active jobs: those that have neither ended nor been
 // cancelled.
 type activeJobs struct {
-	list          []*storage.Job
-	seenJobsAdded uint64 // View.JobsAdded when the list was built
+	list         []*storage.Job
+	seenJobOrder uint64 // View.JobOrderRevision when the list was built
 }
 
 // update returns the active jobs, sorted by the time from which they could start, then by ID.
 func (l *activeJobs) update(view *storage.View) []*storage.Job {
-	if l.seenJobsAdded != view.JobsAdded {
-		l.seenJobsAdded = view.JobsAdded
+	if l.seenJobOrder != view.JobOrderRevision {
+		l.seenJobOrder = view.JobOrderRevision
 		l.list = l.list[:0]
 		view.Jobs.All(func(_ int, job *storage.Job) {
 			if job.Active() {
--- a/internal/coordination/reconcile/page_batch.go
+++ b/internal/coordination/reconcile/page_batch.go
@@ -114,7 +114,7 @@
 	}
 	w.schedulePass()
 	// A pass over a large fleet takes long, so due pages do not wait for the next pass.
-	w.Generation.Later(flushInterval, w.flushIfHeld)
+	w.Generation.AfterIfActive(flushInterval, w.flushIfHeld)
 }
 
 func (w *recordWriter) onBatchApplied(batch *pageBatch, revision uint64) {
--- a/internal/coordination/reconcile/pass.go
+++ b/internal/coordination/reconcile/pass.go
@@ -31,7 +31,7 @@
 		return
 	}
 	r.schedule.passScheduled = true
-	r.Generation.Later(max(minPassDelay, r.schedule.nextPassAt-r.now()), func() {
+	r.Generation.AfterIfActive(max(minPassDelay, r.schedule.nextPassAt-r.now()), func() {
 		r.schedule.passScheduled = false
 		r.pass()
 	})
--- a/internal/coordination/reconcile/reconciler.go
+++ b/internal/coordination/reconcile/reconciler.go
@@ -26,7 +26,7 @@
 
 // syncedRevisions holds the revisions of the view with which the held agents and jobs were
 // last synchronized.
-type syncedRevisions struct{ fleet, jobsEnded uint64 }
+type syncedRevisions struct{ fleet, inactiveJobs uint64 }
 
 // New creates a reconciler that holds no shard.
 func New(c Config) *Reconciler {
--- a/internal/coordination/reconcile/record_writer_test.go
+++ b/internal/coordination/reconcile/record_writer_test.go
@@ -31,7 +31,7 @@
 					t.Fatalf("seed %d: page has %d bytes, estimated %d, capacity %d", seed, size, page.bytes, writer.pageCapacity())
 				}
 			}
-			f.endQuarter(random)
+			f.endRandomAttempts(random)
 		}
 	}
 }
@@ -47,8 +47,8 @@
 	f.recordsChanged()
 }
 
-// endQuarter ends a random quarter of the attempts.
-func (f *fixture) endQuarter(random *rand.Rand) {
+// endRandomAttempts ends a random quarter of the attempts.
+func (f *fixture) endRandomAttempts(random *rand.Rand) {
 	for _, agent := range f.reconciler.agents.sorted {
 		for _, ref := range storage.SortedTasks(agent.attempts) {
 			if random.IntN(4) == 0 {
--- a/internal/coordination/reconcile/sync.go
+++ b/internal/coordination/reconcile/sync.go
@@ -14,7 +14,7 @@
 // change many times a second, but most changes are to intent pages and jobs. The machines are
 // therefore scanned only after a change to the fleet.
 func (r *Reconciler) SyncWithRecords() {
-	now := syncedRevisions{fleet: r.View.FleetRevision, jobsEnded: r.View.JobsEnded}
+	now := syncedRevisions{fleet: r.View.FleetRevision, inactiveJobs: r.View.InactiveJobsRevision}
 	if r.synced == now {
 		return
 	}
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -91,7 +91,7 @@
 		}
 		if err != nil {
 			r.Log.Debug("record read failed", "err", err)
-			r.Generation.Later(r.Generation.Jitter(kv.RetryDelay), func() { r.readRecords(after, firstRevision, readyRevision) })
+			r.Generation.AfterIfActive(r.Generation.Jitter(kv.RetryDelay), func() { r.readRecords(after, firstRevision, readyRevision) })
 			return
 		}
 		for _, item := range page.Items {
@@ -120,7 +120,7 @@
 		switch {
 		case !r.Generation.Active():
 		case errors.Is(err, protocol.ErrCompacted):
-			r.Log.Warn("changes compacted, reading all records again")
+			r.Log.Warn("changes compacted, reread of all records started")
 			r.OnCompacted()
 		case err != nil:
 			r.retryWatch(readyRevision, failures)
@@ -136,7 +136,7 @@
 	if failures > failuresBeforeSlowRetry {
 		delay = r.Generation.Jitter(2 * kv.RetryDelay)
 	}
-	r.Generation.Later(delay, func() { r.watchChanges(readyRevision, failures+1) })
+	r.Generation.AfterIfActive(delay, func() { r.watchChanges(readyRevision, failures+1) })
 }
 
 // processChanges applies changes, marks the replica as ready once it has reached readyRevision, and
@@ -153,12 +153,12 @@
 	}
 }
 
-// continueWatch sends the next watch request, at least MinWatchInterval after the previous one. Under
-// load, changes arrive one at a time. The delay batches them and keeps the requests of all
-// controllers far below the limit of the store.
+// continueWatch sends the next watch request, at least MinWatchInterval after the previous
+// one. Under load, changes arrive one at a time. The delay batches them and keeps the requests
+// of all controllers far below the limit of the store.
 func (r *Replica) continueWatch(sentAt time.Duration, readyRevision uint64) {
 	if delay := sentAt + r.MinWatchInterval - r.Generation.Now(); delay > 0 && r.ready {
-		r.Generation.Later(delay, func() { r.watchChanges(readyRevision, 0) })
+		r.Generation.AfterIfActive(delay, func() { r.watchChanges(readyRevision, 0) })
 		return
 	}
 	r.watchChanges(readyRevision, 0)
@@ -168,18 +168,18 @@
 // records. Incarnations derive from the wall clock. If a process restarts within a fraction of a
 // second, the wall clock may have stepped back in between, within its error bound.
 func (r *Replica) raiseIncarnation() {
-	former := r.View.Liveness[r.Controller].Incarnation
+	earlier := r.View.Liveness[r.Controller].Incarnation
 	if r.View.Leader.Controller == r.Controller {
-		former = max(former, r.View.Leader.Incarnation)
+		earlier = max(earlier, r.View.Leader.Incarnation)
 	}
 	for _, grant := range r.View.Grants {
 		if grant.Controller == r.Controller {
-			former = max(former, grant.Incarnation)
+			earlier = max(earlier, grant.Incarnation)
 		}
 	}
-	if former >= r.Incarnation {
-		r.Log.Warn("wall clock stepped back", "incarnation", r.Incarnation, "former", former)
-		r.Incarnation = former + 1
+	if earlier >= r.Incarnation {
+		r.Log.Warn("wall clock stepped back", "incarnation", r.Incarnation, "former", earlier)
+		r.Incarnation = earlier + 1
 	}
 }
 
@@ -209,6 +209,6 @@
 		return
 	}
 	if err := r.View.Apply(key, value, version); err != nil {
-		r.Log.Error("record unreadable", "err", err)
+		r.Log.Error("record decode failed", "err", err)
 	}
 }
--- a/internal/coordination/replica/replica_test.go
+++ b/internal/coordination/replica/replica_test.go
@@ -85,14 +85,14 @@
 	}
 }
 
-// TestIncarnationAboveFormer: the wall clock may step back between the end of a process and its
-// restart. The new incarnation must still be higher than the former one.
-func TestIncarnationAboveFormer(t *testing.T) {
-	const former = 15
-	grant := storage.Encode(storage.GrantRecord{Controller: "a", Incarnation: former, FencingToken: 1 << 44})
+// TestIncarnationAboveEarlier: the wall clock may step back between the end of a process and
+// its restart. The new incarnation must still be higher than the earlier one.
+func TestIncarnationAboveEarlier(t *testing.T) {
+	const earlier = 15
+	grant := storage.Encode(storage.GrantRecord{Controller: "a", Incarnation: earlier, FencingToken: 1 << 44})
 	r := newTestReplica(t, protocol.KeyValue{Key: storage.GrantKey(0), Value: grant, Version: 1})
-	if r.Incarnation <= former {
-		t.Errorf("incarnation %d is not above the former one, %d", r.Incarnation, former)
+	if r.Incarnation <= earlier {
+		t.Errorf("incarnation %d is not above the earlier one, %d", r.Incarnation, earlier)
 	}
 }
 
--- a/internal/coordination/replica/sync.go
+++ b/internal/coordination/replica/sync.go
@@ -25,7 +25,7 @@
 
 func (r *Replica) scheduleSync() {
 	r.syncScheduled = true
-	r.Generation.Later(max(0, r.nextSyncAt-r.Generation.Now()), r.readChanges)
+	r.Generation.AfterIfActive(max(0, r.nextSyncAt-r.Generation.Now()), r.readChanges)
 }
 
 // readChanges sends one watch request for all waiting callers of Sync.
--- a/internal/coordination/sharding/assigner.go
+++ b/internal/coordination/sharding/assigner.go
@@ -14,7 +14,7 @@
 )
 
 // startupGrace is how long a new leader waits for heartbeats of all controllers before it
-// grants the shards of a new cluster to the controllers that it has heard.
+// grants the shards of a new cluster to the controllers that it has heard from.
 const startupGrace = 2 * time.Second
 
 // Leadership is the leadership under which an Assigner acts.
@@ -111,7 +111,7 @@
 		return a.bestController(shard, jobShards)
 	case holder != nil && holder.Leaving && holder.Incarnation == grant.Incarnation:
 		return a.bestController(shard, jobShards)
-	case holder != nil && now-holder.HeardAt < membership.PeerTimeout && holder.Incarnation > grant.Incarnation:
+	case holder != nil && now-holder.LastContactAt < membership.PeerTimeout && holder.Incarnation > grant.Incarnation:
 		// The holder has restarted, so the incarnation that was granted the shard has ended.
 		return grant.Controller
 	case a.holderAlive(grant, holder):
@@ -124,11 +124,11 @@
 	return ""
 }
 
-// holderAlive reports whether the leader has heard the granted incarnation of the holder
+// holderAlive reports whether the leader has heard from the granted incarnation of the holder
 // within the shard lease and still extends its shard leases.
 func (a *Assigner) holderAlive(grant *storage.Grant, holder *membership.Peer) bool {
 	return holder != nil && holder.Incarnation == grant.Incarnation &&
-		a.Generation.Now()-holder.HeardAt < a.ShardLease && !a.Members.PartitionedFromStore(holder)
+		a.Generation.Now()-holder.LastContactAt < a.ShardLease && !a.Members.PartitionedFromStore(holder)
 }
 
 // leaseExpired reports whether this leader has not extended a holder's shard leases for a
@@ -136,7 +136,7 @@
 // an earlier leader may have extended the leases.
 func (a *Assigner) leaseExpired(holder *membership.Peer) bool {
 	now := a.Generation.Now()
-	return holder == nil || now-holder.HeardAt > a.ShardLease || now-holder.ConfirmedAt > a.ShardLease
+	return holder == nil || now-holder.LastContactAt > a.ShardLease || now-holder.ConfirmedAt > a.ShardLease
 }
 
 // bestController chooses the controller to which a shard is granted.
--- a/internal/coordination/sharding/leases.go
+++ b/internal/coordination/sharding/leases.go
@@ -26,19 +26,19 @@
 // Leases are the shard leases of this controller.
 type Leases struct {
 	LeasesConfig
-	expiry      []time.Duration // by shard
-	grantSeenAt []time.Duration // by shard: when the current grant was first seen; 0: not held
-	heardAt     []time.Duration // by shard: when this controller last heard one of its agents; 0: never
+	expiry         []time.Duration // by shard
+	grantSeenAt    []time.Duration // by shard: when the current grant was first seen; 0: not held
+	agentContactAt []time.Duration // by shard: when this controller last heard from one of its agents; 0: never
 }
 
 // NewLeases creates leases that have all expired.
 func NewLeases(c LeasesConfig) *Leases {
 	shards := len(c.Replica.View.Grants)
 	return &Leases{
-		LeasesConfig: c,
-		expiry:       make([]time.Duration, shards),
-		grantSeenAt:  make([]time.Duration, shards),
-		heardAt:      make([]time.Duration, shards),
+		LeasesConfig:   c,
+		expiry:         make([]time.Duration, shards),
+		grantSeenAt:    make([]time.Duration, shards),
+		agentContactAt: make([]time.Duration, shards),
 	}
 }
 
@@ -80,9 +80,10 @@
 	}
 }
 
-// RecordAgentContact records that this controller has heard an agent of a shard. The shard may
-// be held by another controller.
-func (l *Leases) RecordAgentContact(shard int) { l.heardAt[shard] = l.Generation.Now() }
+// RecordAgentContact records that this controller has heard from an agent of a shard. The shard
+// may be held by another controller.
+func (l *Leases) RecordAgentContact(shard int) { l.agentContactAt[shard] = l.Generation.Now() }
 
-// HeardAt returns, by shard, when this controller last heard one of its agents; 0: never.
-func (l *Leases) HeardAt() []time.Duration { return l.heardAt }
+// AgentContactTimes returns, by shard, when this controller last heard from an agent of the
+// shard; 0: never.
+func (l *Leases) AgentContactTimes() []time.Duration { return l.agentContactAt }
--- a/internal/coordination/sharding/rebalance.go
+++ b/internal/coordination/sharding/rebalance.go
@@ -29,7 +29,7 @@
 		a.Log.Warn("shard holder unreachable for agents", "shard", shard, "holder", name, "term", a.Leadership.Term())
 		a.unreachableAt[name], a.lastMoveAt = now, now
 		return a.chooseController(shard, jobShards, func(controller string) bool {
-			return a.Members.HearsAgents(controller, shard)
+			return a.Members.HasAgentContact(controller, shard)
 		})
 	case a.shouldRebalance(shard, jobShards):
 		a.Log.Info("job shard rebalanced", "shard", shard, "holder", name, "term", a.Leadership.Term())
@@ -41,18 +41,19 @@
 	return ""
 }
 
-// holderUnreachable reports whether the holder of a job shard has heard none of its agents
-// for so long that lost heartbeats cannot explain it, while another controller hears them.
-// Agents that cannot reach the holder try the other controllers in turn, which redirect them to
-// the holder until their leases expire. A holder that only agents cannot reach is recognized in
-// this way; a holder whose machines are all gone is not, because no controller hears its agents.
+// holderUnreachable reports whether the holder of a job shard has heard from none of its
+// agents for so long that lost heartbeats cannot explain it, while another controller hears
+// from them. Agents that cannot reach the holder try the other controllers in turn, which
+// redirect them to the holder until their leases expire. A holder that only agents cannot reach
+// is recognized in this way; a holder whose machines are all gone is not, because no controller
+// hears from its agents.
 func (a *Assigner) holderUnreachable(shard int, holder *membership.Peer) bool {
 	const minAgents = 4
 	now := a.Generation.Now()
 	if !a.isJobShard(shard) || !holder.ReportsShard(shard) || now-holder.HeartbeatAt > 3*membership.HeartbeatInterval {
 		return false
 	}
-	silence := now - max(holder.ShardHeardAt(shard), a.grantCalls[shard].NotBefore(), a.Leadership.Since())
+	silence := now - max(holder.AgentContactAt(shard), a.grantCalls[shard].NotBefore(), a.Leadership.Since())
 	if silence < membership.AgentAnswerTimeout {
 		return false
 	}
@@ -66,7 +67,7 @@
 		return false
 	}
 	return slices.ContainsFunc(a.Controllers, func(controller string) bool {
-		return a.Members.HearsAgents(controller, shard)
+		return a.Members.HasAgentContact(controller, shard)
 	})
 }
 
@@ -97,13 +98,13 @@
 }
 
 // recentlyUnreachable reports whether a controller recently lost a shard because agents could
-// not reach it, and has heard no agent since. A controller without a job shard may hear no
-// agent for long, so it becomes eligible again after unreachablePenalty.
+// not reach it, and has heard from no agent since. A controller without a job shard may hear from
+// no agent for long, so it becomes eligible again after unreachablePenalty.
 func (a *Assigner) recentlyUnreachable(controller string) bool {
 	at, unreachable := a.unreachableAt[controller]
 	if !unreachable || a.Generation.Now()-at > unreachablePenalty {
 		return false
 	}
 	peer := a.Members.Peer(controller)
-	return peer == nil || !peer.HeardAnyShardSince(at)
+	return peer == nil || !peer.AnyAgentContactSince(at)
 }
--- a/internal/coordination/sharding/sharding_test.go
+++ b/internal/coordination/sharding/sharding_test.go
@@ -44,7 +44,7 @@
 func (l *testLeader) Term() uint64                                     { return 4 }
 func (l *testLeader) Since() time.Duration                             { return l.since }
 func (l *testLeader) MayAnswer() bool                                  { return true }
-func (l *testLeader) StoreHeardSince() time.Duration                   { return 0 }
+func (l *testLeader) StoreContactSince() time.Duration                 { return 0 }
 func (l *testLeader) Precondition() protocol.Precondition {
 	return protocol.Precondition{Key: storage.KeyLeader, Version: l.replica.View.LeaderVersion}
 }
@@ -136,9 +136,9 @@
 		heard  map[string]uint64 // incarnations of the controllers that send a heartbeat
 		want   string
 	}{
-		{"no grant before all controllers are heard", func(*testLeader) {}, 0, map[string]uint64{"a": 3}, ""},
+		{"no grant before heartbeats of all controllers", func(*testLeader) {}, 0, map[string]uint64{"a": 3}, ""},
 		{"a controller other than the leader is preferred", func(*testLeader) {}, 0, map[string]uint64{"a": 3, "b": 5}, "b"},
-		{"after the startup grace a controller that was heard", func(*testLeader) {}, startupGrace + time.Second, map[string]uint64{"a": 3}, "a"},
+		{"after the startup grace a controller that sent a heartbeat", func(*testLeader) {}, startupGrace + time.Second, map[string]uint64{"a": 3}, "a"},
 		{"a live holder retains its shard", recordGrant("b", 5), time.Second, map[string]uint64{"a": 3, "b": 5}, ""},
 		{"a restarted holder gets a new grant", recordGrant("b", 4), time.Second, map[string]uint64{"a": 3, "b": 5}, "b"},
 		{"a holder without heartbeats retains its shard for a shard lease", recordGrant("b", 5), testShardLease, map[string]uint64{"a": 3}, ""},
@@ -254,14 +254,14 @@
 	}
 }
 
-// TestFormerIncarnationHoldsNoShard: a controller that restarts quickly does not act under the
-// grant of its former incarnation.
-func TestFormerIncarnationHoldsNoShard(t *testing.T) {
+// TestEarlierIncarnationHoldsNoShard: a controller that restarts quickly does not act under the
+// grant of its earlier incarnation.
+func TestEarlierIncarnationHoldsNoShard(t *testing.T) {
 	l := newTestLeader(t, 1, "a", "b")
 	l.applyRecord(storage.GrantKey(0), storage.GrantRecord{Controller: "a", Incarnation: 2, FencingToken: 1})
 	l.leases.ObserveGrants()
 	if l.leases.Holds(0) || l.leases.MayActFor(0) {
-		t.Error("holds the shard granted to its former incarnation")
+		t.Error("holds the shard granted to its earlier incarnation")
 	}
 }
 
@@ -295,9 +295,9 @@
 	}
 }
 
-// TestUnreachableHolderIsReplaced: if a holder hears none of its agents while another
-// controller hears them, the shard moves to that controller. The former holder gets no job
-// shard until agents reach it again.
+// TestUnreachableHolderIsReplaced: if a holder hears from none of its agents while
+// another controller hears from them, the shard moves to that controller. The earlier holder
+// gets no job shard until agents reach it again.
 func TestUnreachableHolderIsReplaced(t *testing.T) {
 	l := newTestLeader(t, 1, "a", "b", "c")
 	l.applyRecord(storage.KeyJobShards, storage.JobShardsRecord{JobShards: 1})
@@ -326,12 +326,12 @@
 		t.Errorf("replaced after %s", replacedAfter)
 	}
 	if !l.assigner.recentlyUnreachable("b") {
-		t.Error("the former holder may get a job shard immediately")
+		t.Error("the earlier holder may get a job shard immediately")
 	}
 	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, ShardHeartbeatAges: []time.Duration{0}})
 	l.now += time.Second
 	l.members.OnHeartbeat(&protocol.PeerHeartbeat{Controller: "b", Incarnation: 5, ShardHeartbeatAges: []time.Duration{0}})
 	if l.assigner.recentlyUnreachable("b") {
-		t.Error("the former holder may get no job shard although agents reach it")
+		t.Error("the earlier holder may get no job shard although agents reach it")
 	}
 }
--- a/internal/protocol/kv_client.go
+++ b/internal/protocol/kv_client.go
@@ -78,10 +78,10 @@
 
 // OpenLease opens a lease that ends unless it is renewed within the time to live, which is
 // truncated to milliseconds.
-func (c *KVClient) OpenLease(timeToLive time.Duration) (uint64, error) {
+func (c *KVClient) OpenLease(ttl time.Duration) (uint64, error) {
 	request := struct {
 		Milliseconds int64 `json:"lifeMs"`
-	}{timeToLive.Milliseconds()}
+	}{ttl.Milliseconds()}
 	var opened struct {
 		Lease uint64 `json:"permit"`
 	}
--- a/internal/scenario/actions_users.go
+++ b/internal/scenario/actions_users.go
@@ -26,7 +26,7 @@
 	job := parseJob(line)
 	switch when := line.text("when", whenNow); when {
 	case whenAccepted, whenEnded:
-		return func() { sim.users.submitWhen(job, when == whenEnded) }
+		return func() { sim.users.submitWhenReady(job, when == whenEnded) }
 	case whenNow:
 	default:
 		line.fail("submit: unknown when=%s (allowed: %s, %s, %s)", when, whenNow, whenAccepted, whenEnded)
--- a/internal/scenario/agent_link.go
+++ b/internal/scenario/agent_link.go
@@ -107,11 +107,12 @@
 	if d.timedOut {
 		d.fail()
 	}
-	sim.after(requestDelay, func() { d.arrive(agent, answerDelay) })
+	sim.after(requestDelay, func() { d.executeAndAnswer(agent, answerDelay) })
 }
 
-// arrive executes the commands and answers after extraDelay and the latency of a message.
-func (d *commandDelivery) arrive(agent *fakeAgent, extraDelay time.Duration) {
+// executeAndAnswer executes the commands and answers after extraDelay and the latency of a
+// message.
+func (d *commandDelivery) executeAndAnswer(agent *fakeAgent, extraDelay time.Duration) {
 	if agent.dead || agent.partitioned || agent.inboundPartition || agent.isPaused() {
 		if !d.timedOut {
 			d.fail()
--- a/internal/scenario/checker_dependencies.go
+++ b/internal/scenario/checker_dependencies.go
@@ -79,7 +79,7 @@
 }
 
 // checkSubmissionAnswer checks the answer to a submission against the job's dependencies.
-// allAccepted tells whether all of them had been accepted when the submission was sent.
+// allAccepted reports whether all of them had been accepted when the submission was sent.
 func (c *checker) checkSubmissionAnswer(job *userJob, status int, allAccepted bool) {
 	dependencies := job.spec.Dependencies
 	switch {
--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -10,7 +10,8 @@
 	"rockrun/internal/protocol"
 )
 
-// newIdleSimulation returns a simulation with one idle machine and one accepted job that fits on it.
+// newIdleSimulation returns a simulation with one idle machine and one accepted job that fits
+// on it.
 func newIdleSimulation() (*simulation, *userJob) {
 	sim := newSimulation(config.Cluster{
 		Teams:  []config.Team{{Name: "red", MaxCPUs: 4}},
--- a/internal/scenario/random_faults_test.go
+++ b/internal/scenario/random_faults_test.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// drawLongOrWideFault draws a fault that may last longer than a lease or affects many controllers or
-// machines.
+// drawLongOrWideFault draws a fault that may last longer than a lease or affects many
+// controllers or machines.
 func (g *scenarioGenerator) drawLongOrWideFault() {
 	at := seconds(10 + g.rand.IntN(220))
 	controller := g.oneOf("a", "b", "c")
--- a/internal/scenario/random_handovers_test.go
+++ b/internal/scenario/random_handovers_test.go
@@ -17,12 +17,12 @@
 	firstHandoverSeed = flag.Uint64("handover-seed", 1, "seed of the first scenario of the handover soak test; the others use the seeds that follow")
 )
 
-// TestHandoverSoak runs scenarios in which the shards of small fleets change holders while messages
-// are lost or delayed. Machines boot within two seconds, paused holders resume after their shard was
-// granted to another controller, all controllers crash within a second, and messages of the cloud,
-// the store and machines arrive late or not at all. At no time may two machines have an
-// unfinished attempt of the same task, and no other rule may be violated. A failure names the seed
-// of its scenario; -handover-seed repeats it.
+// TestHandoverSoak runs scenarios in which the shards of small fleets change holders while
+// messages are lost or delayed. Machines boot within two seconds, paused holders resume after
+// their shard was granted to another controller, all controllers crash within a second, and
+// messages of the cloud, the store and machines arrive late or not at all. At no time may two
+// machines have an unfinished attempt of the same task, and no other rule may be violated. A
+// failure names the seed of its scenario; -handover-seed repeats it.
 func TestHandoverSoak(t *testing.T) {
 	for seed := *firstHandoverSeed; seed < *firstHandoverSeed+*handoverRuns; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -62,12 +62,12 @@
 	return world
 }
 
-// drawHandoverScenario draws waves of jobs, and faults during each wave.
+// drawHandoverScenario draws bursts of jobs, and faults during each burst.
 func (g *scenarioGenerator) drawHandoverScenario() {
 	g.add(time.Second, "submit run-1 kind=service priority=critical tasks=3 cpus=2 image-gb=0")
-	for wave := range 8 {
-		at := seconds(8+18*wave) + g.millisecondsBelow(6000)
-		g.drawWave(wave, at)
+	for burst := range 8 {
+		at := seconds(8+18*burst) + g.millisecondsBelow(6000)
+		g.drawBurst(burst, at)
 		for range 3 {
 			g.drawHandoverFault(at)
 		}
@@ -82,16 +82,16 @@
 	g.add(240*time.Second, "end")
 }
 
-// drawWave draws a service and arrays that need new machines within one or two seconds.
-func (g *scenarioGenerator) drawWave(wave int, at time.Duration) {
+// drawBurst draws a service and arrays that need new machines within one or two seconds.
+func (g *scenarioGenerator) drawBurst(burst int, at time.Duration) {
 	r := g.rand
-	g.add(at, "submit run-%d kind=service priority=critical tasks=%d cpus=%d image-gb=0", 10+wave, 1+r.IntN(3), 2+2*r.IntN(2))
+	g.add(at, "submit run-%d kind=service priority=critical tasks=%d cpus=%d image-gb=0", 10+burst, 1+r.IntN(3), 2+2*r.IntN(2))
 	for i := range 1 + r.IntN(3) {
 		g.add(at+g.millisecondsBelow(3000), "submit run-%d team=%s tasks=%d cpus=%d run=%d estimate=%d image-gb=%d spot=%d",
-			100+10*wave+i, g.oneOf("red", "blue"), 1+r.IntN(6), 1+r.IntN(3), 5+r.IntN(40), 5+r.IntN(40), r.IntN(2), r.IntN(2))
+			100+10*burst+i, g.oneOf("red", "blue"), 1+r.IntN(6), 1+r.IntN(3), 5+r.IntN(40), 5+r.IntN(40), r.IntN(2), r.IntN(2))
 	}
 	if r.IntN(2) == 0 {
-		g.add(at+seconds(20)+g.secondsBelow(40), "cancel run-%d", 10+wave)
+		g.add(at+seconds(20)+g.secondsBelow(40), "cancel run-%d", 10+burst)
 	}
 }
 
--- a/internal/scenario/simulation.go
+++ b/internal/scenario/simulation.go
@@ -44,7 +44,7 @@
 		options: options,
 		agents:  map[string]*fakeAgent{},
 	}
-	sim.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: sim.replaceTime}))
+	sim.log = slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: sim.replaceLogTime}))
 	sim.faults = &faultLog{clock: &sim.clock}
 	sim.store = newStore(sim)
 	sim.cloud = &fakeCloud{sim: sim, requests: map[string][]string{}, capacity: map[machinePool]int{}}
@@ -54,8 +54,8 @@
 	return sim
 }
 
-// replaceTime replaces the wall-clock time of log lines by the virtual time of the scenario.
-func (s *simulation) replaceTime(groups []string, attr slog.Attr) slog.Attr {
+// replaceLogTime replaces the wall-clock time of log lines by the virtual time of the scenario.
+func (s *simulation) replaceLogTime(groups []string, attr slog.Attr) slog.Attr {
 	if len(groups) == 0 && attr.Key == slog.TimeKey {
 		return slog.Duration("at", s.now)
 	}
--- a/internal/scenario/store.go
+++ b/internal/scenario/store.go
@@ -180,12 +180,12 @@
 // checkPreconditions returns protocol.ErrConflict unless every item has the version that the
 // transaction expects, and protocol.ErrLeaseNotFound unless all its leases exist.
 func (s *fakeStore) checkPreconditions(transaction protocol.Transaction) error {
-	for _, condition := range transaction.Preconditions {
+	for _, precondition := range transaction.Preconditions {
 		var version uint64 // 0: the item does not exist
-		if item := s.items[condition.Key]; item != nil {
+		if item := s.items[precondition.Key]; item != nil {
 			version = item.Version
 		}
-		if version != condition.Version {
+		if version != precondition.Version {
 			return protocol.ErrConflict
 		}
 	}
--- a/internal/scenario/users_pipelines.go
+++ b/internal/scenario/users_pipelines.go
@@ -16,12 +16,12 @@
 // is the longest time between the acceptance of the dependencies and the submission.
 const dependencyPollInterval = time.Millisecond
 
-// submitWhen submits a job once all of its dependencies are accepted and, with afterEnd,
+// submitWhenReady submits a job once all of its dependencies are accepted and, with afterEnd,
 // their outcomes are known.
-func (u *fakeUsers) submitWhen(job *userJob, afterEnd bool) {
+func (u *fakeUsers) submitWhenReady(job *userJob, afterEnd bool) {
 	ready := u.dependenciesAccepted(job) && (!afterEnd || u.dependenciesEnded(job))
 	if !ready {
-		u.sim.after(dependencyPollInterval, func() { u.submitWhen(job, afterEnd) })
+		u.sim.after(dependencyPollInterval, func() { u.submitWhenReady(job, afterEnd) })
 		return
 	}
 	u.submitNew(job)
@@ -115,6 +115,6 @@
 // submitted only once the outcomes of its dependencies are known.
 func (u *fakeUsers) submitPipeline(jobs []*userJob, delayLast bool) {
 	for i, job := range jobs {
-		u.submitWhen(job, delayLast && i == len(jobs)-1)
+		u.submitWhenReady(job, delayLast && i == len(jobs)-1)
 	}
 }
--- a/internal/storage/decode_test.go
+++ b/internal/storage/decode_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// Size of the records that TestDecodedRecordsSurviveGarbageCollection decodes: the number of
-// intent pages, jobs per page, and tasks per job. All tasks of a job are on one machine.
+// samplePages, sampleJobsPerPage and sampleTasksPerJob are the numbers of intent pages, of jobs
+// per page and of tasks per job that TestDecodedRecordsSurviveGarbageCollection decodes.
+// All tasks of a job are on one machine.
 const samplePages, sampleJobsPerPage, sampleTasksPerJob = 60, 12, 20
 
 func sampleJobID(page, job int) string       { return fmt.Sprintf("run-%d", page*100+job) }
--- a/internal/storage/dependencies.go
+++ b/internal/storage/dependencies.go
@@ -171,7 +171,7 @@
 		dependent.pendingDependencies--
 		if dependent.pendingDependencies == 0 {
 			released = append(released, dependent)
-			v.JobsAdded++ // the job's position in the placement order depends on this time
+			v.JobOrderRevision++ // the job's position in the placement order depends on this time
 		}
 	}
 	return released
@@ -198,7 +198,7 @@
 		}
 	}
 	if len(marked) > 0 {
-		v.JobsEnded++ // invalidates lists of runnable jobs
+		v.InactiveJobsRevision++ // invalidates lists of runnable jobs
 	}
 	return marked
 }
--- a/internal/storage/job.go
+++ b/internal/storage/job.go
@@ -80,7 +80,7 @@
 		j.MachineTypeIndices = append(j.MachineTypeIndices, v.MachineTypeIndex(name))
 	}
 	j.Shard = v.shardOf(j)
-	v.JobsAdded++
+	v.JobOrderRevision++
 	v.linkDependencies(j, spec.Dependencies)
 }
 
@@ -90,7 +90,7 @@
 		return
 	}
 	j.Version = 0
-	v.JobsEnded++
+	v.InactiveJobsRevision++
 	v.endJob(j)
 	v.DeleteJobIfUnreferenced(j)
 }
--- a/internal/storage/job_test.go
+++ b/internal/storage/job_test.go
@@ -47,8 +47,8 @@
 	if j.TeamIndex != -1 || v.ZoneNames.Name(j.ZoneIndex) != "north" || v.ImageNames.Name(j.ImageIndex) != "tools" || len(j.MachineTypeIndices) != 2 {
 		t.Errorf("%+v", j)
 	}
-	if v.JobsAdded != 2 || v.JobsEnded != 0 {
-		t.Errorf("added %d, ended %d", v.JobsAdded, v.JobsEnded)
+	if v.JobOrderRevision != 2 || v.InactiveJobsRevision != 0 {
+		t.Errorf("job order revision %d, inactive jobs revision %d, want 2 and 0", v.JobOrderRevision, v.InactiveJobsRevision)
 	}
 }
 
--- a/internal/storage/priority.go
+++ b/internal/storage/priority.go
@@ -9,7 +9,7 @@
 // jobsRevision returns a number that increases when a job is read or ends, when a job's last
 // dependency is done, and when jobs are cancelled with another. It is never 0, which marks
 // an inheritedRank that has not been computed.
-func (r *Revisions) jobsRevision() uint64 { return r.JobsAdded + r.JobsEnded + 1 }
+func (r *Revisions) jobsRevision() uint64 { return r.JobOrderRevision + r.InactiveJobsRevision + 1 }
 
 // EffectiveRank returns a job's effective priority as a number, with 0 for the highest
 // priority. It is the highest priority of the job itself and of all active jobs that depend
--- a/internal/storage/view.go
+++ b/internal/storage/view.go
@@ -31,9 +31,9 @@
 // Revisions are counters that increase when the view changes. Code that caches data
 // derived from the view recomputes the data only after the counter for it has increased.
 type Revisions struct {
-	JobsAdded     uint64 // increases when a job is read and when a job's last dependency is done
-	JobsEnded     uint64 // increases when a job ends or is found to be cancelled with another
-	FleetRevision uint64 // increases with each change of a machine group, a grant or the number of job shards
+	JobOrderRevision     uint64 // increases when a job is read and when a job's last dependency is done
+	InactiveJobsRevision uint64 // increases when a job ends or is found to be cancelled with another
+	FleetRevision        uint64 // increases with each change of a machine group, a grant or the number of job shards
 }
 
 // recordPage is an intent page or a completion page as last read.
--- a/internal/transport/backend.go
+++ b/internal/transport/backend.go
@@ -73,8 +73,8 @@
 }
 
 // OpenLease implements kv.Store.
-func (s *AsyncKVStore) OpenLease(timeToLive time.Duration, done func(uint64, error)) {
-	startCall(s.pool, func() (uint64, error) { return s.client.OpenLease(timeToLive) }, done)
+func (s *AsyncKVStore) OpenLease(ttl time.Duration, done func(uint64, error)) {
+	startCall(s.pool, func() (uint64, error) { return s.client.OpenLease(ttl) }, done)
 }
 
 // RenewLease implements kv.Store.
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// maxRequestBody is the body size in bytes above which a request is rejected without being read.
+	// maxRequestBody is the body size in bytes above which a request is rejected without being
+	// read.
 	maxRequestBody = 4 * protocol.MaxBody
 	// readTimeout limits the time to read a request and the wait for the next one on a
 	// connection.
