--- a/internal/coordination/autoscaler/planner.go
+++ b/internal/coordination/autoscaler/planner.go
@@ -98,7 +98,7 @@
 
 // subtractTurnover subtracts from the demand of an array the tasks that existing machines
 // will serve before a new machine could start them. Machines created for those tasks would
-// boot to an empty queue.
+// find no task to run once they have booted.
 func (p *Planner) subtractTurnover(demand *Demand) {
 	if demand.Job.Kind != protocol.KindArray {
 		return
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -72,23 +72,23 @@
 }
 
 // New creates a controller. Start must be called next.
-func New(c Config) *Controller {
-	agents := c.Settings.Cluster.Agents
-	peers := peerNames(c.Settings)
+func New(configuration Config) *Controller {
+	agents := configuration.Settings.Cluster.Agents
+	peers := peerNames(configuration.Settings)
 	controller := &Controller{
-		Config:       c,
-		controllers:  append(slices.Clone(peers), c.Settings.Controller),
-		shardLease:   c.Options.ShardLease(agents),
+		Config:       configuration,
+		controllers:  append(slices.Clone(peers), configuration.Settings.Controller),
+		shardLease:   configuration.Options.ShardLease(agents),
 		maxStaleness: agents.MaxStaleness(),
-		committer:    kv.NewCommitter(c.Store, c.Settings.Cluster.KVStore.Limits(), c.Log),
+		committer:    kv.NewCommitter(configuration.Store, configuration.Settings.Cluster.KVStore.Limits(), configuration.Log),
 	}
 	slices.Sort(controller.controllers)
 	controller.jobs = jobs.New(jobs.Config{
-		Store:     c.Store,
+		Store:     configuration.Store,
 		Committer: controller.committer,
-		Peers:     c.Peers,
+		Peers:     configuration.Peers,
 		PeerNames: peers,
-		Log:       c.Log,
+		Log:       configuration.Log,
 	})
 	return controller
 }
--- a/internal/coordination/generation.go
+++ b/internal/coordination/generation.go
@@ -16,9 +16,9 @@
 )
 
 // beginGeneration starts a new generation with an empty view. It is called at the start, when
-// the store no longer has the changes that follow the view, and when the attempt numbers of
-// the grants are used up. Shards that the previous generation held are granted again under
-// higher fencing tokens, so agents reject its delayed commands.
+// the store no longer has the changes that follow the view, and when the attempt numbers
+// available under the grants are used up. Shards that the previous generation held are granted
+// again under higher fencing tokens, so agents reject delayed commands of that generation.
 func (c *Controller) beginGeneration() {
 	previous := &replica.Replica{}
 	if c.replica != nil {
@@ -46,7 +46,8 @@
 }
 
 // beginReplica creates the replica of the generation. Its incarnation is above the previous one,
-// and its first sync keeps the minimum interval to the last sync of the previous replica.
+// and its first sync starts no sooner than the minimum interval after the last sync of the previous
+// replica.
 func (c *Controller) beginReplica(previous *replica.Replica) {
 	limits := c.Settings.Cluster.KVStore.Limits()
 	c.replica = replica.New(replica.Config{
--- a/internal/coordination/placement/preemption.go
+++ b/internal/coordination/placement/preemption.go
@@ -123,8 +123,8 @@
 // are valid until the next call.
 //
 // On a machine without reservations, resources of attempts that are already stopping count
-// as free. On a machine with reservations, the recorded remainder already includes them and
-// excludes the resources reserved.
+// as free. On a machine with reservations, the recorded unreserved resources already include the
+// resources of stopping attempts and exclude the reserved resources.
 func (r *Round[M]) preemptionOn(machine M, pending *Candidate) (preemption[M], bool) {
 	remaining, reserved := r.unreserved[machine]
 	if !reserved {
@@ -155,7 +155,7 @@
 }
 
 // compareVictims orders attempts by which to stop first: the lowest priority of the job
-// itself, then the latest start, because it loses the least work.
+// itself, then the latest start, because the attempt that started last loses the least work.
 func compareVictims(a, b RunningAttempt) int {
 	return cmp.Or(
 		cmp.Compare(b.Job.Rank(), a.Job.Rank()),
--- a/internal/coordination/placement/round.go
+++ b/internal/coordination/placement/round.go
@@ -55,7 +55,7 @@
 	availableMachines []M              // machines with free resources for the smallest task
 	unreserved        map[M]Resources  // by machine with a preemption in this round: free resources that no task has reserved
 	placed            bool             // a task of a job other than a gang was placed
-	unplaceable       []*storage.Job   // no machine can run these jobs, nor any job that dominates one of them
+	unplaceable       []*storage.Job   // no available machine fits a task of these jobs, nor of any job that dominates one of them
 	failedPreemptions []*Candidate     // no preemption was found for these jobs
 	scratch           []RunningAttempt // buffer for the attempts of one machine
 }
@@ -195,8 +195,8 @@
 	return true
 }
 
-// placeGang places either all pending tasks of a gang or none. It waits until no attempt
-// from an earlier round remains, because a gang that lost a task restarts as a whole.
+// placeGang places either all pending tasks of a gang or none. It places none while attempts
+// from an earlier round remain, because a gang that lost a task restarts as a whole.
 func (r *Round[M]) placeGang(gang *Candidate, state JobState) {
 	if slices.ContainsFunc(state.AttemptsByZone, func(count int) bool { return count > 0 }) {
 		return
--- a/internal/coordination/provisioning/adoption.go
+++ b/internal/coordination/provisioning/adoption.go
@@ -112,7 +112,8 @@
 }
 
 // groupFoundMachines makes groups of the machines found. No request is known for these
-// machines, so they go to the batch shard: arrays end, while services don't.
+// machines, so they go to the batch shard: its arrays end and free the machines, while services
+// run on.
 func (a *adoptions) groupFoundMachines() {
 	var previous unrecordedMachine
 	record := storage.MachineGroupRecord{Shard: storage.BatchShard}
--- a/internal/coordination/provisioning/cycle.go
+++ b/internal/coordination/provisioning/cycle.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// poolUnavailable reports whether no machines should be requested from a pool: it recently had
-// none, or its zone is partitioned.
+// poolUnavailable reports whether no machines should be requested from a pool: the pool recently
+// had none, or the pool's zone is partitioned.
 func (p *Provisioner) poolUnavailable(pool autoscaler.Pool) bool {
 	return p.partitionedZones[pool.Zone] || p.scaleOuts.refused(pool, p.now())
 }
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -44,8 +44,8 @@
 	return provisioner
 }
 
-// Tick performs all work that is due. Until the machine types are known, it only reads and
-// records those.
+// Tick performs all work that is due. Until the machine types are known, Tick only reads and
+// records the machine types.
 func (p *Provisioner) Tick() {
 	now := p.now()
 	p.types.refresh(now)
@@ -205,9 +205,9 @@
 }
 
 // addressRecorder records the addresses of machines for their next holders. Nothing waits for
-// these records, so at most one group per tick is written for an address alone, and that ends
-// the recording in this tick. Until then, addresses in groups that already have changes are
-// recorded along with those changes.
+// these records, so at most one group per tick is written for an address alone, and no further
+// address is recorded in that tick. Addresses recorded before it in the same tick are in groups
+// that already have changes, and share the writes of these changes.
 type addressRecorder struct {
 	writer  *groupWriter
 	list    *cloudList
@@ -217,7 +217,7 @@
 // record adds a change with the machine's address if the record lacks it and the write budget
 // is nearly unused.
 func (r *addressRecorder) record(machine *storage.Machine, status protocol.MachineStatus) {
-	const minBudgetShare = 0.9 // of one second's writes must be available
+	const minBudgetShare = 0.9 // share of one second's writes that must be available
 	budget := &r.writer.Committer.Budget
 	if machine.Address != "" || r.written || budget.Level() <= budget.Rate()*minBudgetShare {
 		return
--- a/internal/coordination/reconcile/detached.go
+++ b/internal/coordination/reconcile/detached.go
@@ -10,9 +10,10 @@
 // A leader moves a machine to another shard only after the holder has reported the machine as
 // empty. If the records move a machine while attempts on it are not confirmed terminated, the
 // machine is detached: its attempts still count here, so that no replacement is started, until
-// each attempt is confirmed terminated. Probes of a detached machine carry a fencing token that
-// the agent rejects or that fences no other holder, because the holder that the records name
-// acts for the machine.
+// each attempt is confirmed terminated. Another holder, which the records name, acts for the
+// machine. Probes of a detached machine therefore carry a fencing token below that of every
+// grant: the agent rejects the token or accepts it, but in neither case does the probe fence the
+// other holder.
 
 // detachment is the state of a detached machine; it is zero for all others.
 type detachment struct {
@@ -84,8 +85,8 @@
 }
 
 // acquireDetached acquires, as detached, the machines of other shards for which the intent
-// pages of a newly acquired shard name attempts of its jobs. An earlier holder of the shard
-// had these machines detached.
+// pages of a newly acquired shard name attempts of its jobs. These machines were detached
+// under an earlier holder of the shard.
 func (r *Reconciler) acquireDetached(shard int) {
 	granted := r.View.Grants[shard].FencingToken
 	r.View.Machines.All(func(_ int, machine *storage.Machine) {
@@ -107,7 +108,7 @@
 }
 
 // resolveDetachedAgents resolves the attempts on all detached machines as far as possible and
-// releases the machines that run none any more.
+// releases the machines on which no attempt can still run.
 func (r *Reconciler) resolveDetachedAgents() {
 	var detached []*agent
 	for _, agent := range r.agents.sorted {
@@ -120,8 +121,9 @@
 	}
 }
 
-// resolveDetached ends the attempts on a detached machine whose completion is durable, releases
-// the machine if none is left, and otherwise probes it.
+// resolveDetached ends those attempts on a detached machine whose completions are durable. It
+// then releases the machine if no other attempt can still run there, and otherwise probes the
+// machine.
 func (r *Reconciler) resolveDetached(agent *agent) {
 	for _, ref := range storage.SortedTasks(agent.attempts) {
 		if attempt := agent.attempts[ref]; attempt.job.Completed.Has(ref.Task) {
--- a/internal/coordination/reconcile/heartbeat.go
+++ b/internal/coordination/reconcile/heartbeat.go
@@ -170,8 +170,8 @@
 	return ended
 }
 
-// terminationCause is why an attempt that a heartbeat does not list has certainly terminated,
-// or "" if its absence proves nothing.
+// terminationCause returns why an attempt that a heartbeat does not list has certainly
+// terminated, or "" if the absence of the attempt proves nothing.
 func terminationCause(attempt *attempt, heartbeat *protocol.AgentHeartbeat) string {
 	start, fence := &attempt.start, &attempt.agent.fence
 	switch {
--- a/internal/coordination/reconcile/pass.go
+++ b/internal/coordination/reconcile/pass.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// minPassDelay is the minimum delay of a requested pass, so that one pass serves further
-	// requests too.
+	// minPassDelay is the minimum time from the request of a pass to its start. The delay lets
+	// one pass serve several requests.
 	minPassDelay = 5 * time.Millisecond
-	// minPassInterval is the minimum time from the end of a pass to the next pass. A longer
-	// pass is followed by passIntervalFactor times its duration, so that heartbeats are
-	// answered first.
+	// minPassInterval is the minimum time from the end of a pass to the next pass. After
+	// a long pass, it is passIntervalFactor times the duration of that pass, so that
+	// heartbeats are answered first.
 	minPassInterval    = 25 * time.Millisecond
 	passIntervalFactor = 6
 	// resolutionRequestInterval is the minimum time between two requests to an agent that
--- a/internal/coordination/reconcile/placer.go
+++ b/internal/coordination/reconcile/placer.go
@@ -36,8 +36,8 @@
 const heartbeatMargin = time.Second
 
 // schedulable reports whether a machine may get new tasks now. An agent that answers
-// commands but whose own heartbeats reach no controller gets none, because its lease is
-// not renewed and will expire.
+// commands but whose own heartbeats reach no controller gets no new tasks, because its lease
+// is not renewed and will expire.
 func (r *Reconciler) schedulable(agent *agent, now time.Duration) bool {
 	sinceContact := now - agent.contact.lastExchangeAt()
 	return r.Leases.MayActFor(agent.shard) && !agent.isDetached() && agent.fence.confirmed && !agent.reachability.suspect &&
@@ -155,8 +155,8 @@
 // AnyLowerPriority reports whether any live attempt has a lower priority than rank.
 func (p *placer) AnyLowerPriority(rank int) bool { return p.reconciler.usage.anyLowerPriority(rank) }
 
-// RetainsGuaranteeWithout reports whether a job's team would still use at least its guarantee with
-// one task of the job fewer.
+// RetainsGuaranteeWithout reports whether a job's team would still use at least its guarantee in
+// the job's shard if one task of the job stopped.
 func (p *placer) RetainsGuaranteeWithout(job *storage.Job) bool {
 	return p.reconciler.usage.ofShard(job.Shard)[job.TeamIndex].CPUs-job.CPUs >= p.guaranteedCPUs(job.TeamIndex, job.Shard)
 }
--- a/internal/coordination/reconcile/reconciler.go
+++ b/internal/coordination/reconcile/reconciler.go
@@ -29,17 +29,17 @@
 type syncedRevisions struct{ fleet, inactiveJobs uint64 }
 
 // New creates a reconciler that holds no shard.
-func New(c Config) *Reconciler {
-	if c.MaxAttemptNumbers == 0 {
-		c.MaxAttemptNumbers = defaultMaxAttemptNumbers
+func New(configuration Config) *Reconciler {
+	if configuration.MaxAttemptNumbers == 0 {
+		configuration.MaxAttemptNumbers = defaultMaxAttemptNumbers
 	}
 	return &Reconciler{
-		Config:         c,
+		Config:         configuration,
 		agents:         agentTable{byName: map[string]*agent{}},
 		writers:        map[int]*recordWriter{},
 		jobs:           map[*storage.Job]*jobProgress{},
 		attemptsByTask: map[storage.TaskRef]int{},
-		usage:          newUsageLedger(len(c.View.Teams)),
+		usage:          newUsageLedger(len(configuration.View.Teams)),
 	}
 }
 
@@ -114,7 +114,8 @@
 		contact := &agent.contact
 		if len(agent.attempts) > 0 && !agent.heldByAnother() {
 			// The agent's lease has certainly expired: this holder has not renewed it, and
-			// an earlier holder could renew it only until its view exceeded MaxStaleness.
+			// an earlier holder could renew it only until the staleness of that holder's view
+			// exceeded MaxStaleness.
 			expiry := contact.lastRenewedAt(r.MaxStaleness) + lease + lease/1000 + config.LeaseMargin
 			if now > expiry && now > contact.lastHeartbeatAt+lease {
 				r.endAllAttempts(agent, "agent's lease has expired")
--- a/internal/coordination/reconcile/record_writer.go
+++ b/internal/coordination/reconcile/record_writer.go
@@ -35,7 +35,7 @@
 const (
 	flushInterval          = 40 * time.Millisecond
 	completionDelay        = time.Second
-	maxCompletionDelay     = 6 * time.Second // while new tasks need all writes
+	maxCompletionDelay     = 6 * time.Second // while new tasks use the whole write budget
 	removalDelay           = 2 * time.Second
 	drainPageCheckInterval = 2 * time.Second // between two searches for the pages that name a draining machine
 
@@ -119,7 +119,7 @@
 
 // markPagesNaming marks as urgent the pages that still name a draining machine without
 // attempts. If an attempt ended before the drain began, its removal from the page is not
-// urgent and may never be written while new tasks need all writes.
+// urgent and may never be written while new tasks use the whole write budget.
 func (w *recordWriter) markPagesNaming(a *agent) {
 	now := w.now()
 	if len(a.attempts) > 0 || len(a.machine.Intents) == 0 || now < a.intentPagesCheckedAt+drainPageCheckInterval {
--- a/internal/coordination/reconcile/sync.go
+++ b/internal/coordination/reconcile/sync.go
@@ -61,7 +61,7 @@
 	_, recorded := r.View.Machines.Find(machine.Name)
 	switch {
 	case recorded != machine:
-		r.release(agent) // the view has deleted this machine, which no group or intent named for a while
+		r.release(agent) // the view deleted this row when no group or intent named the machine
 	case machine.Deleted():
 		r.endAllAttempts(agent, "machine is gone")
 		r.release(agent)
--- a/internal/coordination/sharding/assigner.go
+++ b/internal/coordination/sharding/assigner.go
@@ -153,7 +153,7 @@
 )
 
 // chooseController returns the live controller with the lowest cost of holding a shard, or
-// "" if there is none. Only controllers that allowed accepts are considered.
+// "" if there is none. Only controllers for which allowed returns true are considered.
 func (a *Assigner) chooseController(shard int, jobShards map[string]int, allowed func(controller string) bool) string {
 	best, bestCost := "", 0
 	for position, controller := range a.Controllers {
--- a/internal/coordination/sharding/leases.go
+++ b/internal/coordination/sharding/leases.go
@@ -61,7 +61,7 @@
 		l.Generation.Now() < l.expiry[shard] && l.Replica.Staleness() < l.MaxStaleness
 }
 
-// Extend extends the lease of a shard to one shard lease after a given time.
+// Extend extends the lease of a shard to ShardLease after from. It never shortens the lease.
 func (l *Leases) Extend(shard int, from time.Duration) {
 	l.expiry[shard] = max(l.expiry[shard], from+l.ShardLease)
 }
@@ -74,7 +74,8 @@
 			l.grantSeenAt[shard] = 0
 		case l.grantSeenAt[shard] == 0:
 			l.grantSeenAt[shard] = l.Generation.Now()
-			// The leader wrote the grant no earlier than the read that returned it was sent.
+			// The leader wrote the grant no earlier than this controller sent the read that
+			// returned the grant.
 			l.Extend(shard, l.Replica.FreshAt())
 		}
 	}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -19,8 +19,8 @@
 func (c *Controller) Cancel(id string, reply func(api.Answer)) { c.jobs.Cancel(id, reply) }
 
 // Healthy reports whether users should be routed to this controller: it can answer requests, and
-// it does not hold the batch shard while other controllers are healthy. The processor of the batch
-// shard's holder already handles nearly all heartbeats and commands of agents. The holder still
+// it does not hold the batch shard while other controllers are healthy. Nearly all heartbeats and
+// commands of agents already load the processor of the batch shard's holder. The holder still
 // answers the requests that users send to it.
 func (c *Controller) Healthy() bool {
 	return c.replica.Ready() && !c.generation.Stopping() && c.replica.Staleness() < c.maxStaleness && !c.avoidsUserTraffic()
--- a/internal/scenario/host.go
+++ b/internal/scenario/host.go
@@ -34,20 +34,20 @@
 func (h *host) start() {
 	sim := h.sim
 	sim.faults.end("down", h.name)
-	p := &process{host: h}
-	p.controller = coordination.New(coordination.Config{
+	newProcess := &process{host: h}
+	newProcess.controller = coordination.New(coordination.Config{
 		Settings: h.settings(),
 		Options:  sim.options,
-		Clock:    p,
-		Store:    storeLink{p},
-		Cloud:    cloudLink{p},
-		Agents:   agentLink{p},
-		Peers:    peerLink{p},
+		Clock:    newProcess,
+		Store:    storeLink{newProcess},
+		Cloud:    cloudLink{newProcess},
+		Agents:   agentLink{newProcess},
+		Peers:    peerLink{newProcess},
 		Rand:     rand.New(rand.NewPCG(sim.rand.Uint64(), sim.rand.Uint64())),
 		Log:      sim.log.With("controller", h.name),
 	})
-	h.process = p
-	sim.after(0, p.startController)
+	h.process = newProcess
+	sim.after(0, newProcess.startController)
 }
 
 // startController starts the controller, on a paused host when the pause ends.
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -136,19 +136,19 @@
 
 // buildWorld parses the world file of a scenario and starts the simulation that it describes.
 func buildWorld(declared []string, seed uint64, log io.Writer) (*simulation, error) {
-	w := defaultWorld()
+	parsedWorld := defaultWorld()
 	for _, text := range declared {
 		line := parseStatement(text)
 		declare, ok := declarations[line.verb]
 		if !ok {
 			return nil, &LineError{File: fileWorld, Line: text, Err: ErrUnknownVerb}
 		}
-		declare(w, line)
+		declare(parsedWorld, line)
 		if line.err != nil {
 			return nil, &LineError{File: fileWorld, Line: text, Err: line.err}
 		}
 	}
-	return w.start(seed, log), nil
+	return parsedWorld.start(seed, log), nil
 }
 
 // start creates the simulation and starts its controllers.
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -51,7 +51,7 @@
 )
 
 // MachineGroupRecord is the leader's record of a machine group: machines of one type, zone
-// and market that were rented together and belong to one shard. One value contains many
+// and market that were created together and belong to one shard. One value contains many
 // machines, so that creating or deleting many machines at once takes few writes.
 type MachineGroupRecord struct {
 	Type         string         `json:"type"`
