--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -8,22 +8,25 @@
 	Reason string
 }
 
-// Resource use of a controller as measured in simulation; see docs/operations.md.
+// Memory that a controller needs in MB (base, per connection and per machine), and the thresholds
+// below which a limit causes a warning; see docs/operations.md.
 const (
 	baseMemoryMB       = 15.0
 	connectionMemoryMB = 0.045
 	machineMemoryMB    = 0.01
 
-	minCores                 = 0.05 // 0.06 is the smallest value that a fleet was run with
+	minCores                 = 0.05 // cores; somewhat below 0.06, the lowest supported value
 	minSockets               = 256
-	minValueKiB              = 2 // the smallest value that a fleet was run with
-	minTransactionOperations = 4 // the smallest value that a fleet was run with
+	minValueKiB              = 2 // KiB, smallest limit on the size of a stored value without a warning
+	minTransactionOperations = 4 // operations, smallest limit on one transaction without a warning
 	// openSocketShare is the share of its sockets that a controller keeps open between requests.
 	openSocketShare = 0.75
-	// minSocketsPerMachine is the smallest number of sockets per machine that a fleet was run with.
+	// minSocketsPerMachine is the number of sockets per machine below which fd_limit causes a
+	// warning.
 	minSocketsPerMachine = 0.65
-	// maxMachinesPerWrite is the number of machines for which one write per second was
-	// enough. With 270 machines, tasks waited for the writes of their records.
+	// maxMachinesPerWrite is the number of machines for which one write per second is enough;
+	// with more, write_rps causes a warning. With 270 machines, tasks waited for the writes of
+	// their records.
 	maxMachinesPerWrite = 200
 )
 
--- a/internal/coordination/jobs/notices.go
+++ b/internal/coordination/jobs/notices.go
@@ -18,7 +18,7 @@
 	// maxQueuedNotices bounds the notices queued for an unreachable controller. Dropped
 	// notices do no harm: the controller reads the cancellations from the store, or the
 	// staleness bound ends the tasks. The value allows several notices for each second of
-	// the longest cancel_s that a cluster was run with.
+	// a long cancel_s.
 	maxQueuedNotices = 4096
 	// noticeRetryDelay is the delay after a notice that was not answered.
 	noticeRetryDelay = time.Second
